--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -67,8 +67,11 @@
 
 // Inventory is what the VMs did at a moment, by the node that places them.
 type Inventory struct {
-	At time.Time
+	At time.Time `json:"At"`
 	// Held are in replicas; Free have weights and no replica; Cold have no weights;
 	// Loading read some.
-	Held, Free, Cold, Loading int
+	Held    int `json:"Held"`
+	Free    int `json:"Free"`
+	Cold    int `json:"Cold"`
+	Loading int `json:"Loading"`
 }
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"encoding/xml"
 	"io"
 	"os"
@@ -119,3 +120,24 @@
 		require.Equal(t, len(log.Calls()), counted)
 	})
 }
+
+// Scripts read the JSON report by its keys: a field renamed in the code must not rename them.
+func TestReportKeysInJSON(t *testing.T) {
+	at := time.Date(2026, 11, 3, 8, 0, 0, 0, time.UTC)
+	counts := &losses.Counts{Calls: 1, Outcomes: map[losses.Outcome]int{losses.OnTime: 1}, Causes: map[losses.Cause]int{}}
+	report := losses.Report{
+		All:    counts,
+		Groups: map[string]*losses.Counts{"g": counts},
+		Zones:  map[string]*losses.Counts{"z": counts},
+		Windows: []losses.Window{{
+			From: at, Counts: counts,
+			Inventory: &losses.Inventory{At: at, Held: 1, Free: 2, Cold: 3, Loading: 4},
+		}},
+	}
+	text, err := json.Marshal(report)
+	require.NoError(t, err)
+	one := `{"calls":1,"outcomes":{"on-time":1},"causes":{}}`
+	require.JSONEq(t, `{"all":`+one+`,"groups":{"g":`+one+`},"zones":{"z":`+one+`},
+		"windows":[{"from":"2026-11-03T08:00:00Z","calls":1,"outcomes":{"on-time":1},"causes":{},
+		"inventory":{"At":"2026-11-03T08:00:00Z","Held":1,"Free":2,"Cold":3,"Loading":4}}]}`, string(text))
+}
--- a/internal/player/player_test.go
+++ b/internal/player/player_test.go
@@ -1,6 +1,7 @@
 package player_test
 
 import (
+	"os"
 	"path/filepath"
 	"testing"
 	"testing/synctest"
@@ -97,3 +98,25 @@
 	t.Logf("late=%.4f", late)
 	require.LessOrEqual(t, late, mostLate)
 }
+
+// Scenario files are written by hand: a field renamed in the code must not rename their keys.
+func TestKeysOfAKind(t *testing.T) {
+	const text = `
+length: 1s
+zones: [{name: z, nodes: 1, domains: [1], share: 1}]
+engine: {slots: 1, step: 1ms, read_per_second: 1, heartbeat: 1s}
+models: [{name: m, vms: 1}]
+kinds:
+  - {name: k, model: m, rate: 2, target: 1s, pause: 2s, deadline: 3s, worth: 4, late: 0.5, priority: 6,
+     prompt: {mean: 7, spread: 0.1, most: 8}, answer: {mean: 9, spread: 0.2, most: 10}}
+`
+	path := filepath.Join(t.TempDir(), "scenario.yaml")
+	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	s, err := player.Load(path)
+	require.NoError(t, err)
+	require.Equal(t, []player.Kind{{
+		Name: "k", Model: "m", Rate: 2, Target: time.Second, Pause: 2 * time.Second, Deadline: 3 * time.Second,
+		Prompt: player.Tokens{Mean: 7, Spread: 0.1, Most: 8}, Answer: player.Tokens{Mean: 9, Spread: 0.2, Most: 10},
+		Worth: 4, Late: 0.5, Priority: 6,
+	}}, s.Kinds)
+}
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -82,8 +82,11 @@
 	Model string  `yaml:"model"`
 	Rate  float64 `yaml:"rate"`
 	// Target bounds the first piece, Pause the time between two.
-	Target, Pause, Deadline time.Duration
-	Prompt, Answer          Tokens
+	Target   time.Duration `yaml:"target"`
+	Pause    time.Duration `yaml:"pause"`
+	Deadline time.Duration `yaml:"deadline"`
+	Prompt   Tokens        `yaml:"prompt"`
+	Answer   Tokens        `yaml:"answer"`
 	// Worth and Late are what an answer on time and a later one is worth.
 	Worth    float64 `yaml:"worth"`
 	Late     float64 `yaml:"late"`
