--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -16,24 +16,26 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// Options shape a Controller. Zero fields take the defaults below.
+// Options configures a Controller. Zero fields take the defaults below.
 type Options struct {
-	// Self is this node.
+	// Self identifies this node.
 	Self Node
-	// LimitOf gives a team's limit in force; nil means defaults for all.
+	// LimitOf returns the limit currently configured for a team; nil gives every team
+	// the default share and no in-flight limit.
 	LimitOf func(cluster.TeamID) rules.Limit
-	// MaxWait bounds the wait of requests that name no deadline.
+	// MaxWait bounds the queueing time of requests without a deadline.
 	MaxWait time.Duration
-	// Overcommit is how many requests are dispatched for one that the engines
-	// batch. The nodes cannot balance the replicas exactly, and a few requests
-	// waiting in each engine keep its batch full meanwhile.
+	// Overcommit is the ratio of dispatched requests to the engines' batch slots. The
+	// nodes cannot balance load over the replicas exactly, so a few requests waiting in
+	// each engine keep its batch full.
 	Overcommit float64
-	// PeerExpiry is the silence after which a node counts as unseen.
+	// PeerExpiry is the time without a message after which a node counts as unseen.
 	PeerExpiry time.Duration
-	// SharesCapacity reports whether the nodes of a zone send to the same replicas
-	// as this one and so need a part of their capacity; nil means all do.
+	// SharesCapacity reports whether the nodes of a zone send to the same replicas as
+	// this node and therefore need a part of their capacity; nil means that all zones
+	// do.
 	SharesCapacity func(cluster.ZoneID) bool
-	// Now is the clock; default time.Now.
+	// Now returns the current time; the default is time.Now.
 	Now func() time.Time
 }
 
@@ -67,17 +69,18 @@
 }
 
 const (
-	shards = 16
-	// refreshEvery is how often this node's parts of limits and capacities are split anew.
-	refreshEvery = 200 * time.Millisecond
+	shardCount = 16
+	// refreshInterval is how often this node's parts of limits and capacities are
+	// recomputed.
+	refreshInterval = 200 * time.Millisecond
 )
 
-// Controller hands out slots. All methods are safe for concurrent use.
+// Controller grants slots to requests. All methods are safe for concurrent use.
 type Controller struct {
 	opts   Options
-	peers  peerBook
-	groups [shards]groupShard
-	teams  [shards]teamShard
+	peers  peerTable
+	groups [shardCount]groupShard
+	teams  [shardCount]teamShard
 }
 
 type groupShard struct {
@@ -85,7 +88,7 @@
 	queues map[cluster.GroupName]*groupQueue
 }
 
-// groupQueue is a group's queue with the capacity that all nodes share.
+// groupQueue is a group's queue together with the capacity shared by all nodes.
 type groupQueue struct {
 	*queue
 	capacity    int
@@ -97,42 +100,43 @@
 	m  map[cluster.TeamID]*teamState
 }
 
-// New returns a controller that knows no capacities: until SetCapacity is
-// called for a group, its requests are bounded by the teams' limits only.
+// New returns a controller without capacities: until SetCapacity is called for a group,
+// only the teams' limits bound its requests.
 func New(opts Options) *Controller {
 	opts = opts.withDefaults()
-	c := &Controller{opts: opts, peers: peerBook{self: opts.Self, expiry: opts.PeerExpiry, sharesCapacity: opts.SharesCapacity, heard: map[cluster.NodeID]peerDemand{}}}
-	for i := range shards {
+	c := &Controller{opts: opts, peers: peerTable{self: opts.Self, expiry: opts.PeerExpiry, sharesCapacity: opts.SharesCapacity, demands: map[cluster.NodeID]peerDemand{}}}
+	for i := range shardCount {
 		c.groups[i].queues = map[cluster.GroupName]*groupQueue{}
 		c.teams[i].m = map[cluster.TeamID]*teamState{}
 	}
 	return c
 }
 
-// SetNodes names all nodes that may be serving, also those not heard lately.
+// SetNodes sets the nodes that may be serving, including those not heard from recently.
 func (c *Controller) SetNodes(nodes []Node) { c.peers.setNodes(nodes) }
 
-// ObservePeer takes another node's demands, which replace its earlier ones. Also
-// an empty list says that the node is alive.
+// ObservePeer replaces the demands known of another node. An empty list still marks the
+// node as seen.
 func (c *Controller) ObservePeer(node cluster.NodeID, demands []Demand, now time.Time) {
 	c.peers.observe(node, demands, now)
 }
 
-// Demands returns this node's demands, to be told to the others.
+// Demands returns this node's demands for publication to the other nodes.
 func (c *Controller) Demands(now time.Time) []Demand {
 	var out []Demand
-	c.eachTeam(func(t *teamState) {
-		if d := t.publish(now); d > negligibleDemand || t.inFlight.Load() > 0 {
+	c.forEachTeam(func(t *teamState) {
+		if d := t.publishedDemand(now); d > negligibleDemand || t.inFlight.Load() > 0 {
 			out = append(out, Demand{Team: t.name, Demand: d, InFlight: int(t.inFlight.Load())})
 		}
 	})
 	return out
 }
 
-// negligibleDemand is not worth a place in a datagram.
+// negligibleDemand is the demand up to which a team without requests in flight is left
+// out of datagrams.
 const negligibleDemand = 0.01
 
-func (c *Controller) eachTeam(f func(*teamState)) {
+func (c *Controller) forEachTeam(f func(*teamState)) {
 	for i := range c.teams {
 		s := &c.teams[i]
 		s.mu.Lock()
@@ -143,38 +147,39 @@
 	}
 }
 
-// SetCapacity says how many requests the whole replicas of the group batch,
-// over all nodes; this node uses its part. Zero refuses all.
+// SetCapacity sets the number of requests that the group's ready replicas can batch,
+// summed over all nodes. This node uses its part of it. Zero refuses all requests.
 func (c *Controller) SetCapacity(group cluster.GroupName, slots int) {
 	now := c.opts.Now()
-	nodes := c.peers.ofAll(c.ownDemand(now), now)
+	nodes := c.peers.totalDemands(c.localDemand(now), now)
 	s := c.groupShard(group)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := c.groupLocked(s, group)
 	g.capacity, g.limited = slots, true
-	c.resplit(group, g, nodes, now)
+	c.updateSlots(group, g, nodes, now)
 }
 
-// refreshGroup splits the group's capacity anew when it is due.
+// refreshGroup recomputes this node's part of the group's capacity once per
+// refreshInterval.
 func (c *Controller) refreshGroup(group cluster.GroupName, now time.Time) {
 	s := c.groupShard(group)
 	s.mu.Lock()
 	g := c.groupLocked(s, group)
-	due := g.limited && now.Sub(g.refreshedAt) >= refreshEvery
+	due := g.limited && now.Sub(g.refreshedAt) >= refreshInterval
 	s.mu.Unlock()
 	if !due {
 		return
 	}
-	nodes := c.peers.ofAll(c.ownDemand(now), now)
+	nodes := c.peers.totalDemands(c.localDemand(now), now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.resplit(group, g, nodes, now)
+	c.updateSlots(group, g, nodes, now)
 }
 
-// resplit sets this node's part of the capacity, at least one slot of any. The
-// caller holds the group's shard.
-func (c *Controller) resplit(group cluster.GroupName, g *groupQueue, nodes []nodeDemand, now time.Time) {
+// updateSlots sets this node's part of the capacity: at least one slot unless the
+// capacity is zero. The caller holds the group's shard lock.
+func (c *Controller) updateSlots(group cluster.GroupName, g *groupQueue, nodes []nodeDemand, now time.Time) {
 	g.refreshedAt = now
 	part := 0
 	if g.capacity > 0 {
@@ -182,16 +187,16 @@
 		part = max(split(total, nodes, c.opts.Self.ID, string(group)), 1)
 	}
 	g.setSlots(now, part)
-	settle(g.dispatch(now))
+	notifyStarted(g.dispatch(now))
 }
 
-func (c *Controller) ownDemand(now time.Time) (total float64) {
-	c.eachTeam(func(t *teamState) { total += t.publish(now) })
+func (c *Controller) localDemand(now time.Time) (total float64) {
+	c.forEachTeam(func(t *teamState) { total += t.publishedDemand(now) })
 	return total
 }
 
 func (c *Controller) groupShard(group cluster.GroupName) *groupShard {
-	return &c.groups[xxhash.Sum64String(string(group))%shards]
+	return &c.groups[xxhash.Sum64String(string(group))%shardCount]
 }
 
 func (c *Controller) groupLocked(s *groupShard, group cluster.GroupName) *groupQueue {
@@ -204,7 +209,7 @@
 }
 
 func (c *Controller) team(name cluster.TeamID) *teamState {
-	s := &c.teams[xxhash.Sum64String(string(name))%shards]
+	s := &c.teams[xxhash.Sum64String(string(name))%shardCount]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.m[name]
@@ -215,44 +220,45 @@
 	return t
 }
 
-// refreshTeam splits the team's limit anew when it is due and returns the limit.
+// refreshTeam recomputes this node's part of the team's limit once per refreshInterval
+// and returns the limit.
 func (c *Controller) refreshTeam(t *teamState, now time.Time) rules.Limit {
 	limit := c.opts.LimitOf(t.name)
 	t.mu.Lock()
-	due := t.refreshedAt.IsZero() || now.Sub(t.refreshedAt) >= refreshEvery
+	due := t.refreshedAt.IsZero() || now.Sub(t.refreshedAt) >= refreshInterval
 	own := 0.0
 	if due {
 		t.refreshedAt = now
-		own = t.publish(now)
+		own = t.publishedDemand(now)
 	}
 	t.mu.Unlock()
 	switch {
 	case limit.InFlight == 0:
 		t.allowance.Store(unlimited)
 	case due:
-		t.allowance.Store(int64(split(limit.InFlight, c.peers.ofTeam(t.name, own, now), c.opts.Self.ID, string(t.name))))
+		t.allowance.Store(int64(split(limit.InFlight, c.peers.teamDemands(t.name, own, now), c.opts.Self.ID, string(t.name))))
 	}
 	return limit
 }
 
 var (
-	admittedTotal = metrics.NewCounter("fennel_admission_admitted_total")
-	refusedTotal  = metrics.NewCounter("fennel_admission_refused_total")
-	retriesTotal  = metrics.NewCounter("fennel_admission_retries_refused_total")
-	waitSeconds   = metrics.NewHistogram("fennel_admission_wait_seconds")
-	tokensTotal   = metrics.NewCounter("fennel_admission_tokens_total")
+	admittedTotal       = metrics.NewCounter("fennel_admission_admitted_total")
+	refusedTotal        = metrics.NewCounter("fennel_admission_refused_total")
+	retriesRefusedTotal = metrics.NewCounter("fennel_admission_retries_refused_total")
+	waitSeconds         = metrics.NewHistogram("fennel_admission_wait_seconds")
+	tokensTotal         = metrics.NewCounter("fennel_admission_tokens_total")
 )
 
-// Acquire waits for a slot or refuses with Overloaded, LimitExceeded or
-// DeadlineTooShort, each with Retry-After and Run NotRun; or with Canceled when
-// ctx ends first.
+// Acquire waits for a slot. It fails with Overloaded, LimitExceeded or
+// DeadlineTooShort, each with Retry-After and Run NotRun, or with Canceled if ctx ends
+// first.
 func (c *Controller) Acquire(ctx context.Context, req Request) (Slot, error) {
 	now := c.opts.Now()
 	team := c.team(req.Team)
 	limit := c.refreshTeam(team, now)
 	t := &ticket{
 		team: req.Team, cost: float64(max(req.Cost, 1)), deadline: req.Deadline,
-		given: !req.Deadline.IsZero(), settled: make(chan struct{}),
+		hasDeadline: !req.Deadline.IsZero(), decided: make(chan struct{}),
 	}
 	team.waiting.Add(1)
 	defer team.waiting.Add(-1)
@@ -261,7 +267,7 @@
 		team.refused.Add(1)
 		return nil, refusal
 	}
-	if err := c.await(ctx, req.Group, t); err != nil {
+	if err := c.waitForSlot(ctx, req.Group, t); err != nil {
 		refusedTotal.Inc()
 		return nil, err
 	}
@@ -276,33 +282,33 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := c.groupLocked(s, group)
-	if refusal := g.arrive(now, t, float64(max(limit.Share, 1)), team); refusal != nil {
+	if refusal := g.enqueue(now, t, float64(max(limit.Share, 1)), team); refusal != nil {
 		return refusal
 	}
-	settle(g.dispatch(now))
+	notifyStarted(g.dispatch(now))
 	return nil
 }
 
-// settle tells the tickets' owners that they run.
-func settle(run []*ticket) {
+// notifyStarted wakes the callers of tickets that were dispatched.
+func notifyStarted(run []*ticket) {
 	for _, t := range run {
-		close(t.settled)
+		close(t.decided)
 	}
 }
 
-func (c *Controller) await(ctx context.Context, group cluster.GroupName, t *ticket) error {
+func (c *Controller) waitForSlot(ctx context.Context, group cluster.GroupName, t *ticket) error {
 	timer := time.NewTimer(t.startBy.Sub(c.opts.Now()))
 	defer timer.Stop()
 	select {
-	case <-t.settled:
+	case <-t.decided:
 	case <-ctx.Done():
-		if c.abandon(group, t) {
-			return fennelerr.Wrap(ctx.Err(), fennelerr.Canceled, "gave up waiting for a slot").WithRun(fennelerr.NotRun)
+		if c.cancelWait(group, t) {
+			return fennelerr.Wrap(ctx.Err(), fennelerr.Canceled, "canceled while waiting for a slot").WithRun(fennelerr.NotRun)
 		}
-		<-t.settled
+		<-t.decided
 	case <-timer.C:
 		c.expire(group, t)
-		<-t.settled
+		<-t.decided
 	}
 	if t.refusal != nil {
 		return t.refusal
@@ -310,12 +316,13 @@
 	return nil
 }
 
-// abandon takes the ticket out of the queue; false when it was settled before.
-func (c *Controller) abandon(group cluster.GroupName, t *ticket) bool {
+// cancelWait removes the ticket from the queue. It returns false if the ticket has
+// already been dispatched or refused.
+func (c *Controller) cancelWait(group cluster.GroupName, t *ticket) bool {
 	s := c.groupShard(group)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.queues[group].leave(t)
+	return s.queues[group].remove(t)
 }
 
 func (c *Controller) expire(group cluster.GroupName, t *ticket) {
@@ -327,26 +334,26 @@
 
 // slot implements Slot.
 type slot struct {
-	c        *Controller
-	group    cluster.GroupName
-	team     *teamState
-	ticket   *ticket
-	began    atomic.Bool
-	released atomic.Bool
+	c              *Controller
+	group          cluster.GroupName
+	team           *teamState
+	ticket         *ticket
+	firstTokenSeen atomic.Bool
+	released       atomic.Bool
 }
 
-// FirstToken implements Slot; only the first call counts.
+// FirstToken implements Slot; only the first call has an effect.
 func (s *slot) FirstToken() {
-	if s.began.Swap(true) {
+	if s.firstTokenSeen.Swap(true) {
 		return
 	}
-	sh := s.c.groupShard(s.group)
-	sh.mu.Lock()
-	defer sh.mu.Unlock()
-	sh.queues[s.group].firstToken(s.c.opts.Now(), s.ticket)
+	shard := s.c.groupShard(s.group)
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	shard.queues[s.group].observeFirstToken(s.c.opts.Now(), s.ticket)
 }
 
-// Release implements Slot; a second call does nothing.
+// Release implements Slot; only the first call has an effect.
 func (s *slot) Release(tokens int) {
 	if s.released.Swap(true) {
 		return
@@ -355,7 +362,7 @@
 	if tokens > 0 {
 		tokensTotal.Add(tokens)
 		s.team.mu.Lock()
-		s.team.retries.success(now)
+		s.team.retries.recordSuccess(now)
 		s.team.mu.Unlock()
 	}
 	s.team.inFlight.Add(-1)
@@ -363,35 +370,36 @@
 	s.c.release(s, now, tokens > 0)
 }
 
-func (c *Controller) release(sl *slot, now time.Time, answered bool) {
-	s := c.groupShard(sl.group)
-	s.mu.Lock()
-	g := s.queues[sl.group]
-	g.finish(now, sl.ticket, answered)
-	settle(g.dispatch(now))
-	s.mu.Unlock()
-	if sl.team.waiting.Load() > 0 {
+func (c *Controller) release(s *slot, now time.Time, answered bool) {
+	shard := c.groupShard(s.group)
+	shard.mu.Lock()
+	g := shard.queues[s.group]
+	g.finish(now, s.ticket, answered)
+	notifyStarted(g.dispatch(now))
+	shard.mu.Unlock()
+	if s.team.waiting.Load() > 0 {
 		c.dispatchAll(now)
 	}
 }
 
-// dispatchAll serves the queues of all groups, one lock at a time: a team that
-// was held back by its limit in one group gets its turn when it ends a request
-// in another.
+// dispatchAll dispatches from the queues of all groups, holding one lock at a time. A
+// team that was blocked by its limit in one group can continue when one of its requests
+// in another group ends.
 func (c *Controller) dispatchAll(now time.Time) {
 	for i := range c.groups {
 		s := &c.groups[i]
 		s.mu.Lock()
 		for _, g := range s.queues {
 			if g.waitingCount() > 0 {
-				settle(g.dispatch(now))
+				notifyStarted(g.dispatch(now))
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-// AllowRetry spends one retry of the team's budget, or reports false.
+// AllowRetry takes one retry from the team's budget. It returns false if the budget is
+// used up.
 func (c *Controller) AllowRetry(name cluster.TeamID) bool {
 	now := c.opts.Now()
 	t := c.team(name)
@@ -399,21 +407,21 @@
 	defer t.mu.Unlock()
 	ok := t.retries.spend(now)
 	if !ok {
-		retriesTotal.Inc()
+		retriesRefusedTotal.Inc()
 	}
 	return ok
 }
 
-// TeamStatus is one team's counts on this node, for operators.
+// TeamStatus holds one team's request counts on this node, for operators.
 type TeamStatus struct {
 	Team             cluster.TeamID
 	Running, Waiting int
 }
 
-// Statuses returns the teams that were seen since the start, by name.
+// Statuses returns the teams seen since the process started, sorted by name.
 func (c *Controller) Statuses() []TeamStatus {
 	var out []TeamStatus
-	c.eachTeam(func(t *teamState) {
+	c.forEachTeam(func(t *teamState) {
 		out = append(out, TeamStatus{Team: t.name, Running: int(t.inFlight.Load()), Waiting: int(t.waiting.Load())})
 	})
 	slices.SortFunc(out, func(a, b TeamStatus) int { return cmp.Compare(a.Team, b.Team) })
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -44,9 +44,9 @@
 	return e.RetryAfter
 }
 
-// All slots are taken and requests take ten seconds. A caller who waits three
-// seconds at most is told at once when to come back, not after three seconds.
-func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
+// All slots are taken and requests take ten seconds. A request with a deadline in three
+// seconds must be refused immediately with a Retry-After, not when its deadline passes.
+func TestUnmeetableDeadlineIsRefusedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newController(Options{})
 		c.SetCapacity("g", 1)
@@ -57,14 +57,14 @@
 		began := time.Now()
 		_, err := c.Acquire(t.Context(), Request{Team: "b", Group: "g", Deadline: began.Add(3 * time.Second)})
 		retry := requireRefused(t, err, fennelerr.DeadlineTooShort)
-		require.Zero(t, time.Since(began), "refused at once")
+		require.Zero(t, time.Since(began), "refused immediately")
 		_, err = c.Acquire(t.Context(), Request{Team: "b", Group: "g", Deadline: began.Add(3 * time.Second)})
-		require.Greater(t, requireRefused(t, err, fennelerr.DeadlineTooShort), retry, "the next one comes back later")
+		require.Greater(t, requireRefused(t, err, fennelerr.DeadlineTooShort), retry, "the next refusal has a later Retry-After")
 		held.Release(5)
 	})
 }
 
-func TestWaitingEndsEveryWay(t *testing.T) {
+func TestWaitOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newController(Options{})
 		c.SetCapacity("g", 1)
@@ -104,9 +104,9 @@
 	})
 }
 
-// A replica is lost while callers wait. Those who can no longer be served in
-// time hear of it now and not at their deadlines.
-func TestLostCapacityRefusesWaitersNow(t *testing.T) {
+// A replica is lost while requests wait. Those that can no longer be served in time
+// must be refused immediately, not at their deadlines.
+func TestCapacityLossRefusesWaitersImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newController(Options{})
 		c.SetCapacity("g", 10)
@@ -144,8 +144,8 @@
 	})
 }
 
-// A team's limit holds over all groups together. A request that waits in one
-// group because of it goes on when the team ends one in another group.
+// A team's limit applies across groups. A request blocked by it in one group must start
+// when a request of the team in another group ends.
 func TestTeamLimitSpansGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newController(Options{LimitOf: limitedTo(2)})
@@ -177,10 +177,10 @@
 	})
 }
 
-// Nodes hear of each other's demand late, and a partition hides some of them.
-// Whatever parts the network falls into, the team must not run more at once
-// over the whole system than its limit says.
-func TestPartsNeverAddUpToMoreThanTheTotal(t *testing.T) {
+// Nodes learn of each other's demand late, and a partition hides some of them. Whatever
+// sets of nodes the network splits into, the parts must not add up to more than the
+// team's limit.
+func TestSplitNeverExceedsTotal(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "nodes")
 		total := rapid.IntRange(0, 100).Draw(rt, "total")
@@ -190,35 +190,35 @@
 			side[i] = rapid.IntRange(0, 2).Draw(rt, "side")
 			nodes[i] = nodeDemand{id: cluster.NodeID(fmt.Sprint("n", i)), demand: rapid.Float64Range(0, 50).Draw(rt, "demand")}
 		}
-		sum, whole := 0, true
+		sum, connected := 0, true
 		for self := range n {
 			view := make([]nodeDemand, n)
 			for i := range n {
-				at := (i + self) % n // each lists itself first
+				at := (i + self) % n // each node lists itself first
 				view[i] = nodes[at]
 				view[i].seen = side[at] == side[self]
-				whole = whole && view[i].seen
+				connected = connected && view[i].seen
 			}
 			sum += split(total, view, nodes[self].id, "team")
 		}
 		require.LessOrEqual(rt, sum, total)
-		if whole {
-			require.Equal(rt, total, sum, "and all of it is used when all see each other")
+		if connected {
+			require.Equal(rt, total, sum, "the whole total is used when all nodes see each other")
 		}
 	})
 }
 
-func TestPartsFollowDemandAndShrinkUnseen(t *testing.T) {
+func TestLimitPartsFollowDemand(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newController(Options{LimitOf: limitedTo(40), Now: func() time.Time { return now }})
 	c.SetNodes([]Node{{"n1", "a"}, {"n2", "a"}, {"n3", "b"}, {"n4", "b"}})
 	allowance := func() int64 {
 		team := c.team("t")
-		now = now.Add(refreshEvery)
+		now = now.Add(refreshInterval)
 		c.refreshTeam(team, now)
 		return team.allowance.Load()
 	}
-	require.EqualValues(t, 10, allowance(), "nobody is seen: the even part")
+	require.EqualValues(t, 10, allowance(), "no peer is seen: the even part")
 	c.team("t").inFlight.Store(10)
 	now = now.Add(time.Minute)
 	for _, peer := range []cluster.NodeID{"n2", "n3", "n4"} {
@@ -231,10 +231,10 @@
 	require.EqualValues(t, 10, allowance())
 }
 
-// A limit is smaller than the number of nodes, so that some nodes have no part of
-// it. A caller who reaches such a node is refused, but not for ever: what was
-// refused counts as demand, and the limit moves to where it is asked for.
-func TestSmallLimitGoesWhereItIsAskedFor(t *testing.T) {
+// The limit is smaller than the number of nodes, so some nodes have no part of it.
+// Refusals count as demand and must move a part of the limit to the node that receives
+// the requests; otherwise that node would refuse them forever.
+func TestSmallLimitMovesToDemand(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var nodes []Node
 	for i := range 8 {
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestCapacityIsSplitAndACutZoneKeepsItsOwn(t *testing.T) {
+func TestCapacitySplitExcludesPartitionedZone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newController(Options{Now: func() time.Time { return now }})
 	c.SetNodes([]Node{{"n1", "a"}, {"n2", "a"}, {"n3", "b"}, {"n4", "b"}})
@@ -275,11 +275,11 @@
 	c.ObservePeer("n3", nil, now)
 	require.Equal(t, 10, slots(), "n2 and n4 may still be serving")
 	now = now.Add(DefaultPeerExpiry)
-	require.Equal(t, 20, slots(), "zone b is cut off")
+	require.Equal(t, 20, slots(), "zone b is partitioned")
 }
 
-// A backend server fails every request. Retries beyond the budget would multiply
-// the load of a system that already fails.
+// A backend server fails every request. Retries beyond the budget would multiply the
+// load on a system that is already failing.
 func TestRetryBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newController(Options{Now: func() time.Time { return now }})
@@ -289,18 +289,18 @@
 		}
 		return n
 	}
-	require.Equal(t, retryBurst/2, spend(), "at the start")
+	require.Equal(t, retryBurst/2, spend(), "initial budget")
 	for range 50 {
 		acquire(t, c, Request{Team: "t", Group: "g"}).Release(3)
 		acquire(t, c, Request{Team: "t", Group: "g"}).Release(0)
 	}
 	require.Equal(t, 5, spend(), "a tenth of the 50 successes")
 	now = now.Add(10 * time.Second)
-	require.Equal(t, 2, spend(), "the floor")
+	require.Equal(t, 2, spend(), "refilled by time alone")
 	require.True(t, c.AllowRetry("other"))
 }
 
-func TestConcurrentUseKeepsCounts(t *testing.T) {
+func TestConcurrentUse(t *testing.T) {
 	c := newController(Options{LimitOf: limitedTo(6)})
 	c.SetCapacity("g", 8)
 	var wg sync.WaitGroup
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -7,97 +7,102 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// holdEstimate learns how long requests hold their slots.
-type holdEstimate struct {
+// serviceTimeEstimate is a moving average of how long requests hold their slots.
+type serviceTimeEstimate struct {
 	known   bool
 	mean    float64 // seconds
 	perCost float64 // seconds per unit of Request.Cost
 }
 
 const (
-	holdAlpha   = 0.1
-	assumedHold = 1.0 // seconds, while nothing was measured; refuses nobody
+	estimateAlpha = 0.1
+	// defaultServiceTime is in seconds. It applies until the first measurement; no
+	// request is refused for its expected wait before that.
+	defaultServiceTime = 1.0
 )
 
-func (h *holdEstimate) note(seconds, cost float64) {
-	if !h.known {
-		h.known, h.mean, h.perCost = true, seconds, seconds/cost
+func (e *serviceTimeEstimate) observe(seconds, cost float64) {
+	if !e.known {
+		e.known, e.mean, e.perCost = true, seconds, seconds/cost
 		return
 	}
-	h.mean += holdAlpha * (seconds - h.mean)
-	h.perCost += holdAlpha * (seconds/cost - h.perCost)
+	e.mean += estimateAlpha * (seconds - e.mean)
+	e.perCost += estimateAlpha * (seconds/cost - e.perCost)
 }
 
-func (h *holdEstimate) expect(cost float64) float64 {
-	if !h.known {
-		return assumedHold
+func (e *serviceTimeEstimate) estimate(cost float64) float64 {
+	if !e.known {
+		return defaultServiceTime
 	}
-	// A single very costly request is not believed beyond this, for its cost is
-	// the caller's own bound on the answer, and most answers end before it.
-	return min(h.perCost*cost, maxOverMean*h.mean)
+	// The cost is derived from the caller's own bound on the answer length, and most
+	// answers end before it. The cap keeps one very costly request from dominating.
+	return min(e.perCost*cost, maxServiceTimeRatio*e.mean)
 }
 
-// maxOverMean bounds the expected hold of one request against the group's mean.
-const maxOverMean = 4
+// maxServiceTimeRatio caps the expected service time of one request as a multiple of
+// the group's mean.
+const maxServiceTimeRatio = 4
 
-// startEstimate learns how long after its dispatch a request's first token comes:
-// dialing, waiting in the engine and prefill. A caller's deadline is for the
-// first token, so a request must leave the queue that much earlier; one that
-// leaves at the deadline itself takes a slot for an answer nobody awaits.
-type startEstimate struct {
+// firstTokenEstimate is a moving average of the time from dispatch to the first token:
+// dialing, waiting in the engine and prefill. A caller's deadline applies to the first
+// token, so a request must leave the queue that much earlier. One dispatched at its
+// deadline would take a slot for an answer that arrives too late.
+type firstTokenEstimate struct {
 	known     bool
 	mean, dev float64 // seconds; dev is the mean deviation
 }
 
-func (s *startEstimate) note(seconds float64) {
-	if !s.known {
-		s.known, s.mean, s.dev = true, seconds, seconds/2
+func (e *firstTokenEstimate) observe(seconds float64) {
+	if !e.known {
+		e.known, e.mean, e.dev = true, seconds, seconds/2
 		return
 	}
-	diff := seconds - s.mean
-	s.mean += holdAlpha * diff
-	s.dev += holdAlpha * (math.Abs(diff) - s.dev)
+	diff := seconds - e.mean
+	e.mean += estimateAlpha * diff
+	e.dev += estimateAlpha * (math.Abs(diff) - e.dev)
 }
 
-// margin covers nearly all requests.
-func (s *startEstimate) margin() float64 { return s.mean + startDeviations*s.dev }
+// margin returns an upper bound that covers nearly all requests.
+func (e *firstTokenEstimate) margin() float64 { return e.mean + marginDeviations*e.dev }
 
-const startDeviations = 3
+const marginDeviations = 3
 
-// turnedAway is the work that was refused lately and told to come back. Each
-// refusal is told to come back after those before it, so that they do not all
-// come back at once.
-type turnedAway struct {
+// refusedBacklog is the work of recently refused requests whose callers were told to
+// retry. Each refusal gets a Retry-After behind the earlier ones, so that retries do
+// not arrive all at once.
+type refusedBacklog struct {
 	work float64
 	at   time.Time
 }
 
-// add counts the work and returns what is ahead of it; rate is in slot-seconds a second.
-func (t *turnedAway) add(work, rate float64, now time.Time) (ahead float64) {
-	t.work = max(0, t.work-rate*now.Sub(t.at).Seconds())
-	t.at = now
-	ahead = t.work
-	t.work = min(t.work+work, rate*maxRetry)
+// add adds work to the backlog and returns the backlog before it. The backlog drains at
+// rate, in slot-seconds per second.
+func (b *refusedBacklog) add(work, rate float64, now time.Time) (ahead float64) {
+	b.work = max(0, b.work-rate*now.Sub(b.at).Seconds())
+	b.at = now
+	ahead = b.work
+	b.work = min(b.work+work, rate*maxRetryAfter)
 	return ahead
 }
 
-func (h *holdEstimate) expectOr(seconds float64) float64 {
-	if h.known {
-		return h.mean
+func (e *serviceTimeEstimate) meanOr(seconds float64) float64 {
+	if e.known {
+		return e.mean
 	}
 	return seconds
 }
 
-// refuse is a refusal that ran nothing, with the seconds until it makes sense to come back.
-func refuse(code fennelerr.Code, retry float64, message string) *fennelerr.Error {
-	seconds := min(max(retry, minRetry), maxRetry)
+// newRefusal returns an error for a request that was not run. retryAfter is in seconds
+// and is clamped to the bounds of Retry-After.
+func newRefusal(code fennelerr.Code, retryAfter float64, message string) *fennelerr.Error {
+	seconds := min(max(retryAfter, minRetryAfter), maxRetryAfter)
 	return fennelerr.New(code, "%s", message).WithOp("admission.acquire").WithRun(fennelerr.NotRun).
 		WithRetryAfter(time.Duration(seconds * float64(time.Second)))
 }
 
-// Bounds of Retry-After, in seconds.
+// Bounds of Retry-After, and its value for a group without capacity, in seconds.
 const (
-	minRetry        = 1.0
-	maxRetry        = 60.0
-	noCapacityRetry = 5.0
+	minRetryAfter        = 1.0
+	maxRetryAfter        = 60.0
+	noCapacityRetryAfter = 5.0
 )
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -10,24 +10,24 @@
 	"github.com/fennelcourse/fennelcourse/internal/routing"
 )
 
-// evenly offers times the capacity of the replicas, split over some teams.
-func evenly(replicas int, times float64) map[cluster.TeamID]float64 {
+// evenLoad offers the given multiple of the replicas' capacity, divided evenly between
+// the teams.
+func evenLoad(replicas int, multiple float64) map[cluster.TeamID]float64 {
 	const teams = 5
 	out := map[cluster.TeamID]float64{}
 	for i := range teams {
-		out[team(i)] = times * capacityPerSecond(replicas) / teams
+		out[team(i)] = multiple * capacityPerSecond(replicas) / teams
 	}
 	return out
 }
 
-func overload(seed uint64, times float64) load {
-	return load{replicas: 20, nodes: 4, seed: seed, perSecond: evenly(20, times), seconds: 60}
+func overload(seed uint64, multiple float64) load {
+	return load{replicas: 20, nodes: 4, seed: seed, perSecond: evenLoad(20, multiple), seconds: 60}
 }
 
-// Twice as many requests come as the replicas can serve, and callers who are
-// refused or wait in vain send again. Without a queue that refuses, each replica
-// works through requests whose callers are gone, and hardly anyone gets an
-// answer in time.
+// Requests arrive at twice the capacity, and refused or timed-out callers retry.
+// Without a queue that refuses requests, replicas spend their capacity on requests
+// whose callers have left, and almost no answer arrives in time.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		full := runLoad(overload(seed, 1)).goodput()
@@ -36,47 +36,48 @@
 
 		naive := overload(seed, 2)
 		naive.naive, naive.policy = true, routing.Naive{}
-		require.Less(t, runLoad(naive).goodput(), 0.5*full, "the failure this guards against, seed %d", seed)
+		require.Less(t, runLoad(naive).goodput(), 0.5*full, "without a queue goodput must collapse, seed %d", seed)
 	}
 }
 
-// For a moment first tokens take longer than callers wait. Then the moment
-// passes, but a node that had learnt from it to refuse everything would run
-// nothing from which to learn better: callers are refused by an idle system.
-func TestABadMomentPasses(t *testing.T) {
+// After a latency spike, when first tokens took longer than callers wait, a node must
+// not refuse every request: it would never measure that latency has recovered, and
+// callers would be refused by an idle system.
+func TestRecoversFromLatencySpike(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		out := runLoad(overload(seed, 0.8))
 		require.GreaterOrEqual(t, out.good*100, out.sent*97, "seed %d", seed)
 	}
 	q := newQueue(DefaultMaxWait)
-	q.setSlots(epoch, 1)
-	q.start = startEstimate{known: true, mean: 60, dev: 60}
-	q.hold = holdEstimate{known: true, mean: 600, perCost: 600}
-	tk := &ticket{team: "t0", cost: 1, deadline: epoch.Add(waitTimeout), given: true, settled: make(chan struct{})}
-	require.Nil(t, q.arrive(epoch, tk, 1, noLimit{}))
-	require.Len(t, q.dispatch(epoch), 1)
+	q.setSlots(simStart, 1)
+	q.firstTokenTime = firstTokenEstimate{known: true, mean: 60, dev: 60}
+	q.serviceTime = serviceTimeEstimate{known: true, mean: 600, perCost: 600}
+	tk := &ticket{team: "t0", cost: 1, deadline: simStart.Add(waitTimeout), hasDeadline: true, decided: make(chan struct{})}
+	require.Nil(t, q.enqueue(simStart, tk, 1, noLimit{}))
+	require.Len(t, q.dispatch(simStart), 1)
 }
 
-// oneLargeTeam offers ten times its share of one team and 0.8 times theirs of four others.
+// oneLargeTeam offers ten times the fair share for one team and 0.8 times the fair
+// share for each of four others.
 func oneLargeTeam(seed uint64) load {
 	l := overload(seed, 0.8)
 	l.perSecond[team(0)] *= 10 / 0.8
 	return l
 }
 
-// One team sends ten times its share. The others send less than theirs and must
-// hardly notice: their callers stand at the counter too.
-func TestOneTeamAtTenTimesItsShare(t *testing.T) {
+// One team sends ten times its share. The other teams, which stay below theirs, must
+// hardly be affected.
+func TestLargeTeamDoesNotAffectOthers(t *testing.T) {
 	out := runLoad(oneLargeTeam(1))
 	for i := 1; i < 5; i++ {
 		require.GreaterOrEqual(t, out.goodOf[team(i)]*100, out.sentOf[team(i)]*95, "team %d: %v of %v", i, out.goodOf, out.sentOf)
 	}
-	require.GreaterOrEqual(t, out.goodput(), 0.93*capacityPerSecond(20), "and the large team uses the rest")
+	require.GreaterOrEqual(t, out.goodput(), 0.93*capacityPerSecond(20), "the large team uses the remaining capacity")
 }
 
-// Two teams with weights 3 and 1 both send more than their share: what they get
-// is in the proportion of the weights.
-func TestWeightsDecideUnderOverload(t *testing.T) {
+// Two teams with weights 3 and 1 both send more than their share. Their throughput must
+// follow the ratio of the weights.
+func TestThroughputFollowsWeightsUnderOverload(t *testing.T) {
 	l := overload(2, 0)
 	l.perSecond = map[cluster.TeamID]float64{team(0): 2 * capacityPerSecond(20), team(1): 2 * capacityPerSecond(20)}
 	l.weights = map[cluster.TeamID]float64{team(0): 30, team(1): 10}
@@ -84,22 +85,22 @@
 	require.InDelta(t, 3, float64(out.goodOf[team(0)])/float64(out.goodOf[team(1)]), 0.3)
 }
 
-// BenchmarkGoodput measures goodput (whole answers with the first token within
-// 3 s, a second) by offered load, in virtual time; one iteration is one seed.
+// BenchmarkGoodput measures goodput (complete answers per second with the first token
+// within 3 s) by offered load, in virtual time; one iteration is one seed.
 func BenchmarkGoodput(b *testing.B) {
-	for _, times := range []float64{0.5, 0.8, 1, 1.5, 2, 4} {
+	for _, multiple := range []float64{0.5, 0.8, 1, 1.5, 2, 4} {
 		for _, name := range []string{"fennel", "naive", "naive-with-cancel"} {
-			b.Run(fmt.Sprintf("%s/load=%.1fx", name, times), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/load=%.1fx", name, multiple), func(b *testing.B) {
 				good, refused, late := 0.0, 0.0, 0.0
 				for i := range b.N {
-					l := overload(uint64(i+1), times)
+					l := overload(uint64(i+1), multiple)
 					if name != "fennel" {
 						l.naive, l.policy, l.cancels = true, routing.Naive{}, name == "naive-with-cancel"
 					}
 					out := runLoad(l)
 					good += out.goodput()
 					refused += float64(out.refused) / out.seconds
-					late += float64(out.late) / out.seconds
+					late += float64(out.timedOut) / out.seconds
 				}
 				n := float64(b.N)
 				b.ReportMetric(good/n, "good/s")
@@ -111,7 +112,7 @@
 	}
 }
 
-// BenchmarkOneLargeTeam measures what the four other teams get while one sends
+// BenchmarkOneLargeTeam measures the throughput of the four other teams while one sends
 // ten times its share.
 func BenchmarkOneLargeTeam(b *testing.B) {
 	for _, name := range []string{"fennel", "naive", "naive-with-cancel"} {
@@ -137,8 +138,9 @@
 	}
 }
 
-// BenchmarkPrefixHits measures how often a prompt's prefix is cached where it is
-// sent: 200 shared prefixes, 12 cached by each of 20 engines, 0.7 of the capacity.
+// BenchmarkPrefixHits measures how often the chosen replica has the prompt's prefix
+// cached: 200 shared prefixes, 12 cached by each of 20 engines, load at 0.7 of the
+// capacity.
 func BenchmarkPrefixHits(b *testing.B) {
 	noBonus := routing.DefaultPolicy()
 	noBonus.PrefixBonus = 0
@@ -170,7 +172,7 @@
 	}
 }
 
-// BenchmarkAcquire gives the cost of a slot that is free: acquire, first token, release.
+// BenchmarkAcquire measures the cost of a free slot: acquire, first token, release.
 func BenchmarkAcquire(b *testing.B) {
 	for _, teams := range []int{10, 100} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
@@ -189,9 +191,9 @@
 	}
 }
 
-// The same events and seed give the same decisions, down to the last request, so
-// that a recorded run can be replayed.
-func TestSameSeedSameDecisions(t *testing.T) {
+// The same events and seed must give the same decisions for every request, so that a
+// recorded run can be replayed.
+func TestSimulationIsDeterministic(t *testing.T) {
 	l := overload(5, 1.5)
 	l.seconds, l.prefixes, l.eventsEvery = 15, 50, 2
 	require.Equal(t, runLoad(l), runLoad(l))
--- a/internal/admission/peers.go
+++ b/internal/admission/peers.go
@@ -7,31 +7,33 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// Node is one fenneld of the system.
+// Node identifies a fenneld process and its zone.
 type Node struct {
 	ID   cluster.NodeID
 	Zone cluster.ZoneID
 }
 
-// Demand is one team's demand at one node, as nodes tell each other.
+// Demand is one team's demand at one node, as exchanged between nodes.
 type Demand struct {
 	Team cluster.TeamID
-	// Demand is waiting plus running requests, averaged over seconds.
+	// Demand is the number of waiting and running requests, averaged over a few
+	// seconds.
 	Demand   float64
 	InFlight int
 }
 
-// peerBook is what this node knows of the others. It is touched by gossip and by
-// refreshes a few times a second, not by each request.
-type peerBook struct {
+// peerTable holds the demands reported by the other nodes. Gossip and refreshes access
+// it a few times per second; requests do not access it individually.
+type peerTable struct {
 	self   Node
 	expiry time.Duration
-	// sharesCapacity reports whether a zone's nodes send to the same replicas.
+	// sharesCapacity reports whether the nodes of a zone send to the same replicas as
+	// self.
 	sharesCapacity func(cluster.ZoneID) bool
 
-	mu    sync.Mutex
-	nodes []Node // all others
-	heard map[cluster.NodeID]peerDemand
+	mu      sync.Mutex
+	nodes   []Node // all nodes except self
+	demands map[cluster.NodeID]peerDemand
 }
 
 type peerDemand struct {
@@ -40,70 +42,71 @@
 	total float64
 }
 
-func (b *peerBook) setNodes(nodes []Node) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.nodes = b.nodes[:0]
+func (t *peerTable) setNodes(nodes []Node) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.nodes = t.nodes[:0]
 	known := map[cluster.NodeID]bool{}
 	for _, n := range nodes {
 		known[n.ID] = true
-		if n.ID != b.self.ID {
-			b.nodes = append(b.nodes, n)
+		if n.ID != t.self.ID {
+			t.nodes = append(t.nodes, n)
 		}
 	}
-	for id := range b.heard {
+	for id := range t.demands {
 		if !known[id] {
-			delete(b.heard, id)
+			delete(t.demands, id)
 		}
 	}
 }
 
-func (b *peerBook) observe(node cluster.NodeID, demands []Demand, now time.Time) {
-	p := peerDemand{at: now, teams: make(map[cluster.TeamID]float64, len(demands))}
+func (t *peerTable) observe(node cluster.NodeID, demands []Demand, now time.Time) {
+	reported := peerDemand{at: now, teams: make(map[cluster.TeamID]float64, len(demands))}
 	for _, d := range demands {
-		p.teams[d.Team] = d.Demand
-		p.total += d.Demand
+		reported.teams[d.Team] = d.Demand
+		reported.total += d.Demand
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.heard[node] = p
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.demands[node] = reported
 }
 
-// ofTeam lists all nodes' demand of one team; every node that is not seen keeps a part.
-func (b *peerBook) ofTeam(team cluster.TeamID, own float64, now time.Time) []nodeDemand {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]nodeDemand, 0, len(b.nodes)+1)
-	out = append(out, nodeDemand{id: b.self.ID, demand: own, seen: true})
-	for _, n := range b.nodes {
-		p := b.heard[n.ID]
-		out = append(out, nodeDemand{id: n.ID, demand: p.teams[team], seen: b.fresh(p, now)})
+// teamDemands returns every node's demand of one team. Nodes that are not seen stay
+// listed and so keep their part of the limit.
+func (t *peerTable) teamDemands(team cluster.TeamID, own float64, now time.Time) []nodeDemand {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := make([]nodeDemand, 0, len(t.nodes)+1)
+	out = append(out, nodeDemand{id: t.self.ID, demand: own, seen: true})
+	for _, n := range t.nodes {
+		p := t.demands[n.ID]
+		out = append(out, nodeDemand{id: n.ID, demand: p.teams[team], seen: t.fresh(p, now)})
 	}
 	return out
 }
 
-// ofAll lists the whole demand of the nodes that send to the same replicas. An availability zone of which no node is
-// seen is taken to be cut off: it cannot reach the replicas that this node
-// still finds whole, and a part kept for it would idle exactly when capacity is
-// short. Should it reach them after all, the engines refuse what is too much.
-func (b *peerBook) ofAll(own float64, now time.Time) []nodeDemand {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	seenZones := map[cluster.ZoneID]bool{b.self.Zone: true}
-	for _, n := range b.nodes {
-		if b.fresh(b.heard[n.ID], now) {
+// totalDemands returns the total demand of the nodes that send to the same replicas. A
+// zone without any seen node is assumed to be partitioned: it cannot reach the replicas
+// that are ready from here, and capacity reserved for it would idle exactly when
+// capacity is short. If it does reach them, the engines refuse the excess.
+func (t *peerTable) totalDemands(own float64, now time.Time) []nodeDemand {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	seenZones := map[cluster.ZoneID]bool{t.self.Zone: true}
+	for _, n := range t.nodes {
+		if t.fresh(t.demands[n.ID], now) {
 			seenZones[n.Zone] = true
 		}
 	}
-	out := []nodeDemand{{id: b.self.ID, demand: own, seen: true}}
-	for _, n := range b.nodes {
-		if p := b.heard[n.ID]; seenZones[n.Zone] && b.sharesCapacity(n.Zone) {
-			out = append(out, nodeDemand{id: n.ID, demand: p.total, seen: b.fresh(p, now)})
+	out := []nodeDemand{{id: t.self.ID, demand: own, seen: true}}
+	for _, n := range t.nodes {
+		if p := t.demands[n.ID]; seenZones[n.Zone] && t.sharesCapacity(n.Zone) {
+			out = append(out, nodeDemand{id: n.ID, demand: p.total, seen: t.fresh(p, now)})
 		}
 	}
 	return out
 }
 
-func (b *peerBook) fresh(p peerDemand, now time.Time) bool {
-	return !p.at.IsZero() && now.Sub(p.at) < b.expiry
+func (t *peerTable) fresh(p peerDemand, now time.Time) bool {
+	return !p.at.IsZero() && now.Sub(p.at) < t.expiry
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -8,19 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// countedLimit is a team limit with an exact count of what was taken.
-type countedLimit struct{ taken, most int }
+// countedLimit is a team limit that counts the acquired units exactly.
+type countedLimit struct{ acquired, limit int }
 
-func (l *countedLimit) room() int { return l.most - l.taken }
-func (l *countedLimit) take() bool {
-	if l.taken >= l.most {
+func (l *countedLimit) available() int { return l.limit - l.acquired }
+func (l *countedLimit) tryAcquire() bool {
+	if l.acquired >= l.limit {
 		return false
 	}
-	l.taken++
+	l.acquired++
 	return true
 }
 
-// queueModel checks a queue against what must hold after every event.
+// queueModel checks the queue's invariants after every event.
 type queueModel struct {
 	q       *queue
 	now     time.Time
@@ -31,8 +31,8 @@
 
 func (m *queueModel) dispatch(t *rapid.T) {
 	for _, tk := range m.q.dispatch(m.now) {
-		require.True(t, m.waiting[tk], "dispatched once, and only what waits")
-		require.True(t, tk.startBy.After(m.now), "never after it is too late")
+		require.True(t, m.waiting[tk], "only waiting tickets are dispatched, each once")
+		require.True(t, tk.startBy.After(m.now), "dispatched before startBy")
 		delete(m.waiting, tk)
 		m.running = append(m.running, tk)
 	}
@@ -48,30 +48,30 @@
 	require.Equal(t, len(m.running), m.q.running)
 	require.Equal(t, len(m.waiting), m.q.waitingCount())
 	for i, l := range m.limits {
-		require.LessOrEqual(t, l.taken, l.most)
+		require.LessOrEqual(t, l.acquired, l.limit)
 		own := m.q.teams[team(i)]
 		if own == nil {
 			continue
 		}
-		require.Equal(t, l.taken, own.running)
-		require.GreaterOrEqual(t, own.work, 0.0)
-		if len(own.waiting) > 0 && l.room() > 0 {
-			require.GreaterOrEqual(t, m.q.running, m.q.slots, "nobody waits beside a free slot")
+		require.Equal(t, l.acquired, own.running)
+		require.GreaterOrEqual(t, own.queuedWork, 0.0)
+		if len(own.waiting) > 0 && l.available() > 0 {
+			require.GreaterOrEqual(t, m.q.running, m.q.slots, "a ticket waits although a slot is free")
 		}
 	}
 }
 
 func (m *queueModel) arrive(t *rapid.T) {
-	who := rapid.IntRange(0, len(m.limits)-1).Draw(t, "team")
-	tk := &ticket{team: team(who), cost: float64(rapid.IntRange(1, 500).Draw(t, "cost")), settled: make(chan struct{})}
+	index := rapid.IntRange(0, len(m.limits)-1).Draw(t, "team")
+	tk := &ticket{team: team(index), cost: float64(rapid.IntRange(1, 500).Draw(t, "cost")), decided: make(chan struct{})}
 	if seconds := rapid.IntRange(0, 20).Draw(t, "seconds"); seconds > 0 {
-		tk.given, tk.deadline = true, m.now.Add(time.Duration(seconds)*time.Second)
+		tk.hasDeadline, tk.deadline = true, m.now.Add(time.Duration(seconds)*time.Second)
 	}
-	free := m.q.running < m.q.slots && m.limits[who].room() > 0 && len(m.q.team(tk.team, 1, m.limits[who]).waiting) == 0
-	if refusal := m.q.arrive(m.now, tk, float64(who+1), m.limits[who]); refusal != nil {
-		require.False(t, free, "refused beside a free slot")
+	free := m.q.running < m.q.slots && m.limits[index].available() > 0 && len(m.q.team(tk.team, 1, m.limits[index]).waiting) == 0
+	if refusal := m.q.enqueue(m.now, tk, float64(index+1), m.limits[index]); refusal != nil {
+		require.False(t, free, "refused although a slot is free")
 		require.GreaterOrEqual(t, refusal.RetryAfter, time.Second)
-		require.LessOrEqual(t, refusal.RetryAfter, maxRetry*time.Second)
+		require.LessOrEqual(t, refusal.RetryAfter, maxRetryAfter*time.Second)
 		return
 	}
 	m.waiting[tk] = true
@@ -87,46 +87,46 @@
 	m.running = append(m.running[:i], m.running[i+1:]...)
 	for k, l := range m.limits {
 		if tk.team == team(k) {
-			l.taken--
+			l.acquired--
 		}
 	}
 	m.q.finish(m.now, tk, rapid.Bool().Draw(t, "answered"))
 	m.dispatch(t)
 }
 
-// Requests arrive, end, are given up and expire in any order while capacity
-// changes. A slot lost or a ticket settled twice would show up as a caller who
-// waits for ever, or as more running than the engines can take.
+// Requests arrive, finish, are canceled and expire in any order while the capacity
+// changes. A leaked slot or a ticket decided twice would leave a caller waiting forever
+// or run more requests than the engines can take.
 func TestQueueHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &queueModel{q: newQueue(DefaultMaxWait), now: epoch, waiting: map[*ticket]bool{}}
+		model := &queueModel{q: newQueue(DefaultMaxWait), now: simStart, waiting: map[*ticket]bool{}}
 		for range 3 {
-			m.limits = append(m.limits, &countedLimit{most: rapid.IntRange(0, 6).Draw(t, "limit")})
+			model.limits = append(model.limits, &countedLimit{limit: rapid.IntRange(0, 6).Draw(t, "limit")})
 		}
-		m.q.setSlots(m.now, 4)
+		model.q.setSlots(model.now, 4)
 		t.Repeat(map[string]func(*rapid.T){
-			"arrive": m.arrive,
-			"finish": m.finish,
+			"arrive": model.arrive,
+			"finish": model.finish,
 			"time": func(t *rapid.T) {
-				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
-				m.dispatch(t)
+				model.now = model.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
+				model.dispatch(t)
 			},
 			"leave": func(t *rapid.T) {
-				for _, team := range m.q.order {
+				for _, team := range model.q.byName {
 					if len(team.waiting) == 0 {
 						continue
 					}
 					tk := team.waiting[len(team.waiting)/2]
-					require.True(t, m.q.leave(tk))
-					require.False(t, m.q.leave(tk))
-					delete(m.waiting, tk)
+					require.True(t, model.q.remove(tk))
+					require.False(t, model.q.remove(tk))
+					delete(model.waiting, tk)
 					break
 				}
-				m.dispatch(t)
+				model.dispatch(t)
 			},
 			"slots": func(t *rapid.T) {
-				m.q.setSlots(m.now, rapid.IntRange(0, 8).Draw(t, "slots"))
-				m.dispatch(t)
+				model.q.setSlots(model.now, rapid.IntRange(0, 8).Draw(t, "slots"))
+				model.dispatch(t)
 			},
 		})
 	})
--- a/internal/admission/team.go
+++ b/internal/admission/team.go
@@ -9,21 +9,22 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// teamState is one team's counts on this node.
+// teamState holds one team's counters on this node.
 type teamState struct {
 	name     cluster.TeamID
 	inFlight atomic.Int64
 	waiting  atomic.Int64
-	// refused counts refusals since the demand was last published. They are
-	// demand too: a node without a part of a limit would never show any else.
+	// refused counts refusals since the demand was last sampled. They are part of the
+	// demand: a node that has no part of a limit runs nothing, so without them its
+	// demand would stay at zero.
 	refused atomic.Int64
 	// allowance is this node's part of the team's in-flight limit.
 	allowance atomic.Int64
 
-	// mu guards what follows; it is the lock of the team's shard.
+	// mu is the lock of the team's shard. It guards the fields below.
 	mu          *sync.Mutex
 	refreshedAt time.Time
-	demand      average
+	demand      movingAverage
 	published   float64
 	publishedAt time.Time
 	retries     retryBudget
@@ -32,10 +33,10 @@
 // unlimited is the allowance of a team without an in-flight limit.
 const unlimited = 1 << 30
 
-func (t *teamState) room() int { return int(t.allowance.Load() - t.inFlight.Load()) }
+func (t *teamState) available() int { return int(t.allowance.Load() - t.inFlight.Load()) }
 
-// take counts one more request in flight, unless the allowance is used up.
-func (t *teamState) take() bool {
+// tryAcquire counts one more request in flight, unless the allowance is used up.
+func (t *teamState) tryAcquire() bool {
 	for {
 		n := t.inFlight.Load()
 		if n >= t.allowance.Load() {
@@ -47,20 +48,20 @@
 	}
 }
 
-// average is a moving average over demandWindow.
-type average struct {
+// movingAverage is an exponential moving average with time constant demandWindow.
+type movingAverage struct {
 	value float64
 	at    time.Time
 }
 
 const (
 	demandWindow = 2 * time.Second
-	// publishEvery is how long one published demand stands, so that all nodes
+	// publishInterval is how long a published demand stays unchanged, so that all nodes
 	// split by the same numbers.
-	publishEvery = time.Second
+	publishInterval = time.Second
 )
 
-func (a *average) add(sample float64, now time.Time) float64 {
+func (a *movingAverage) add(sample float64, now time.Time) float64 {
 	if a.at.IsZero() {
 		a.value = sample
 	} else {
@@ -71,29 +72,30 @@
 	return a.value
 }
 
-// publish returns the team's demand; the caller holds t.mu.
-func (t *teamState) publish(now time.Time) float64 {
-	if t.publishedAt.IsZero() || now.Sub(t.publishedAt) >= publishEvery {
+// publishedDemand returns the team's demand, sampled at most once per publishInterval.
+// The caller holds t.mu.
+func (t *teamState) publishedDemand(now time.Time) float64 {
+	if t.publishedAt.IsZero() || now.Sub(t.publishedAt) >= publishInterval {
 		t.published = t.demand.add(float64(t.waiting.Load()+t.inFlight.Load()+t.refused.Swap(0)), now)
 		t.publishedAt = now
 	}
 	return t.published
 }
 
-// retryBudget bounds retries to a part of the successes, so that retries cannot
-// multiply the load of a system that fails because of load. A small floor lets
-// a team that sends little retry at all.
+// retryBudget limits retries to a fraction of the successful requests, so that retries
+// cannot multiply the load on a system that is failing from load. A small constant
+// refill allows retries for teams with little traffic.
 type retryBudget struct {
 	credit float64
 	at     time.Time
 }
 
 const (
-	// retryCost is the credit that one retry takes; a success gives 1.
+	// retryCost is the credit taken by one retry; a success adds 1.
 	retryCost = 10
-	// retryFloor is the credit that each second gives, whatever succeeds.
-	retryFloor = 2
-	// retryBurst is the most retries that can be saved up.
+	// retryCreditPerSecond is the credit added per second regardless of successes.
+	retryCreditPerSecond = 2
+	// retryBurst is the maximum number of retries that can accumulate.
 	retryBurst = 10
 )
 
@@ -101,14 +103,14 @@
 	if b.at.IsZero() {
 		b.credit = retryCost * retryBurst / 2
 	} else {
-		b.add(retryFloor * now.Sub(b.at).Seconds())
+		b.add(retryCreditPerSecond * now.Sub(b.at).Seconds())
 	}
 	b.at = now
 }
 
 func (b *retryBudget) add(credit float64) { b.credit = min(b.credit+credit, retryCost*retryBurst) }
 
-func (b *retryBudget) success(now time.Time) {
+func (b *retryBudget) recordSuccess(now time.Time) {
 	b.refill(now)
 	b.add(1)
 }
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -1,6 +1,6 @@
-// Package admission decides when a request may be dispatched: per-team fair
-// sharing, queues with deadlines, in-flight limits and retry budgets. A request
-// that cannot make its deadline is refused at once with a computed Retry-After.
+// Package admission decides when a request may be dispatched: fair sharing between
+// teams, queues with deadlines, in-flight limits and retry budgets. A request that
+// cannot meet its deadline is refused immediately with a computed Retry-After.
 package admission
 
 import (
@@ -13,7 +13,7 @@
 type Request struct {
 	Team  cluster.TeamID
 	Group cluster.GroupName
-	// Deadline is when the caller stops waiting for the first token; zero means none given.
+	// Deadline is when the caller stops waiting for the first token; zero means none.
 	Deadline time.Time
 	// Cost is the expected work in tokens, prompt plus answer; at least 1.
 	Cost int
@@ -21,10 +21,11 @@
 
 // Slot is held while a request runs. Release must be called exactly once.
 type Slot interface {
-	// FirstToken says that the answer's first token came. From the time since
-	// the dispatch is learnt how early requests must leave the queue.
+	// FirstToken reports that the first token of the answer arrived. The time since
+	// dispatch determines how long before its deadline a request must leave the queue.
 	FirstToken()
-	// Release returns the slot; tokens is the work done, for cost estimates, and
-	// zero for a request that gave no answer.
+	// Release returns the slot. tokens is the number of tokens processed; zero means
+	// that the request produced no answer, which then counts neither as a success for
+	// the retry budget nor towards the service time estimate.
 	Release(tokens int)
 }
--- a/internal/admission/virtual_test.go
+++ b/internal/admission/virtual_test.go
@@ -12,9 +12,9 @@
 	"github.com/fennelcourse/fennelcourse/internal/routing"
 )
 
-// The measurements run the pure cores (queue and routing table) of a few nodes
-// in virtual time against a fake engine per replica that batches, queues and
-// caches prefixes. Nothing in them waits for a real clock.
+// The simulation runs the deterministic cores (queue and routing table) of a few nodes
+// in virtual time against a fake engine per replica, which batches requests, queues
+// them and caches prefixes. It never waits for a real clock.
 
 type timedEvent struct {
 	at  time.Duration
@@ -36,28 +36,30 @@
 	return last
 }
 
-// load says what is offered to a fleet.
+// load describes the load offered to a simulation.
 type load struct {
 	replicas, nodes int
 	seed            uint64
-	// perSecond is the offered requests by team.
+	// perSecond is the offered request rate by team.
 	perSecond map[cluster.TeamID]float64
 	weights   map[cluster.TeamID]float64
-	// naive: random replica, no queue. cancels: a caller who gave up is canceled at the engine.
+	// naive picks replicas at random and has no queue; with cancels, requests of
+	// callers that timed out are canceled at the engine.
 	naive, cancels bool
 	policy         routing.Policy
 	seconds        int
 	// prefixes is the number of long shared prompt prefixes; 0 for none.
 	prefixes int
-	// eventsEvery is the seconds between two polls of an engine's cache events
-	// by a node; 0 polls never, so that own choices tell alone what is cached.
+	// eventsEvery is the number of seconds between a node's polls of an engine's cache
+	// events. With 0 it never polls, and its own routing choices are the only evidence
+	// of what is cached.
 	eventsEvery int
 }
 
 const (
 	batch         = 8
 	waitTimeout   = 3 * time.Second // how long a caller waits for the first token
-	tries         = 3               // how often a caller sends a request at most
+	maxAttempts   = 3               // attempts per request, including the first
 	warmUp        = 20 * time.Second
 	tokenInterval = 20 * time.Millisecond
 	prefillMiss   = 400 * time.Millisecond
@@ -66,16 +68,18 @@
 	meanTokens    = 100
 )
 
-// meanHold is the mean slot time of a request without shared prefixes.
-const meanHold = prefillHit + meanTokens*tokenInterval
+// meanServiceTime is the mean slot time of a request without shared prefixes.
+const meanServiceTime = prefillHit + meanTokens*tokenInterval
 
-// capacityPerSecond is how many requests the replicas can serve in a second.
-func capacityPerSecond(replicas int) float64 { return float64(replicas*batch) / meanHold.Seconds() }
+// capacityPerSecond returns how many requests per second the replicas can serve.
+func capacityPerSecond(replicas int) float64 {
+	return float64(replicas*batch) / meanServiceTime.Seconds()
+}
 
-// outcome is what callers saw after the warm-up.
+// outcome holds what callers observed after the warm-up.
 type outcome struct {
-	good, sent, refused, late int
-	// served counts answers that came too late as well: work for nobody.
+	good, sent, refused, timedOut int
+	// served also counts answers that came too late.
 	served         int
 	goodOf, sentOf map[cluster.TeamID]int
 	hits, misses   int
@@ -84,27 +88,27 @@
 
 func (o outcome) goodput() float64 { return float64(o.good) / o.seconds }
 
-type fleet struct {
+type simulation struct {
 	load
-	now     time.Duration
-	events  eventHeap
-	seq     int
-	rnd     *rand.Rand
-	engines map[cluster.ReplicaID]*fakeEngine
-	order   []*fakeEngine
-	members []*member
-	out     outcome
-	pending map[*ticket]*call // the calls of waiting tickets
+	now      time.Duration
+	events   eventHeap
+	seq      int
+	rng      *rand.Rand
+	engines  map[cluster.ReplicaID]*fakeEngine
+	order    []*fakeEngine
+	simNodes []*simNode
+	result   outcome
+	pending  map[*ticket]*call // the calls of waiting tickets
 }
 
-// member is one fenneld: its queue and its routing table.
-type member struct {
+// simNode is one fenneld: its queue and its routing table.
+type simNode struct {
 	queue *queue
 	table *routing.Table
 }
 
 type fakeEngine struct {
-	f       *fleet
+	sim     *simulation
 	id      cluster.ReplicaID
 	running int
 	waiting []*call
@@ -112,97 +116,97 @@
 	events  engine.CacheEvents
 }
 
-// call is one sending of a request.
+// call is one attempt of a request.
 type call struct {
-	team    cluster.TeamID
-	tokens  int
-	prefix  uint64
-	try     int
-	node    *member
-	ticket  *ticket
-	sentAt  time.Duration
-	firstAt time.Duration
-	gone    bool
-	done    func()
+	team      cluster.TeamID
+	tokens    int
+	prefix    uint64
+	attempt   int
+	node      *simNode
+	ticket    *ticket
+	sentAt    time.Duration
+	firstAt   time.Duration
+	abandoned bool
+	done      func()
 }
 
-var epoch = time.Unix(1_000_000, 0)
+var simStart = time.Unix(1_000_000, 0)
 
-func (f *fleet) clock() time.Time { return epoch.Add(f.now) }
+func (s *simulation) clock() time.Time { return simStart.Add(s.now) }
 
-func (f *fleet) after(d time.Duration, do func()) {
-	f.seq++
-	heap.Push(&f.events, timedEvent{at: f.now + max(d, 0), seq: f.seq, do: do})
+func (s *simulation) after(d time.Duration, do func()) {
+	s.seq++
+	heap.Push(&s.events, timedEvent{at: s.now + max(d, 0), seq: s.seq, do: do})
 }
 
 func runLoad(l load) outcome {
-	f := &fleet{load: l, rnd: rand.New(rand.NewPCG(l.seed, 7)), engines: map[cluster.ReplicaID]*fakeEngine{}, pending: map[*ticket]*call{}}
-	f.out = outcome{goodOf: map[cluster.TeamID]int{}, sentOf: map[cluster.TeamID]int{}, seconds: float64(l.seconds)}
-	f.build()
+	s := &simulation{load: l, rng: rand.New(rand.NewPCG(l.seed, 7)), engines: map[cluster.ReplicaID]*fakeEngine{}, pending: map[*ticket]*call{}}
+	s.result = outcome{goodOf: map[cluster.TeamID]int{}, sentOf: map[cluster.TeamID]int{}, seconds: float64(l.seconds)}
+	s.build()
 	for _, team := range sortedTeams(l.perSecond) {
-		f.arrivals(team, l.perSecond[team])
+		s.arrivals(team, l.perSecond[team])
 	}
-	f.after(time.Second, f.gossip)
+	s.after(time.Second, s.gossip)
 	end := warmUp + time.Duration(l.seconds)*time.Second
-	for len(f.events) > 0 && f.events[0].at < end {
-		e := heap.Pop(&f.events).(timedEvent)
-		f.now = e.at
+	for len(s.events) > 0 && s.events[0].at < end {
+		e := heap.Pop(&s.events).(timedEvent)
+		s.now = e.at
 		e.do()
 	}
-	return f.out
+	return s.result
 }
 
-func (f *fleet) build() {
+func (s *simulation) build() {
 	var entries []routing.Entry
-	for i := range f.replicas {
+	for i := range s.replicas {
 		id := cluster.ReplicaID(fmt.Sprintf("r%d", i))
-		e := &fakeEngine{f: f, id: id, events: engine.CacheEvents{Boot: "b"}}
-		f.engines[id] = e
-		f.order = append(f.order, e)
+		e := &fakeEngine{sim: s, id: id, events: engine.CacheEvents{Boot: "b"}}
+		s.engines[id] = e
+		s.order = append(s.order, e)
 		entries = append(entries, routing.Entry{Replica: cluster.Replica{ID: id, Group: "g", Zone: "a", Generation: 1}, Addr: string(id)})
 	}
-	for i := range f.nodes {
-		m := &member{queue: newQueue(30 * time.Second), table: routing.NewTable(routing.Options{Zone: "a", Policy: f.policy, Seed: f.seed + uint64(i)})}
+	for i := range s.nodes {
+		m := &simNode{queue: newQueue(30 * time.Second), table: routing.NewTable(routing.Options{Zone: "a", Policy: s.policy, Seed: s.seed + uint64(i)})}
 		m.table.SetReplicas("a", entries)
 		for _, e := range entries {
 			m.table.SetWhole(e.Replica.ID, 1, true)
 		}
-		m.queue.setSlots(epoch, int(DefaultOvercommit*float64(f.replicas*batch)/float64(f.nodes)))
-		f.members = append(f.members, m)
+		m.queue.setSlots(simStart, int(DefaultOvercommit*float64(s.replicas*batch)/float64(s.nodes)))
+		s.simNodes = append(s.simNodes, m)
 	}
 }
 
-// gossip carries load reports and the peers' outstanding counts once a second.
-func (f *fleet) gossip() {
-	taken := f.clock()
+// gossip distributes load reports and the peers' outstanding counts once a second.
+func (s *simulation) gossip() {
+	taken := s.clock()
 	loads := map[cluster.ReplicaID]engine.Load{}
-	for _, e := range f.order {
+	for _, e := range s.order {
 		loads[e.id] = engine.Load{AsOf: taken, Running: e.running, Waiting: len(e.waiting), MaxRunning: batch}
 	}
-	f.after(200*time.Millisecond, func() {
-		for i, m := range f.members {
+	s.after(200*time.Millisecond, func() {
+		for i, m := range s.simNodes {
 			for id, l := range loads {
-				m.table.ReportLoad(id, l, f.clock())
+				m.table.ReportLoad(id, l, s.clock())
 			}
-			for j, peer := range f.members {
+			for j, peer := range s.simNodes {
 				if i == j {
 					continue
 				}
-				for _, s := range peer.table.Statuses(f.clock()) {
-					m.table.ObservePeerOutstanding(cluster.NodeID(fmt.Sprint(j)), s.Replica.ID, s.Outstanding, f.clock())
+				for _, status := range peer.table.Statuses(s.clock()) {
+					m.table.ObservePeerOutstanding(cluster.NodeID(fmt.Sprint(j)), status.Replica.ID, status.Outstanding, s.clock())
 				}
 			}
-			f.pollCaches(i, m)
+			s.pollCaches(i, m)
 		}
 	})
-	f.after(time.Second, f.gossip)
+	s.after(time.Second, s.gossip)
 }
 
-// pollCaches asks each engine for its cache events once every eventsEvery seconds.
-func (f *fleet) pollCaches(node int, m *member) {
-	second := int(f.now / time.Second)
-	for k, e := range f.order {
-		if f.eventsEvery == 0 || (second+k+node)%f.eventsEvery != 0 {
+// pollCaches polls each engine's cache events once every eventsEvery seconds.
+func (s *simulation) pollCaches(node int, m *simNode) {
+	second := int(s.now / time.Second)
+	for k, e := range s.order {
+		if s.eventsEvery == 0 || (second+k+node)%s.eventsEvery != 0 {
 			continue
 		}
 		news := engine.CacheEvents{Boot: "b", Next: e.events.Next}
@@ -212,154 +216,155 @@
 				news.Events = append(news.Events, ev)
 			}
 		}
-		m.table.CacheEvents(e.id, news, f.clock())
+		m.table.CacheEvents(e.id, news, s.clock())
 	}
 }
 
-func (f *fleet) arrivals(team cluster.TeamID, rate float64) {
-	f.after(time.Duration(f.rnd.ExpFloat64()/rate*float64(time.Second)), func() {
-		f.arrivals(team, rate)
-		c := &call{team: team, tokens: 20 + f.rnd.IntN(2*(meanTokens-20)+1)}
-		if f.prefixes > 0 {
-			// A few prefixes are frequent, most are rare.
-			c.prefix = 1 + uint64(float64(f.prefixes)*f.rnd.Float64()*f.rnd.Float64())
+func (s *simulation) arrivals(team cluster.TeamID, rate float64) {
+	s.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+		s.arrivals(team, rate)
+		c := &call{team: team, tokens: 20 + s.rng.IntN(2*(meanTokens-20)+1)}
+		if s.prefixes > 0 {
+			// The product of two uniform variates makes a few prefixes frequent and
+			// most rare.
+			c.prefix = 1 + uint64(float64(s.prefixes)*s.rng.Float64()*s.rng.Float64())
 		}
-		if f.now >= warmUp {
-			f.out.sent++
-			f.out.sentOf[team]++
+		if s.now >= warmUp {
+			s.result.sent++
+			s.result.sentOf[team]++
 		}
-		f.send(c)
+		s.send(c)
 	})
 }
 
-func (f *fleet) send(c *call) {
-	c.try++
-	c.node = f.members[f.rnd.IntN(len(f.members))]
-	c.sentAt, c.firstAt, c.gone = f.now, 0, false
-	if f.naive {
-		f.start(c)
-		f.after(waitTimeout, func() { f.giveUp(c) })
+func (s *simulation) send(c *call) {
+	c.attempt++
+	c.node = s.simNodes[s.rng.IntN(len(s.simNodes))]
+	c.sentAt, c.firstAt, c.abandoned = s.now, 0, false
+	if s.naive {
+		s.start(c)
+		s.after(waitTimeout, func() { s.callerTimeout(c) })
 		return
 	}
-	t := &ticket{team: c.team, cost: 1, deadline: f.clock().Add(waitTimeout), given: true, settled: make(chan struct{})}
+	t := &ticket{team: c.team, cost: 1, deadline: s.clock().Add(waitTimeout), hasDeadline: true, decided: make(chan struct{})}
 	c.ticket = t
 	weight := 10.0
-	if w := f.weights[c.team]; w > 0 {
+	if w := s.weights[c.team]; w > 0 {
 		weight = w
 	}
-	if refusal := c.node.queue.arrive(f.clock(), t, weight, noLimit{}); refusal != nil {
-		f.refused(c, refusal)
+	if refusal := c.node.queue.enqueue(s.clock(), t, weight, noLimit{}); refusal != nil {
+		s.retryRefused(c, refusal)
 		return
 	}
-	f.pending[t] = c
-	f.after(t.startBy.Sub(f.clock()), func() {
-		c.node.queue.expire(f.clock(), t)
+	s.pending[t] = c
+	s.after(t.startBy.Sub(s.clock()), func() {
+		c.node.queue.expire(s.clock(), t)
 		if t.refusal != nil {
-			f.refused(c, t.refusal)
+			s.retryRefused(c, t.refusal)
 		}
 	})
-	f.dispatch(c.node)
+	s.dispatch(c.node)
 }
 
 type noLimit struct{}
 
-func (noLimit) room() int  { return unlimited }
-func (noLimit) take() bool { return true }
+func (noLimit) available() int   { return unlimited }
+func (noLimit) tryAcquire() bool { return true }
 
-func (f *fleet) dispatch(m *member) {
-	for _, t := range m.queue.dispatch(f.clock()) {
-		c := f.pending[t]
-		delete(f.pending, t)
-		f.start(c)
+func (s *simulation) dispatch(m *simNode) {
+	for _, t := range m.queue.dispatch(s.clock()) {
+		c := s.pending[t]
+		delete(s.pending, t)
+		s.start(c)
 	}
 }
 
-// refused callers come back when they are told to.
-func (f *fleet) refused(c *call, why *fennelerr.Error) {
-	delete(f.pending, c.ticket)
-	if f.now >= warmUp {
-		f.out.refused++
+// retryRefused makes the caller of a refused request retry after its Retry-After.
+func (s *simulation) retryRefused(c *call, refusal *fennelerr.Error) {
+	delete(s.pending, c.ticket)
+	if s.now >= warmUp {
+		s.result.refused++
 	}
-	if c.try < tries {
-		again := &call{team: c.team, tokens: c.tokens, prefix: c.prefix, try: c.try}
-		f.after(why.RetryAfter, func() { f.send(again) })
+	if c.attempt < maxAttempts {
+		again := &call{team: c.team, tokens: c.tokens, prefix: c.prefix, attempt: c.attempt}
+		s.after(refusal.RetryAfter, func() { s.send(again) })
 	}
 }
 
-// giveUp is a naive caller whose timeout passed: it sends the request again.
-func (f *fleet) giveUp(c *call) {
+// callerTimeout handles the timeout of a naive caller, which sends the request again.
+func (s *simulation) callerTimeout(c *call) {
 	if c.firstAt > 0 {
 		return
 	}
-	c.gone = true
-	if f.now >= warmUp {
-		f.out.late++
+	c.abandoned = true
+	if s.now >= warmUp {
+		s.result.timedOut++
 	}
-	if c.try < tries {
-		f.send(&call{team: c.team, tokens: c.tokens, prefix: c.prefix, try: c.try})
+	if c.attempt < maxAttempts {
+		s.send(&call{team: c.team, tokens: c.tokens, prefix: c.prefix, attempt: c.attempt})
 	}
 }
 
-func (f *fleet) start(c *call) {
+func (s *simulation) start(c *call) {
 	req := routing.Request{Group: "g"}
 	if c.prefix > 0 {
 		req.PrefixHashes = []uint64{c.prefix}
 	}
-	choice, err := c.node.table.ChooseAt(f.clock(), req)
+	choice, err := c.node.table.ChooseAt(s.clock(), req)
 	if err != nil {
 		panic(err)
 	}
-	began := f.now
+	began := s.now
 	c.done = func() {
-		c.node.table.EndAt(f.clock(), choice, routing.Result{OK: !c.gone, Canceled: c.gone, FirstToken: c.firstAt - began, Tokens: c.tokens, Duration: f.now - began})
-		if !f.naive {
-			c.node.queue.finish(f.clock(), c.ticket, true)
-			f.dispatch(c.node)
+		c.node.table.EndAt(s.clock(), choice, routing.Result{OK: !c.abandoned, Canceled: c.abandoned, FirstToken: c.firstAt - began, Tokens: c.tokens, Duration: s.now - began})
+		if !s.naive {
+			c.node.queue.finish(s.clock(), c.ticket, true)
+			s.dispatch(c.node)
 		}
 	}
-	e := f.engines[choice.Replica.ID]
+	e := s.engines[choice.Replica.ID]
 	e.waiting = append(e.waiting, c)
-	e.fill()
+	e.startWaiting()
 }
 
-func (e *fakeEngine) fill() {
+func (e *fakeEngine) startWaiting() {
 	for e.running < batch && len(e.waiting) > 0 {
 		c := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		if c.gone && e.f.cancels {
+		if c.abandoned && e.sim.cancels {
 			c.done()
 			continue
 		}
 		e.running++
 		prefill := e.prefill(c.prefix)
-		e.f.after(prefill, func() { e.f.first(c) })
-		e.f.after(prefill+time.Duration(c.tokens)*tokenInterval, func() { e.end(c) })
+		e.sim.after(prefill, func() { e.sim.onFirstToken(c) })
+		e.sim.after(prefill+time.Duration(c.tokens)*tokenInterval, func() { e.finish(c) })
 	}
 }
 
-func (f *fleet) first(c *call) {
-	c.firstAt = f.now
-	if !f.naive {
-		c.node.queue.firstToken(f.clock(), c.ticket)
+func (s *simulation) onFirstToken(c *call) {
+	c.firstAt = s.now
+	if !s.naive {
+		c.node.queue.observeFirstToken(s.clock(), c.ticket)
 	}
 }
 
-func (e *fakeEngine) end(c *call) {
+func (e *fakeEngine) finish(c *call) {
 	e.running--
-	e.f.count(c)
+	e.sim.recordAnswer(c)
 	c.done()
-	e.fill()
+	e.startWaiting()
 }
 
-func (f *fleet) count(c *call) {
-	if f.now >= warmUp {
-		f.out.served++
+func (s *simulation) recordAnswer(c *call) {
+	if s.now >= warmUp {
+		s.result.served++
 	}
-	if f.now < warmUp || c.gone || c.firstAt-c.sentAt > waitTimeout {
+	if s.now < warmUp || c.abandoned || c.firstAt-c.sentAt > waitTimeout {
 		return
 	}
-	f.out.good++
-	f.out.goodOf[c.team]++
+	s.result.good++
+	s.result.goodOf[c.team]++
 }
 
 func (e *fakeEngine) prefill(prefix uint64) time.Duration {
@@ -369,22 +374,22 @@
 	for i, p := range e.cached {
 		if p == prefix {
 			e.cached = append(append(e.cached[:i:i], e.cached[i+1:]...), prefix)
-			e.f.out.hits++
+			e.sim.result.hits++
 			return prefillHit
 		}
 	}
-	e.f.out.misses++
+	e.sim.result.misses++
 	e.cached = append(e.cached, prefix)
-	e.publish(prefix, false)
+	e.logCacheEvent(prefix, false)
 	if len(e.cached) > cachedPrompts {
-		e.publish(e.cached[0], true)
+		e.logCacheEvent(e.cached[0], true)
 		e.cached = e.cached[1:]
 	}
 	return prefillMiss
 }
 
-// publish logs a cache event; every eighth is lost.
-func (e *fakeEngine) publish(prefix uint64, evicted bool) {
+// logCacheEvent records a cache event; every eighth is lost.
+func (e *fakeEngine) logCacheEvent(prefix uint64, evicted bool) {
 	e.events.Next++
 	if e.events.Next%8 != 0 {
 		e.events.Events = append(e.events.Events, engine.CacheEvent{Seq: e.events.Next, PrefixHash: prefix, Evicted: evicted})
