--- a/internal/gateway/deps.go
+++ b/internal/gateway/deps.go
@@ -99,5 +99,5 @@
 	MayRetryOn(replica cluster.ReplicaID) bool
 	// Begin records that fp runs on the replica; the returned func ends it and
 	// says how.
-	Begin(fp suspect.Fingerprint, replica cluster.ReplicaID, generation int64, alone bool) (end func(suspect.Ending))
+	Begin(fp suspect.Fingerprint, replica cluster.ReplicaID, generation int64, alone bool) (end func(suspect.Outcome))
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -153,8 +153,8 @@
 
 func (q *noQuarantine) Admit(context.Context, suspect.Fingerprint) (bool, error) { return false, nil }
 func (q *noQuarantine) MayRetryOn(cluster.ReplicaID) bool                        { return true }
-func (q *noQuarantine) Begin(suspect.Fingerprint, cluster.ReplicaID, int64, bool) func(suspect.Ending) {
-	return func(how suspect.Ending) {
+func (q *noQuarantine) Begin(suspect.Fingerprint, cluster.ReplicaID, int64, bool) func(suspect.Outcome) {
+	return func(how suspect.Outcome) {
 		if how == suspect.Crashed {
 			q.crashes.Add(1)
 		}
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -73,7 +73,7 @@
 // target is the replica that a session runs on, with what must be undone after.
 type target struct {
 	choice  routing.Choice
-	endMark func(suspect.Ending)
+	endMark func(suspect.Outcome)
 	began   time.Time
 	first   time.Time
 	tokens  int
@@ -239,7 +239,7 @@
 	return nil
 }
 
-func ending(res routing.Result, crashed bool) suspect.Ending {
+func ending(res routing.Result, crashed bool) suspect.Outcome {
 	switch {
 	case crashed:
 		return suspect.Crashed
--- a/internal/suspect/sim_test.go
+++ b/internal/suspect/sim_test.go
@@ -29,8 +29,8 @@
 
 func (naive) Admit(context.Context, suspect.Fingerprint) (bool, error) { return false, nil }
 func (naive) MayRetryOn(cluster.ReplicaID) bool                        { return true }
-func (naive) Begin(suspect.Fingerprint, cluster.ReplicaID, int64, bool) func(suspect.Ending) {
-	return func(suspect.Ending) {}
+func (naive) Begin(suspect.Fingerprint, cluster.ReplicaID, int64, bool) func(suspect.Outcome) {
+	return func(suspect.Outcome) {}
 }
 
 // scenario is one run of some nodes before some replicas, on the fake clock.
@@ -219,7 +219,7 @@
 	}
 }
 
-func ending(ctx context.Context, crashed bool) suspect.Ending {
+func ending(ctx context.Context, crashed bool) suspect.Outcome {
 	switch {
 	case crashed:
 		return suspect.Crashed
--- a/internal/suspect/tracker.go
+++ b/internal/suspect/tracker.go
@@ -101,13 +101,13 @@
 
 // Begin records that fp runs on the replica. The returned func ends it and must
 // be called once. A retry alone that finishes clears the fingerprint.
-func (t *Tracker) Begin(fp Fingerprint, replica cluster.ReplicaID, generation int64, alone bool) (end func(Ending)) {
+func (t *Tracker) Begin(fp Fingerprint, replica cluster.ReplicaID, generation int64, alone bool) (end func(Outcome)) {
 	k, began := fp.key(), t.now()
 	if alone {
 		t.beginAlone(k, replica)
 	}
 	var once sync.Once
-	return func(how Ending) {
+	return func(how Outcome) {
 		once.Do(func() {
 			if alone {
 				t.crashShard(replica).endAlone(replica, k, t.now())
--- a/internal/suspect/types.go
+++ b/internal/suspect/types.go
@@ -20,12 +20,12 @@
 // String returns the fingerprint in hex, as it appears in logs.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Ending is how a run on a replica ended.
-type Ending int
+// Outcome is how a run on a replica ended.
+type Outcome int
 
 const (
 	// Finished means that the whole answer came. It clears a suspect.
-	Finished Ending = iota
+	Finished Outcome = iota
 	// Crashed means that the replica crashed under the run.
 	Crashed
 	// Abandoned means that the run ended otherwise, such as by its caller going away. It
