--- a/cmd/controlbench/nodes.go
+++ b/cmd/controlbench/nodes.go
@@ -82,7 +82,7 @@
 		Node: name, Zone: cluster.ZoneID(fmt.Sprintf("serra-%d", zone)), Seeds: seeds,
 		PeerAddr: n.transport.Addr(), Transport: n.transport, Log: quiet,
 	})
-	n.tracker = suspect.New(suspect.Options{Node: name, Nudge: n.member.Nudge, Rank: n.member.Rank, Log: quiet})
+	n.tracker = suspect.New(suspect.Options{Node: name, TriggerHeartbeat: n.member.Nudge, Rank: n.member.Rank, Log: quiet})
 	n.member.AddSource(n.tracker.Section)
 	n.member.AddSource(loads(i))
 	n.member.SetRulesRevision(n.revision.Load)
--- a/internal/suspect/tracker.go
+++ b/internal/suspect/tracker.go
@@ -26,8 +26,8 @@
 	// Rank is this node's place among the live nodes for a key, as in membership;
 	// nil means 0. It orders the nodes that want a replica for a retry alone.
 	Rank func(key string) int
-	// Nudge asks for a datagram soon; it must not block. Nil means none.
-	Nudge func()
+	// TriggerHeartbeat asks for a datagram soon; it must not block. Nil means none.
+	TriggerHeartbeat func()
 	// Clock is the time; nil means time.Now.
 	Clock  func() time.Time
 	Timing Timing
@@ -67,7 +67,7 @@
 // New returns a tracker that suspects nothing.
 func New(opts Options) *Tracker {
 	t := &Tracker{
-		node: opts.Node, peers: opts.Peers, rank: opts.Rank, nudge: opts.Nudge, now: opts.Clock,
+		node: opts.Node, peers: opts.Peers, rank: opts.Rank, nudge: opts.TriggerHeartbeat, now: opts.Clock,
 		timing: opts.Timing.withDefaults(), log: opts.Log,
 	}
 	if t.peers == nil {
