--- a/internal/suspect/admit.go
+++ b/internal/suspect/admit.go
@@ -7,39 +7,40 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// Admit refuses a quarantined fingerprint with a Quarantined error. For a suspect
-// it waits until nobody else retries it, claims the retry and returns alone set:
-// the caller then runs it on a replica without other suspects. A suspect that is
-// quarantined while it waits is refused at once.
+// Admit returns a Quarantined error for a quarantined fingerprint. For a suspect it
+// waits until no other run retries it, claims the retry and returns alone set: the
+// caller must then run the request on a replica without other suspects. A suspect that
+// is quarantined while it waits is refused immediately.
 func (t *Tracker) Admit(ctx context.Context, fp Fingerprint) (alone bool, err error) {
 	k := fp.key()
 	for {
-		d, changed := t.ask(k)
+		d, changed := t.decide(k)
 		switch d.action {
-		case free:
+		case allow:
 			return false, nil
 		case refuse:
 			metricRefused.Inc()
 			t.log.Info("quarantined request refused", "fingerprint", k, "until", d.until)
-			return false, t.refusal(k, d.until)
+			return false, t.quarantineError(k, d.until)
 		case claim:
-			t.nudge()
-			if t.holdClaim(ctx, k) {
+			t.triggerHeartbeat()
+			if t.confirmClaim(ctx, k) {
 				metricRetried.Inc()
 				t.log.Info("suspect retried alone", "fingerprint", k)
 				return true, nil
 			}
 		case wait:
-			t.sleep(ctx, changed, d.until)
+			t.waitUntil(ctx, changed, d.until)
 		}
 		if ctx.Err() != nil {
-			t.dropClaim(k)
-			return false, gaveUp(ctx)
+			t.releaseClaim(k)
+			return false, waitError(ctx)
 		}
 	}
 }
 
-// Quarantined reports whether fp is refused now. Unlike Admit it changes nothing.
+// Quarantined reports whether fp is currently refused. Unlike Admit, it does not change
+// the record.
 func (t *Tracker) Quarantined(fp Fingerprint) bool {
 	k := fp.key()
 	s := t.keyShard(k)
@@ -49,28 +50,30 @@
 	return r != nil && r.phase == quarantined && t.now().Before(r.until)
 }
 
-// ask decides under the lock; a claim is entered and a refusal prolonged there too.
-func (t *Tracker) ask(k key) (decision, <-chan struct{}) {
+// decide determines, under the lock, what a request with this fingerprint may do. It
+// also enters a claim and extends a quarantine. The channel is set for a wait and
+// closes when the record changes.
+func (t *Tracker) decide(k key) (decision, <-chan struct{}) {
 	s := t.keyShard(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.records[k]
 	if r == nil {
-		return decision{action: free}, nil
+		return decision{action: allow}, nil
 	}
 	now := t.now()
-	if r.dead(t.node, now, t.timing) {
+	if r.expired(t.node, now, t.timing) {
 		delete(s.records, k)
-		return decision{action: free}, nil
+		return decision{action: allow}, nil
 	}
 	d := r.admit(t.node, now, t.timing)
 	switch d.action {
 	case refuse:
-		r.prolong(now, t.timing)
+		r.extend(now, t.timing)
 		d.until = r.until
 	case claim:
-		r.run = run{node: t.node, heard: now}
-		r.tells = tells{}
+		r.retry = retry{node: t.node, reportedAt: now}
+		r.sends = sendStats{}
 		r.notify()
 	case wait:
 		return d, r.wait()
@@ -78,47 +81,48 @@
 	return d, nil
 }
 
-// holdClaim waits for word of another node's claim and reports whether this one holds.
-func (t *Tracker) holdClaim(ctx context.Context, k key) bool {
+// confirmClaim waits for ClaimDelay, in which a competing claim of another node may
+// arrive, and reports whether this node still holds the claim.
+func (t *Tracker) confirmClaim(ctx context.Context, k key) bool {
 	if t.peers() == 0 {
 		return true
 	}
 	end := t.now().Add(t.timing.ClaimDelay)
 	for {
-		changed, mine := t.claimState(k)
-		if !mine {
+		changed, held := t.claimState(k)
+		if !held {
 			return false
 		}
 		if !t.now().Before(end) {
 			return true
 		}
-		t.sleep(ctx, changed, end)
+		t.waitUntil(ctx, changed, end)
 		if ctx.Err() != nil {
 			return false
 		}
 	}
 }
 
-func (t *Tracker) claimState(k key) (changed <-chan struct{}, mine bool) {
+func (t *Tracker) claimState(k key) (changed <-chan struct{}, held bool) {
 	s := t.keyShard(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.records[k]
-	if r == nil || r.phase != suspected || r.run.node != t.node {
+	if r == nil || r.phase != suspected || r.retry.node != t.node {
 		return nil, false
 	}
 	return r.wait(), true
 }
 
-func (t *Tracker) dropClaim(k key) {
+func (t *Tracker) releaseClaim(k key) {
 	t.update(k, func(r *record) {
-		if r.run.node == t.node && !r.run.begun {
-			r.run = run{}
+		if r.retry.node == t.node && !r.retry.started {
+			r.retry = retry{}
 		}
 	})
 }
 
-func (t *Tracker) sleep(ctx context.Context, changed <-chan struct{}, until time.Time) {
+func (t *Tracker) waitUntil(ctx context.Context, changed <-chan struct{}, until time.Time) {
 	timer := time.NewTimer(until.Sub(t.now()))
 	defer timer.Stop()
 	select {
@@ -128,7 +132,7 @@
 	}
 }
 
-func gaveUp(ctx context.Context) error {
+func waitError(ctx context.Context) error {
 	code := fennelerr.Canceled
 	if ctx.Err() == context.DeadlineExceeded {
 		code = fennelerr.Timeout
@@ -137,7 +141,7 @@
 		WithOp("suspect.admit").WithRun(fennelerr.NotRun)
 }
 
-func (t *Tracker) refusal(k key, until time.Time) error {
+func (t *Tracker) quarantineError(k key, until time.Time) error {
 	left := until.Sub(t.now()).Round(time.Second)
 	return fennelerr.New(fennelerr.Quarantined,
 		"replicas crashed while this request ran, the last one while it was the only suspect there; "+
--- a/internal/suspect/bench_test.go
+++ b/internal/suspect/bench_test.go
@@ -7,9 +7,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/suspect"
 )
 
-// BenchmarkInnocent is what every request pays: admitted, begun and ended.
+// BenchmarkInnocent measures the overhead per request without suspicion: Admit, Begin
+// and the end of the run.
 func BenchmarkInnocent(b *testing.B) {
-	tr := lone(3)
+	tr := newTracker(3)
 	ctx := context.Background()
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
--- a/internal/suspect/crash.go
+++ b/internal/suspect/crash.go
@@ -9,53 +9,58 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// crash is one crash of one replica and the fingerprints in flight on it.
+// crash is one crash of a replica and the fingerprints that were in flight on it.
 type crash struct {
 	id         uint64
 	replica    cluster.ReplicaID
 	generation int64
 	at         time.Time
 	keys       []key
-	// tells counts for each part of chunkKeys fingerprints.
-	tells [crashKeys / chunkKeys]tells
+	// sends holds the send statistics for each mark of up to keysPerMark fingerprints.
+	sends [maxCrashKeys / keysPerMark]sendStats
 }
 
 const (
-	// crashKeys bounds the fingerprints of one crash.
-	crashKeys = 128
-	// chunkKeys is how many of them one mark carries, so that it fits beside others.
-	chunkKeys = 16
-	// crashesPerShard bounds the crashes remembered.
+	// maxCrashKeys bounds the fingerprints recorded for one crash.
+	maxCrashKeys = 128
+	// keysPerMark is the number of fingerprints per mark. It is small enough for a mark
+	// to fit into a datagram next to others.
+	keysPerMark = 16
+	// crashesPerShard bounds the crashes remembered per shard.
 	crashesPerShard = 64
-	// crashWindow is how long after a crash a request that was in flight on the
-	// replica may notice it: a silent connection takes a while.
+	// crashWindow is how long after a crash a request in flight on the replica may
+	// detect it; a connection that has gone silent takes some time to fail.
 	crashWindow = time.Minute
-	// deadGrace is for how long after a crash requests may still be sent to the
+	// deadReplicaGrace is how long after a crash requests may still be routed to the
 	// dead replica.
-	deadGrace = 5 * time.Second
-	// sameCrashGap is how far apart two nodes may date one crash.
-	sameCrashGap = 5 * time.Second
-	// crashTold is for how long a crash is passed on.
-	crashTold = time.Minute
+	deadReplicaGrace = 5 * time.Second
+	// sameCrashTolerance is the maximum difference between the times that two nodes
+	// report for the same crash.
+	sameCrashTolerance = 5 * time.Second
+	// crashGossipDuration is how long a crash is included in sections.
+	crashGossipDuration = time.Minute
 )
 
-// crashShard holds the crashes of some replicas, and where suspects run.
+// crashShard holds the crashes of a subset of the replicas and the retries running on
+// them.
 type crashShard struct {
 	mu      sync.Mutex
 	crashes []*crash // oldest first
-	// alone holds the suspects that run on a replica, here or elsewhere, with the
-	// time until which that is believed.
-	alone map[cluster.ReplicaID]map[key]time.Time
-	// freed is when the last suspect left a replica; turns is when all turns began anew.
-	freed map[cluster.ReplicaID]time.Time
-	turns time.Time
-}
-
-// local finds or adds the crash that ended a run of this node which began at began.
-// A run that began after a crash of the same replica met another crash; but soon
-// after, it met the dead replica before its health was noticed, and nil is
-// returned: that says nothing about the request.
-func (s *crashShard) local(replica cluster.ReplicaID, generation int64, k key, began, now time.Time, newID uint64) *crash {
+	// retries holds, by replica, the suspects that run there on this or another node,
+	// each with the time at which the entry expires.
+	retries map[cluster.ReplicaID]map[key]time.Time
+	// freeSince is when the last suspect left a replica. turnsStart is when the nodes'
+	// turns last restarted.
+	freeSince  map[cluster.ReplicaID]time.Time
+	turnsStart time.Time
+}
+
+// recordLocal finds or adds the crash that ended a run of this node; began is the start
+// of the run. A run that began after a known crash of the replica belongs to a later
+// crash. If it began within deadReplicaGrace of the crash, it reached the dead replica
+// before health checks noticed; recordLocal then returns nil, since this is no evidence
+// about the request.
+func (s *crashShard) recordLocal(replica cluster.ReplicaID, generation int64, k key, began, now time.Time, newID uint64) *crash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range slices.Backward(s.crashes) {
@@ -66,7 +71,7 @@
 			c.add(k)
 			return c
 		}
-		if began.Sub(c.at) <= deadGrace {
+		if began.Sub(c.at) <= deadReplicaGrace {
 			return nil
 		}
 	}
@@ -75,23 +80,24 @@
 	return c
 }
 
-// remote finds or adds a crash that a peer told of, adds its fingerprints and
-// returns it with those that are news. Both nodes may have named the same crash.
-func (s *crashShard) remote(id uint64, replica cluster.ReplicaID, generation int64, at time.Time, keys []key) (*crash, []key) {
+// recordRemote finds or adds a crash reported by a peer and adds its fingerprints. It
+// returns the crash and the fingerprints that were not known yet. Two nodes may have
+// assigned different ids to the same crash.
+func (s *crashShard) recordRemote(id uint64, replica cluster.ReplicaID, generation int64, at time.Time, keys []key) (*crash, []key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.find(id, replica, generation, at)
 	if c == nil {
 		c = s.insert(id, replica, generation, at)
 	}
-	var news []key
+	var added []key
 	for _, k := range keys {
 		if c.add(k) {
-			news = append(news, k)
+			added = append(added, k)
 		}
-		delete(s.alone[replica], k)
+		delete(s.retries[replica], k)
 	}
-	return c, news
+	return c, added
 }
 
 func (s *crashShard) insert(id uint64, replica cluster.ReplicaID, generation int64, at time.Time) *crash {
@@ -104,10 +110,10 @@
 }
 
 func (c *crash) add(k key) bool {
-	if slices.Contains(c.keys, k) || len(c.keys) == crashKeys {
+	if slices.Contains(c.keys, k) || len(c.keys) == maxCrashKeys {
 		return false
 	}
-	c.tells[len(c.keys)/chunkKeys] = tells{}
+	c.sends[len(c.keys)/keysPerMark] = sendStats{}
 	c.keys = append(c.keys, k)
 	return true
 }
@@ -124,16 +130,17 @@
 	return nil
 }
 
-// aloneOn returns the suspects that are believed to run on a replica alone and
-// whose end there has not been heard of.
-func (s *crashShard) aloneOn(replica cluster.ReplicaID) []key {
+// retriesOn returns the suspects whose retries on a replica are not known to have
+// ended.
+func (s *crashShard) retriesOn(replica cluster.ReplicaID) []key {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Collect(maps.Keys(s.alone[replica]))
+	return slices.Collect(maps.Keys(s.retries[replica]))
 }
 
-// exonerate takes a cleared fingerprint off a crash, so that it is told no more.
-func (s *crashShard) exonerate(id uint64, k key) {
+// removeKey removes a cleared fingerprint from a crash, so that it is no longer sent to
+// peers.
+func (s *crashShard) removeKey(id uint64, k key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.crashes {
@@ -143,70 +150,71 @@
 	}
 }
 
-// find returns the crash that a peer names by an id, or that it dates closely
-// enough to be the same; nil if none is known.
+// find returns the crash with the given id, or one of the same replica and generation
+// whose time is within sameCrashTolerance; nil if there is none.
 func (s *crashShard) find(id uint64, replica cluster.ReplicaID, generation int64, at time.Time) *crash {
 	for _, c := range s.crashes {
-		if c.id == id || c.replica == replica && c.generation == generation && at.Sub(c.at).Abs() <= sameCrashGap {
+		if c.id == id || c.replica == replica && c.generation == generation && at.Sub(c.at).Abs() <= sameCrashTolerance {
 			return c
 		}
 	}
 	return nil
 }
 
-// unheard reports whether a peer's crash is not known yet. One that two nodes met
-// has two ids: by the id alone the other's would be news with every heartbeat.
-func (s *crashShard) unheard(id uint64, replica cluster.ReplicaID, generation int64, at time.Time) bool {
+// isNew reports whether a peer's crash is not known yet. Two nodes that detected the
+// same crash assign different ids; matched by id alone, the peer's crash would look new
+// with every heartbeat.
+func (s *crashShard) isNew(id uint64, replica cluster.ReplicaID, generation int64, at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.find(id, replica, generation, at) == nil
 }
 
-// setAlone notes that a suspect runs on a replica until a time.
-func (s *crashShard) setAlone(replica cluster.ReplicaID, k key, until time.Time) {
+// startRetry records that a suspect runs on a replica, until a time.
+func (s *crashShard) startRetry(replica cluster.ReplicaID, k key, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.alone[replica] == nil {
-		s.alone[replica] = make(map[key]time.Time)
+	if s.retries[replica] == nil {
+		s.retries[replica] = make(map[key]time.Time)
 	}
-	s.alone[replica][k] = until
+	s.retries[replica][k] = until
 }
 
-// endAlone notes that a suspect no longer runs on a replica.
-func (s *crashShard) endAlone(replica cluster.ReplicaID, k key, now time.Time) {
+// endRetry records that a suspect no longer runs on a replica.
+func (s *crashShard) endRetry(replica cluster.ReplicaID, k key, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ran := s.alone[replica][k]; ran {
-		s.remove(replica, k, now)
+	if _, ran := s.retries[replica][k]; ran {
+		s.removeRetry(replica, k, now)
 	}
 }
 
-func (s *crashShard) remove(replica cluster.ReplicaID, k key, now time.Time) {
-	delete(s.alone[replica], k)
-	if len(s.alone[replica]) == 0 {
-		delete(s.alone, replica)
-		s.freed[replica] = now
+func (s *crashShard) removeRetry(replica cluster.ReplicaID, k key, now time.Time) {
+	delete(s.retries[replica], k)
+	if len(s.retries[replica]) == 0 {
+		delete(s.retries, replica)
+		s.freeSince[replica] = now
 	}
 }
 
-// startTurns lets the nodes take their turns on all replicas from now on.
-func (s *crashShard) startTurns(now time.Time) {
+// restartTurns restarts the nodes' turns on all replicas of the shard.
+func (s *crashShard) restartTurns(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turns = now
-	clear(s.freed)
+	s.turnsStart = now
+	clear(s.freeSince)
 }
 
-// freeFor returns for how long no suspect has run on the replica while turns went
-// on, as far as is known; negative while one runs.
-func (s *crashShard) freeFor(replica cluster.ReplicaID, now time.Time) time.Duration {
+// freeDuration returns how long the replica has been without a known suspect since
+// turns last restarted; it is negative while one runs.
+func (s *crashShard) freeDuration(replica cluster.ReplicaID, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k, until := range s.alone[replica] {
+	for k, until := range s.retries[replica] {
 		if now.Before(until) {
 			return -1
 		}
-		s.remove(replica, k, until)
+		s.removeRetry(replica, k, until)
 	}
-	return now.Sub(later(s.freed[replica], s.turns))
+	return now.Sub(later(s.freeSince[replica], s.turnsStart))
 }
--- a/internal/suspect/gossip.go
+++ b/internal/suspect/gossip.go
@@ -14,241 +14,243 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// telling numbers the sections, for choosing what was told least recently.
-type telling struct{ round atomic.Uint64 }
-
-// item is a mark that could be told, and where to note that it was.
-type item struct {
-	rank  uint64
-	class class
-	size  int
-	add   func(s *membership.Section)
-	noted func(round uint64)
+// sectionCounter numbers the sections, so that the marks sent least recently can be
+// selected.
+type sectionCounter struct{ last atomic.Uint64 }
+
+// pendingMark is a mark that could be sent, with the function that records that it was.
+type pendingMark struct {
+	priority uint64
+	class    markClass
+	size     int
+	add      func(s *membership.Section)
+	onSent   func(round uint64)
 }
 
-// class orders marks of equal rank: late word of a crash can bar an innocent
-// request, late word of a clearing only makes one wait.
-type class int
+// markClass orders marks of equal priority. A late crash mark can get an innocent
+// request quarantined; a late clearing only makes a request wait.
+type markClass int
 
 const (
-	classQuarantine class = iota
+	classQuarantine markClass = iota
 	classCrash
-	classRun
+	classRetry
 	classCleared
 )
 
-// Section returns the marks to tell next, within budget bytes: new ones first, each
-// several times since datagrams are lost, then the quarantines in rotation. It
-// also forgets what has ended.
+// Section returns the marks to send next, within budget bytes: new marks first, each
+// several times because datagrams get lost, then the quarantines in rotation. It also
+// deletes expired records.
 func (t *Tracker) Section(budget int) membership.Section {
 	now := t.now()
-	var items []item
+	var marks []pendingMark
 	for i := range t.byKey {
-		items = append(items, t.recordItems(&t.byKey[i], now)...)
+		marks = append(marks, t.fingerprintMarks(&t.byKey[i], now)...)
 	}
 	for i := range t.byReplica {
-		items = append(items, t.crashItems(&t.byReplica[i], now)...)
+		marks = append(marks, t.crashMarks(&t.byReplica[i], now)...)
 	}
-	slices.SortStableFunc(items, func(a, b item) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.class, b.class))
+	slices.SortStableFunc(marks, func(a, b pendingMark) int {
+		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.class, b.class))
 	})
-	round := t.telling.round.Add(1)
+	round := t.sections.last.Add(1)
 	var section membership.Section
-	for _, it := range items {
-		if it.size > budget {
+	for _, mark := range marks {
+		if mark.size > budget {
 			continue
 		}
-		budget -= it.size
-		it.add(&section)
-		it.noted(round)
+		budget -= mark.size
+		mark.add(&section)
+		mark.onSent(round)
 	}
 	return section
 }
 
-// markSize is the size of a mark as a field of the datagram.
+// markSize returns the encoded size of a mark as a field of the datagram.
 func markSize(m proto.Message) int {
-	const fieldNumber = 18 // the highest in use: two bytes of tag
+	const fieldNumber = 18 // the highest in use; its tag takes two bytes
 	return protowire.SizeTag(fieldNumber) + protowire.SizeBytes(proto.Size(m))
 }
 
-func (t *Tracker) recordItems(s *keyShard, now time.Time) []item {
+func (t *Tracker) fingerprintMarks(s *keyShard, now time.Time) []pendingMark {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var items []item
+	var marks []pendingMark
 	for k, r := range s.records {
-		if r.dead(t.node, now, t.timing) {
+		if r.expired(t.node, now, t.timing) {
 			r.notify()
 			delete(s.records, k)
 			continue
 		}
-		if it, ok := t.recordItem(s, r, now); ok {
-			items = append(items, it)
+		if mark, ok := t.fingerprintMark(s, r, now); ok {
+			marks = append(marks, mark)
 		}
 	}
-	return items
+	return marks
 }
 
-func (t *Tracker) recordItem(s *keyShard, r *record, now time.Time) (item, bool) {
-	it := item{rank: r.tells.rank(), noted: func(round uint64) {
+func (t *Tracker) fingerprintMark(s *keyShard, r *record, now time.Time) (pendingMark, bool) {
+	mark := pendingMark{priority: r.sends.priority(), onSent: func(round uint64) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		r.tells.count++
-		r.tells.last = round
+		r.sends.count++
+		r.sends.last = round
 	}}
 	if r.phase == quarantined {
 		m := &wirepb.QuarantineMark{
 			Fingerprint: r.key.bytes(), ExpiresInMs: r.until.Sub(now).Milliseconds(), Crashes: int32(len(r.evidence)),
 		}
-		it.size, it.class = markSize(m), classQuarantine
-		it.add = func(s *membership.Section) { s.Quarantines = append(s.Quarantines, m) }
-		return it, true
+		mark.size, mark.class = markSize(m), classQuarantine
+		mark.add = func(s *membership.Section) { s.Quarantines = append(s.Quarantines, m) }
+		return mark, true
 	}
 	m := t.suspectMark(r, now)
 	if m == nil {
-		return item{}, false
+		return pendingMark{}, false
 	}
-	it.size, it.class = markSize(m), classRun
+	mark.size, mark.class = markSize(m), classRetry
 	if m.Cleared {
-		it.class = classCleared
+		mark.class = classCleared
 	}
-	it.add = func(s *membership.Section) { s.Suspects = append(s.Suspects, m) }
-	return it, true
+	mark.add = func(s *membership.Section) { s.Suspects = append(s.Suspects, m) }
+	return mark, true
 }
 
-// suspectMark tells of a clearing while it is new, and of a retry while it lasts.
+// suspectMark returns a mark for a recent clearing or for a retry that is under way;
+// nil if there is neither.
 func (t *Tracker) suspectMark(r *record, now time.Time) *wirepb.SuspectMark {
-	if r.phase == cleared && r.tells.count < urgentTells {
+	if r.phase == cleared && r.sends.count < urgentSends {
 		return &wirepb.SuspectMark{Fingerprint: r.key.bytes(), Cleared: true, AgeMs: now.Sub(r.clearedAt).Milliseconds()}
 	}
-	if _, running := r.runEnds(t.node, now, t.timing); r.phase != suspected || !running {
+	if _, running := r.retryDeadline(t.node, now, t.timing); r.phase != suspected || !running {
 		return nil
 	}
 	m := &wirepb.SuspectMark{
-		Fingerprint: r.key.bytes(), RunningAlone: true, Runner: string(r.run.node), Replica: string(r.run.replica),
+		Fingerprint: r.key.bytes(), RunningAlone: true, Runner: string(r.retry.node), Replica: string(r.retry.replica),
 	}
-	if r.run.node != t.node {
-		m.AgeMs = now.Sub(r.run.heard).Milliseconds()
+	if r.retry.node != t.node {
+		m.AgeMs = now.Sub(r.retry.reportedAt).Milliseconds()
 	}
 	return m
 }
 
-func (t *Tracker) crashItems(s *crashShard, now time.Time) []item {
+func (t *Tracker) crashMarks(s *crashShard, now time.Time) []pendingMark {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var items []item
+	var marks []pendingMark
 	for _, c := range s.crashes {
-		if now.Sub(c.at) > crashTold {
+		if now.Sub(c.at) > crashGossipDuration {
 			continue
 		}
-		for i, keys := range slices.Collect(slices.Chunk(c.keys, chunkKeys)) {
-			items = append(items, s.chunkItem(c, i, keys, now))
+		for i, keys := range slices.Collect(slices.Chunk(c.keys, keysPerMark)) {
+			marks = append(marks, s.crashMark(c, i, keys, now))
 		}
 	}
-	return items
+	return marks
 }
 
-func (s *crashShard) chunkItem(c *crash, chunk int, keys []key, now time.Time) item {
+func (s *crashShard) crashMark(c *crash, chunk int, keys []key, now time.Time) pendingMark {
 	m := &wirepb.CrashMark{
 		CrashId: c.id, Replica: string(c.replica), Generation: c.generation, AgeMs: now.Sub(c.at).Milliseconds(),
 	}
 	for _, k := range keys {
 		m.Fingerprints = append(m.Fingerprints, k.bytes()...)
 	}
-	return item{
-		rank:  c.tells[chunk].rank(),
-		class: classCrash,
-		size:  markSize(m),
-		add:   func(section *membership.Section) { section.Crashes = append(section.Crashes, m) },
-		noted: func(round uint64) {
+	return pendingMark{
+		priority: c.sends[chunk].priority(),
+		class:    classCrash,
+		size:     markSize(m),
+		add:      func(section *membership.Section) { section.Crashes = append(section.Crashes, m) },
+		onSent: func(round uint64) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			c.tells[chunk].count++
-			c.tells[chunk].last = round
+			c.sends[chunk].count++
+			c.sends[chunk].last = round
 		},
 	}
 }
 
-// Receive takes in the marks of a peer's datagram.
+// Receive applies the marks of a peer's datagram.
 func (t *Tracker) Receive(_ membership.Member, d *wirepb.Datagram) {
 	now := t.now()
-	news := false
+	changed := false
 	for _, m := range d.Crashes {
-		news = t.receiveCrash(m, now) || news
+		changed = t.receiveCrash(m, now) || changed
 	}
 	for _, m := range d.Suspects {
-		news = t.receiveSuspect(m, now) || news
+		changed = t.receiveSuspect(m, now) || changed
 	}
 	for _, m := range d.Quarantines {
-		news = t.receiveQuarantine(m, now) || news
+		changed = t.receiveQuarantine(m, now) || changed
 	}
-	if news {
-		t.nudge()
+	if changed {
+		t.triggerHeartbeat()
 	}
 }
 
 func (t *Tracker) receiveCrash(m *wirepb.CrashMark, now time.Time) bool {
 	replica := cluster.ReplicaID(m.Replica)
-	at := now.Add(-ageOf(m.AgeMs))
+	at := now.Add(-clampAge(m.AgeMs))
 	var keys []key
 	for b := m.Fingerprints; len(b) >= keySize; b = b[keySize:] {
-		k, _ := keyFrom(b)
+		k, _ := parseKey(b)
 		keys = append(keys, k)
 	}
-	if t.crashShard(replica).unheard(m.CrashId, replica, m.Generation, at) {
-		t.startTurns(now)
+	if t.crashShard(replica).isNew(m.CrashId, replica, m.Generation, at) {
+		t.restartTurns(now)
 	}
-	c, news := t.crashShard(replica).remote(m.CrashId, replica, m.Generation, at, keys)
-	for _, k := range news {
-		t.change(k, func(r *record) {
+	c, added := t.crashShard(replica).recordRemote(m.CrashId, replica, m.Generation, at, keys)
+	for _, k := range added {
+		t.upsert(k, func(r *record) {
 			r.addEvidence(evidence{crash: c.id, replica: replica, at: c.at}, now, t.timing)
 		})
 	}
-	return len(news) > 0
+	return len(added) > 0
 }
 
 func (t *Tracker) receiveSuspect(m *wirepb.SuspectMark, now time.Time) bool {
-	k, ok := keyFrom(m.Fingerprint)
+	k, ok := parseKey(m.Fingerprint)
 	if !ok {
 		return false
 	}
-	at := now.Add(-ageOf(m.AgeMs))
+	at := now.Add(-clampAge(m.AgeMs))
 	if m.Cleared {
 		return t.clear(k, at)
 	}
-	if !m.RunningAlone || cluster.NodeID(m.Runner) == t.node || ageOf(m.AgeMs) >= t.timing.RunnerTTL {
+	if !m.RunningAlone || cluster.NodeID(m.Runner) == t.node || clampAge(m.AgeMs) >= t.timing.RunnerTTL {
 		return false
 	}
-	heard := run{
-		node: cluster.NodeID(m.Runner), heard: at, begun: m.Replica != "", replica: cluster.ReplicaID(m.Replica),
+	report := retry{
+		node: cluster.NodeID(m.Runner), reportedAt: at, started: m.Replica != "", replica: cluster.ReplicaID(m.Replica),
 	}
-	news, believed := false, false
-	t.change(k, func(r *record) {
-		news = r.hearRunner(t.node, heard, now, t.timing)
-		believed = r.run.node == heard.node && r.run.replica == heard.replica && !r.crashedSince(heard)
+	changed, current := false, false
+	t.upsert(k, func(r *record) {
+		changed = r.observeRetry(t.node, report, now, t.timing)
+		current = r.retry.node == report.node && r.retry.replica == report.replica && !r.crashedSince(report)
 	})
-	if believed && heard.begun {
-		t.crashShard(heard.replica).setAlone(heard.replica, k, at.Add(t.timing.RunnerTTL))
+	if current && report.started {
+		t.crashShard(report.replica).startRetry(report.replica, k, at.Add(t.timing.RunnerTTL))
 	}
-	return news
+	return changed
 }
 
 func (t *Tracker) receiveQuarantine(m *wirepb.QuarantineMark, now time.Time) bool {
-	k, ok := keyFrom(m.Fingerprint)
+	k, ok := parseKey(m.Fingerprint)
 	if !ok || m.ExpiresInMs <= 0 {
 		return false
 	}
-	news := false
-	t.change(k, func(r *record) {
-		news = r.adopt(time.Duration(m.ExpiresInMs)*time.Millisecond, now, t.timing)
+	isNew := false
+	t.upsert(k, func(r *record) {
+		isNew = r.adoptQuarantine(time.Duration(m.ExpiresInMs)*time.Millisecond, now, t.timing)
 	})
-	if news {
+	if isNew {
 		t.log.Warn("quarantine heard of", "fingerprint", k, "expires_in_ms", m.ExpiresInMs)
 	}
-	return news
+	return isNew
 }
 
-// ageOf bounds an age that a peer claims.
-func ageOf(ms int64) time.Duration {
+// clampAge bounds an age reported by a peer.
+func clampAge(ms int64) time.Duration {
 	return time.Duration(min(max(ms, 0), maxAgeMs)) * time.Millisecond
 }
 
--- a/internal/suspect/record.go
+++ b/internal/suspect/record.go
@@ -9,110 +9,114 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// phase is where a fingerprint stands.
+// phase is the state of a fingerprint.
 type phase int
 
 const (
-	// suspected: to be retried alone.
+	// suspected: must be retried alone.
 	suspected phase = iota
-	// accused: crashed alone; the verdict waits for word of other suspects.
-	accused
-	// quarantined: refused until the record's time.
+	// awaitingVerdict: a replica crashed while the fingerprint ran alone; the verdict
+	// waits for reports of other suspects.
+	awaitingVerdict
+	// quarantined: refused until record.until.
 	quarantined
-	// cleared: ran alone to its end. Kept for a while against late marks.
+	// cleared: a retry alone finished. The record is kept for a while so that late
+	// marks do not revive the suspicion.
 	cleared
 )
 
-// evidence is one crash that a fingerprint was in flight in.
+// evidence is one crash in which the fingerprint was in flight.
 type evidence struct {
 	crash   uint64
 	replica cluster.ReplicaID
 	at      time.Time
 }
 
-// maxEvidence bounds the crashes remembered of one fingerprint.
+// maxEvidence bounds the crashes remembered per fingerprint.
 const maxEvidence = 4
 
-// run is a retry alone, running or announced.
-type run struct {
+// retry is a run alone, claimed or running.
+type retry struct {
 	node cluster.NodeID
-	// heard is when the runner last said so; here, when it was announced.
-	heard   time.Time
-	begun   bool
-	replica cluster.ReplicaID
+	// reportedAt is when another node last reported its retry or, for a retry of this
+	// node, when it was claimed or started.
+	reportedAt time.Time
+	started    bool
+	replica    cluster.ReplicaID
 }
 
-// record is what is known of one fingerprint. Its methods are the decisions: they
-// take the time and touch nothing else.
+// record is the state of one fingerprint. Its methods implement the rules; they take
+// the current time as an argument and have no side effects outside the record.
 type record struct {
 	key      key
 	phase    phase
 	evidence []evidence
-	// until is when the present phase ends.
+	// until is when the current phase ends.
 	until time.Time
-	// quarantinedAt is when the first quarantine of the present row began.
+	// quarantinedAt is when the first of consecutive quarantines began.
 	quarantinedAt time.Time
 	clearedAt     time.Time
-	// probation is set once the fingerprint was quarantined.
+	// probation is set from the first quarantine until the fingerprint is cleared.
 	probation bool
-	run       run
+	retry     retry
 
-	// changed is closed when those who wait should look again; nil when nobody waits.
+	// changed is closed when the record changes; nil if no request waits.
 	changed chan struct{}
-	tells   tells
+	sends   sendStats
 }
 
 // action is what a request may do now.
 type action int
 
 const (
-	free action = iota
+	allow action = iota
 	refuse
 	wait
 	claim
 )
 
-// decision says what a request may do and why. until bounds a wait.
+// decision is the result for one request. until bounds a wait.
 type decision struct {
 	action action
 	until  time.Time
 	reason string
 }
 
-// admit decides on a request with this fingerprint.
+// admit decides what a request with this fingerprint may do.
 func (r *record) admit(self cluster.NodeID, now time.Time, t Timing) decision {
-	r.lapse(now, t)
+	r.advance(now, t)
 	switch r.phase {
 	case quarantined:
 		return decision{action: refuse, until: r.until, reason: "quarantined"}
-	case accused:
+	case awaitingVerdict:
 		return decision{action: wait, until: r.until, reason: "verdict pending"}
 	case cleared:
-		return decision{action: free, reason: "cleared"}
+		return decision{action: allow, reason: "cleared"}
 	}
-	if end, running := r.runEnds(self, now, t); running {
-		return decision{action: wait, until: end, reason: "retried by " + string(r.run.node)}
+	if end, running := r.retryDeadline(self, now, t); running {
+		return decision{action: wait, until: end, reason: "retried by " + string(r.retry.node)}
 	}
 	return decision{action: claim, reason: "suspect"}
 }
 
-// runEnds reports whether a retry is under way and when belief in it ends.
-func (r *record) runEnds(self cluster.NodeID, now time.Time, t Timing) (time.Time, bool) {
-	if r.run.node == "" {
+// retryDeadline reports whether a retry is claimed or running and when it is assumed to
+// have ended without a further report.
+func (r *record) retryDeadline(self cluster.NodeID, now time.Time, t Timing) (time.Time, bool) {
+	if r.retry.node == "" {
 		return time.Time{}, false
 	}
-	end := r.run.heard.Add(t.RunnerTTL)
-	if r.run.node == self {
-		end = r.run.heard.Add(t.ClaimTTL)
-		if r.run.begun {
+	end := r.retry.reportedAt.Add(t.RunnerTTL)
+	if r.retry.node == self {
+		end = r.retry.reportedAt.Add(t.ClaimTTL)
+		if r.retry.started {
 			end = now.Add(t.ClaimTTL)
 		}
 	}
 	return end, now.Before(end)
 }
 
-// lapse moves a record on whose phase has ended.
-func (r *record) lapse(now time.Time, t Timing) {
+// advance moves a record to the next phase if the current one has ended.
+func (r *record) advance(now time.Time, t Timing) {
 	if now.Before(r.until) {
 		return
 	}
@@ -121,23 +125,23 @@
 		r.phase = suspected
 		r.until = r.until.Add(t.ProbationFor)
 		r.evidence = nil
-	case accused:
+	case awaitingVerdict:
 		r.phase = suspected
 		r.until = now.Add(t.SuspectFor)
 	}
 }
 
-// dead reports whether the record can be forgotten.
-func (r *record) dead(self cluster.NodeID, now time.Time, t Timing) bool {
-	r.lapse(now, t)
-	if _, running := r.runEnds(self, now, t); running {
+// expired reports whether the record can be deleted.
+func (r *record) expired(self cluster.NodeID, now time.Time, t Timing) bool {
+	r.advance(now, t)
+	if _, running := r.retryDeadline(self, now, t); running {
 		return false
 	}
 	return !now.Before(r.until)
 }
 
-// addEvidence records that the fingerprint was in flight in a crash, once for
-// each crash. It reports whether that was news.
+// addEvidence records that the fingerprint was in flight in a crash, once per crash. It
+// reports whether the crash was new.
 func (r *record) addEvidence(e evidence, now time.Time, t Timing) bool {
 	if slices.ContainsFunc(r.evidence, func(have evidence) bool { return have.crash == e.crash }) {
 		return false
@@ -159,33 +163,35 @@
 	return true
 }
 
-// accuse follows a crash while the fingerprint ran alone.
-func (r *record) accuse(now time.Time, t Timing) {
-	r.run = run{}
+// awaitVerdict handles a crash during a run alone.
+func (r *record) awaitVerdict(now time.Time, t Timing) {
+	r.retry = retry{}
 	if r.phase == suspected {
-		r.phase = accused
+		r.phase = awaitingVerdict
 		r.until = now.Add(t.VerdictDelay + verdictSlack)
 	}
 }
 
-// verdictSlack keeps an accused record waiting until its verdict has been taken.
+// verdictSlack keeps requests waiting until the verdict has been decided.
 const verdictSlack = time.Second
 
-// hasPrior reports whether there is something against the fingerprint beside one crash.
-func (r *record) hasPrior(crash uint64) bool {
+// hasOtherEvidence reports whether the fingerprint is quarantined, on probation or was
+// in flight in another crash.
+func (r *record) hasOtherEvidence(crashID uint64) bool {
 	if r.probation || r.phase == quarantined {
 		return true
 	}
-	return slices.ContainsFunc(r.evidence, func(e evidence) bool { return e.crash != crash })
+	return slices.ContainsFunc(r.evidence, func(e evidence) bool { return e.crash != crashID })
 }
 
-// judge ends an accusation. Another suspect in flight on the same replica leaves
-// it open which of them crashed it: quarantining both would bar an innocent one.
-func (r *record) judge(crash uint64, otherSuspect bool, now time.Time, t Timing) (guilty bool) {
-	if r.phase != accused {
+// decideVerdict ends the phase awaitingVerdict and reports whether the fingerprint was
+// quarantined. If another suspect was in flight on the replica, either may have caused
+// the crash; quarantining both would refuse an innocent request.
+func (r *record) decideVerdict(crashID uint64, otherSuspect bool, now time.Time, t Timing) (quarantine bool) {
+	if r.phase != awaitingVerdict {
 		return false
 	}
-	if otherSuspect || !r.hasPrior(crash) {
+	if otherSuspect || !r.hasOtherEvidence(crashID) {
 		r.phase = suspected
 		r.until = now.Add(t.SuspectFor)
 		return false
@@ -194,26 +200,26 @@
 	r.probation = true
 	r.quarantinedAt = now
 	r.until = now.Add(t.QuarantineFor)
-	r.tells = tells{}
+	r.sends = sendStats{}
 	return true
 }
 
-// prolong follows a request that was refused: as long as it is sent again, its
-// quarantine goes on, up to a bound for the case that it was not to blame.
-func (r *record) prolong(now time.Time, t Timing) {
+// extend handles a refused request: a quarantine continues as long as the request is
+// sent again. MaxQuarantine bounds it in case the request was quarantined by mistake.
+func (r *record) extend(now time.Time, t Timing) {
 	r.until = later(r.until, earlier(now.Add(t.QuarantineFor), r.quarantinedAt.Add(t.MaxQuarantine)))
 }
 
-// extendSlack is the least gain for which a peer's later end is taken over. Every
-// hop adds its delay to a remaining time; without a threshold two nodes would
-// hand each other ever later ends.
-const extendSlack = 5 * time.Second
+// minExtension is how much later a peer's quarantine must end to replace the known end.
+// Each hop adds its delay to the remaining time; without a threshold two nodes would
+// extend each other's quarantine indefinitely.
+const minExtension = 5 * time.Second
 
-// adopt takes over a peer's quarantine and reports whether it was news.
-func (r *record) adopt(remaining time.Duration, now time.Time, t Timing) bool {
+// adoptQuarantine applies a peer's quarantine and reports whether it was new.
+func (r *record) adoptQuarantine(remaining time.Duration, now time.Time, t Timing) bool {
 	end := now.Add(min(remaining, t.QuarantineFor))
 	if r.phase == quarantined {
-		if end.After(r.until.Add(extendSlack)) {
+		if end.After(r.until.Add(minExtension)) {
 			r.until = end
 		}
 		return false
@@ -224,12 +230,12 @@
 	r.phase = quarantined
 	r.probation = true
 	r.until = end
-	r.run = run{}
-	r.tells = tells{}
+	r.retry = retry{}
+	r.sends = sendStats{}
 	return true
 }
 
-// clear follows a retry alone that did not crash. It reports whether that was news.
+// clear handles a retry alone that finished. It reports whether the record changed.
 func (r *record) clear(at, now time.Time, t Timing) bool {
 	if r.phase != suspected {
 		return false
@@ -243,55 +249,56 @@
 	r.clearedAt = at
 	r.probation = false
 	r.evidence = nil
-	r.run = run{}
+	r.retry = retry{}
 	r.until = now.Add(t.SuspectFor)
-	r.tells = tells{}
+	r.sends = sendStats{}
 	return true
 }
 
-// hearRunner takes note of another node's retry, announced or running, and
-// reports whether that was news.
-func (r *record) hearRunner(self cluster.NodeID, other run, now time.Time, t Timing) bool {
+// observeRetry applies another node's report of a claimed or running retry. It reports
+// whether the report was new.
+func (r *record) observeRetry(self cluster.NodeID, other retry, now time.Time, t Timing) bool {
 	if r.phase != suspected {
 		return false
 	}
-	if r.run.node == other.node {
-		news := r.run.replica != other.replica
-		if other.heard.After(r.run.heard) {
-			r.run = other
+	if r.retry.node == other.node {
+		isNew := r.retry.replica != other.replica
+		if other.reportedAt.After(r.retry.reportedAt) {
+			r.retry = other
 		}
-		return news
+		return isNew
 	}
-	if _, running := r.runEnds(self, now, t); running && !other.beats(r.run, r.key, self) {
+	if _, running := r.retryDeadline(self, now, t); running && !other.takesPrecedence(r.retry, r.key, self) {
 		return false
 	}
-	r.run = other
+	r.retry = other
 	return true
 }
 
-// crashedSince reports whether the replica of a run crashed under this
-// fingerprint after the runner's word: the run is over, and the word is late.
-func (r *record) crashedSince(word run) bool {
+// crashedSince reports whether the replica crashed under this fingerprint after the
+// given report of a retry. The retry has then ended and the report is late.
+func (r *record) crashedSince(report retry) bool {
 	return slices.ContainsFunc(r.evidence, func(e evidence) bool {
-		return e.replica == word.replica && !e.at.Before(word.heard)
+		return e.replica == report.replica && !e.at.Before(report.reportedAt)
 	})
 }
 
-// beats decides which of two nodes that announced the same retry keeps it: one
-// that has begun, else the one that ranks higher for the key. All nodes decide
-// alike, but for a node's own run that has begun and cannot be taken back.
-func (a run) beats(b run, k key, self cluster.NodeID) bool {
-	if b.node == self && b.begun {
+// takesPrecedence decides which of two nodes with the same claim keeps it: one whose
+// retry has started, otherwise the one with the higher claimRank. All nodes decide
+// identically, except that a node never yields a retry of its own that has started,
+// because it cannot be undone.
+func (r retry) takesPrecedence(other retry, k key, self cluster.NodeID) bool {
+	if other.node == self && other.started {
 		return false
 	}
-	if a.begun != b.begun {
-		return a.begun
+	if r.started != other.started {
+		return r.started
 	}
-	return rank(k, a.node) > rank(k, b.node)
+	return claimRank(k, r.node) > claimRank(k, other.node)
 }
 
-// rank orders the nodes for one key, differently for each key.
-func rank(k key, node cluster.NodeID) uint64 {
+// claimRank orders the nodes for a key; the order differs between keys.
+func claimRank(k key, node cluster.NodeID) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(k))
 	_, _ = d.WriteString(string(node))
@@ -312,19 +319,19 @@
 	return b
 }
 
-// tells counts how often a mark was passed on, for choosing what to tell next.
-type tells struct {
+// sendStats counts how often a mark was sent, to choose the marks to send next.
+type sendStats struct {
 	count int
 	last  uint64
 }
 
-// urgentTells is how often a mark is told before it joins the rotation.
-const urgentTells = 4
+// urgentSends is how often a mark is sent before it joins the rotation.
+const urgentSends = 4
 
-// rank orders marks: new ones first, then those told least recently.
-func (t tells) rank() uint64 {
-	if t.count < urgentTells {
-		return uint64(t.count)
+// priority orders marks: new ones first, then those sent least recently.
+func (s sendStats) priority() uint64 {
+	if s.count < urgentSends {
+		return uint64(s.count)
 	}
-	return urgentTells + t.last
+	return urgentSends + s.last
 }
--- a/internal/suspect/sim_test.go
+++ b/internal/suspect/sim_test.go
@@ -24,7 +24,7 @@
 
 var _ gateway.Quarantine = (*suspect.Tracker)(nil)
 
-// naive suspects nobody.
+// naive implements gateway.Quarantine without any tracking.
 type naive struct{}
 
 func (naive) Admit(context.Context, suspect.Fingerprint) (bool, error) { return false, nil }
@@ -33,18 +33,18 @@
 	return func(suspect.Outcome) {}
 }
 
-// scenario is one run of some nodes before some replicas, on the fake clock.
+// scenario configures a simulation of several nodes and replicas on the fake clock.
 type scenario struct {
 	nodes, replicas int
 	loss            float64
 	seed            uint64
 	naive           bool
-	// poisons is how many callers send the poison request at once, each again
-	// and again, every time through the next node.
-	poisons int
-	// cut keeps the first half of the nodes from hearing the second, and the other way round.
-	cut    bool
-	length time.Duration
+	// poisonCallers is the number of callers that send the poison request concurrently,
+	// each repeatedly and each time through the next node.
+	poisonCallers int
+	// partitioned blocks datagrams between the first and the second half of the nodes.
+	partitioned bool
+	length      time.Duration
 }
 
 type outcome struct {
@@ -52,9 +52,11 @@
 	innocentsRefused int
 	innocentsDone    int
 	poisonRefused    int
-	// known is when the last node refused the poison, after the first kill.
+	// known is the time from the first kill until the last node refused the poison
+	// request.
 	known time.Duration
-	// slowRefusals counts poison sends after known that took longer than 10 ms.
+	// slowRefusals counts refusals of the poison request after known that took longer
+	// than 10 ms.
 	slowRefusals int
 }
 
@@ -62,9 +64,10 @@
 	id         cluster.ReplicaID
 	generation int64
 	down       bool
-	// crash is closed when this generation dies.
+	// crash is closed when this generation crashes.
 	crash chan struct{}
-	// suspects counts retries alone that run on it, by node, as its router counts them.
+	// suspects counts the retries alone running on the replica, by node, as each node's
+	// router counts them.
 	suspects map[int]int
 }
 
@@ -76,7 +79,7 @@
 	trackers  []gateway.Quarantine
 	members   []*membership.Service
 	out       outcome
-	first     time.Time
+	firstKill time.Time
 	refusedBy map[int]bool
 }
 
@@ -87,8 +90,8 @@
 	return fp
 }
 
-// run plays a scenario. Innocent requests come to each node all the time.
-func run(t *testing.T, sc scenario) (out outcome) {
+// simulate runs a scenario. Innocent requests arrive at every node throughout.
+func simulate(t *testing.T, sc scenario) (out outcome) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &sim{scenario: sc, rng: rand.New(rand.NewPCG(sc.seed, 2)), refusedBy: make(map[int]bool)}
 		for i := range sc.replicas {
@@ -103,10 +106,10 @@
 		time.Sleep(10 * time.Second)
 		loads, stopLoads := context.WithTimeout(ctx, sc.length)
 		for i := range sc.nodes {
-			wg.Go(func() { s.innocents(loads, &wg, i) })
+			wg.Go(func() { s.sendInnocents(loads, &wg, i) })
 		}
 		time.Sleep(3 * time.Second)
-		for p := range sc.poisons {
+		for p := range sc.poisonCallers {
 			wg.Go(func() { s.sendPoison(loads, p) })
 		}
 		<-loads.Done()
@@ -129,7 +132,7 @@
 	for i := range s.nodes {
 		side[addr(i)] = i < s.nodes/2
 	}
-	if s.cut {
+	if s.partitioned {
 		net.Block(func(from, to string) bool { return side[from] != side[to] })
 	}
 	for i := range s.nodes {
@@ -153,8 +156,8 @@
 	}
 }
 
-// innocents sends requests through one node until ctx ends.
-func (s *sim) innocents(ctx context.Context, wg *sync.WaitGroup, node int) {
+// sendInnocents sends requests through one node until ctx ends.
+func (s *sim) sendInnocents(ctx context.Context, wg *sync.WaitGroup, node int) {
 	for n := uint64(0); ctx.Err() == nil; n++ {
 		fp := fingerprint(1_000_000*uint64(node+1) + n)
 		wg.Go(func() {
@@ -168,11 +171,11 @@
 				s.out.innocentsRefused++
 			}
 		})
-		time.Sleep(s.between(50*time.Millisecond, 250*time.Millisecond))
+		time.Sleep(s.randomDuration(50*time.Millisecond, 250*time.Millisecond))
 	}
 }
 
-// sendPoison is a caller that sends the poison again as soon as it is answered.
+// sendPoison sends the poison request again as soon as it is answered.
 func (s *sim) sendPoison(ctx context.Context, caller int) {
 	for n := caller; ctx.Err() == nil; n++ {
 		node := n % s.nodes
@@ -186,15 +189,15 @@
 				s.out.slowRefusals++
 			case !s.refusedBy[node]:
 				s.refusedBy[node] = true
-				s.out.known = time.Since(s.first)
+				s.out.known = time.Since(s.firstKill)
 			}
 		}
 		s.mu.Unlock()
-		time.Sleep(s.between(20*time.Millisecond, 100*time.Millisecond))
+		time.Sleep(s.randomDuration(20*time.Millisecond, 100*time.Millisecond))
 	}
 }
 
-// request does what the gateway does: admit, choose, run, and again after a crash.
+// request does what the gateway does: admit, choose, run, and repeat after a crash.
 func (s *sim) request(ctx context.Context, node int, fp suspect.Fingerprint) error {
 	for {
 		alone, err := s.trackers[node].Admit(ctx, fp)
@@ -230,7 +233,7 @@
 	}
 }
 
-// choose waits for a live replica; for a suspect, one on which this node may retry.
+// choose waits for a live replica; for a suspect, for one on which this node may retry.
 func (s *sim) choose(ctx context.Context, node int, alone bool) (*fakeReplica, int64, chan struct{}) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -266,24 +269,24 @@
 // execute runs one request and reports whether the replica crashed under it.
 func (s *sim) execute(ctx context.Context, r *fakeReplica, died chan struct{}, fp suspect.Fingerprint) bool {
 	if fp == poison {
-		time.Sleep(s.between(20*time.Millisecond, 400*time.Millisecond))
+		time.Sleep(s.randomDuration(20*time.Millisecond, 400*time.Millisecond))
 		s.kill(r, died)
 		<-died
 		return true
 	}
 	select {
 	case <-died:
-		// Not all notice at the same moment.
-		time.Sleep(s.between(0, 100*time.Millisecond))
+		// Nodes detect the crash at different times.
+		time.Sleep(s.randomDuration(0, 100*time.Millisecond))
 		return true
-	case <-time.After(s.between(200*time.Millisecond, 3*time.Second)):
+	case <-time.After(s.randomDuration(200*time.Millisecond, 3*time.Second)):
 		return false
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// kill ends one generation of a replica; it is back with the next one after a while.
+// kill crashes one generation of a replica. The next generation starts 10 s later.
 func (s *sim) kill(r *fakeReplica, died chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -293,8 +296,8 @@
 	close(r.crash)
 	r.down = true
 	s.out.kills++
-	if s.first.IsZero() {
-		s.first = time.Now()
+	if s.firstKill.IsZero() {
+		s.firstKill = time.Now()
 	}
 	time.AfterFunc(10*time.Second, func() {
 		s.mu.Lock()
@@ -304,7 +307,7 @@
 	})
 }
 
-func (s *sim) between(low, high time.Duration) time.Duration {
+func (s *sim) randomDuration(low, high time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return low + time.Duration(s.rng.Int64N(int64(high-low)+1))
--- a/internal/suspect/tracker.go
+++ b/internal/suspect/tracker.go
@@ -12,42 +12,45 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// shards is the number of locks over fingerprints, and of those over replicas.
-const shards = 16
+// shardCount is the number of shards of the records, and of the crashes.
+const shardCount = 16
 
-// recordsPerShard bounds the memory: a record is some 300 bytes.
+// recordsPerShard bounds memory use: a record takes about 300 bytes.
 const recordsPerShard = 1024
 
 // Options configures a Tracker.
 type Options struct {
 	Node cluster.NodeID
-	// Peers counts the live nodes that may run the same request; nil means none.
+	// Peers returns the number of live nodes that may run the same request; nil means
+	// none.
 	Peers func() int
-	// Rank is this node's place among the live nodes for a key, as in membership;
-	// nil means 0. It orders the nodes that want a replica for a retry alone.
+	// Rank returns this node's rank among the live nodes for a key, as membership
+	// defines it; nil means 0. It orders the nodes that want the same replica for a
+	// retry alone.
 	Rank func(key string) int
-	// TriggerHeartbeat asks for a datagram soon; it must not block. Nil means none.
+	// TriggerHeartbeat requests an early heartbeat. It must not block. Nil disables
+	// early heartbeats.
 	TriggerHeartbeat func()
-	// Clock is the time; nil means time.Now.
+	// Clock returns the current time; nil means time.Now.
 	Clock  func() time.Time
 	Timing Timing
 	Log    *slog.Logger
 }
 
-// Tracker knows the suspects and quarantines of one node. All methods are safe
-// for concurrent use.
+// Tracker tracks suspected and quarantined fingerprints on one node. All methods are
+// safe for concurrent use.
 type Tracker struct {
-	node   cluster.NodeID
-	peers  func() int
-	rank   func(key string) int
-	nudge  func()
-	now    func() time.Time
-	timing Timing
-	log    *slog.Logger
+	node             cluster.NodeID
+	peers            func() int
+	rank             func(key string) int
+	triggerHeartbeat func()
+	now              func() time.Time
+	timing           Timing
+	log              *slog.Logger
 
-	byKey     [shards]keyShard
-	byReplica [shards]crashShard
-	telling   telling
+	byKey     [shardCount]keyShard
+	byReplica [shardCount]crashShard
+	sections  sectionCounter
 }
 
 type keyShard struct {
@@ -64,10 +67,10 @@
 	metricEvicted     = metrics.NewCounter(`fennel_suspect_evicted_records_total`)
 )
 
-// New returns a tracker that suspects nothing.
+// New returns a tracker without suspects.
 func New(opts Options) *Tracker {
 	t := &Tracker{
-		node: opts.Node, peers: opts.Peers, rank: opts.Rank, nudge: opts.TriggerHeartbeat, now: opts.Clock,
+		node: opts.Node, peers: opts.Peers, rank: opts.Rank, triggerHeartbeat: opts.TriggerHeartbeat, now: opts.Clock,
 		timing: opts.Timing.withDefaults(), log: opts.Log,
 	}
 	if t.peers == nil {
@@ -76,8 +79,8 @@
 	if t.rank == nil {
 		t.rank = func(string) int { return 0 }
 	}
-	if t.nudge == nil {
-		t.nudge = func() {}
+	if t.triggerHeartbeat == nil {
+		t.triggerHeartbeat = func() {}
 	}
 	if t.now == nil {
 		t.now = time.Now
@@ -85,224 +88,228 @@
 	if t.log == nil {
 		t.log = slog.Default()
 	}
-	for i := range shards {
+	for i := range shardCount {
 		t.byKey[i].records = make(map[key]*record)
-		t.byReplica[i].alone = make(map[cluster.ReplicaID]map[key]time.Time)
-		t.byReplica[i].freed = make(map[cluster.ReplicaID]time.Time)
+		t.byReplica[i].retries = make(map[cluster.ReplicaID]map[key]time.Time)
+		t.byReplica[i].freeSince = make(map[cluster.ReplicaID]time.Time)
 	}
 	return t
 }
 
-func (t *Tracker) keyShard(k key) *keyShard { return &t.byKey[uint64(k)%shards] }
+func (t *Tracker) keyShard(k key) *keyShard { return &t.byKey[uint64(k)%shardCount] }
 
 func (t *Tracker) crashShard(replica cluster.ReplicaID) *crashShard {
-	return &t.byReplica[xxhash.Sum64String(string(replica))%shards]
+	return &t.byReplica[xxhash.Sum64String(string(replica))%shardCount]
 }
 
-// Begin records that fp runs on the replica. The returned func ends it and must
-// be called once. A retry alone that finishes clears the fingerprint.
+// Begin records the start of a run of fp on the replica. The returned func ends the run
+// and must be called once. A retry alone that finishes clears the fingerprint.
 func (t *Tracker) Begin(fp Fingerprint, replica cluster.ReplicaID, generation int64, alone bool) (end func(Outcome)) {
 	k, began := fp.key(), t.now()
 	if alone {
-		t.beginAlone(k, replica)
+		t.startRetry(k, replica)
 	}
 	var once sync.Once
-	return func(how Outcome) {
+	return func(outcome Outcome) {
 		once.Do(func() {
 			if alone {
-				t.crashShard(replica).endAlone(replica, k, t.now())
+				t.crashShard(replica).endRetry(replica, k, t.now())
 			}
 			switch {
-			case how == Crashed:
-				t.crashed(k, replica, generation, began, alone)
-			case alone && how == Finished:
-				t.finishedAlone(k)
+			case outcome == Crashed:
+				t.recordCrash(k, replica, generation, began, alone)
+			case alone && outcome == Finished:
+				t.retryFinished(k)
 			case alone:
-				t.abandonedAlone(k)
+				t.retryAbandoned(k)
 			}
 		})
 	}
 }
 
-// aloneAtMost bounds belief in a run of this node whose end is never called.
-const aloneAtMost = time.Hour
+// maxRetryDuration expires a retry of this node that is never ended.
+const maxRetryDuration = time.Hour
 
-func (t *Tracker) beginAlone(k key, replica cluster.ReplicaID) {
+func (t *Tracker) startRetry(k key, replica cluster.ReplicaID) {
 	now := t.now()
-	t.crashShard(replica).setAlone(replica, k, now.Add(aloneAtMost))
+	t.crashShard(replica).startRetry(replica, k, now.Add(maxRetryDuration))
 	t.update(k, func(r *record) {
-		r.run = run{node: t.node, heard: now, begun: true, replica: replica}
-		r.tells = tells{}
+		r.retry = retry{node: t.node, reportedAt: now, started: true, replica: replica}
+		r.sends = sendStats{}
 	})
-	t.nudge()
+	t.triggerHeartbeat()
 }
 
-// MayRetryOn reports whether this node may put a suspect on the replica now, alone:
-// no suspect runs there as far as is known, and the nodes that come before this
-// one for the replica have had their turn. Without turns, all nodes would choose
-// at the same moment, after a crash or when a replica gets free, and put two
-// suspects on one replica; a crash there tells nothing.
+// MayRetryOn reports whether this node may now run a suspect alone on the replica: no
+// suspect is known to run there, and the nodes ranked before this one for the replica
+// have had their turn. Without turns, all nodes would choose at the same moment, after
+// a crash or when a replica becomes free, and run two suspects on one replica; a crash
+// would then not show which of them caused it.
 func (t *Tracker) MayRetryOn(replica cluster.ReplicaID) bool {
 	turn := time.Duration(t.rank("retry/"+string(replica))) * t.timing.RetryTurn
-	return t.crashShard(replica).freeFor(replica, t.now()) >= turn
+	return t.crashShard(replica).freeDuration(replica, t.now()) >= turn
 }
 
-func (t *Tracker) crashed(k key, replica cluster.ReplicaID, generation int64, began time.Time, alone bool) {
+func (t *Tracker) recordCrash(k key, replica cluster.ReplicaID, generation int64, began time.Time, alone bool) {
 	metricCrashed.Inc()
 	now := t.now()
-	c := t.crashShard(replica).local(replica, generation, k, began, now, rand.Uint64())
+	c := t.crashShard(replica).recordLocal(replica, generation, k, began, now, rand.Uint64())
 	if c == nil {
-		t.abandonedAlone(k)
+		t.retryAbandoned(k)
 		return
 	}
-	t.startTurns(now)
-	var onTrial bool
-	t.change(k, func(r *record) {
+	t.restartTurns(now)
+	var undecided bool
+	t.upsert(k, func(r *record) {
 		r.addEvidence(evidence{crash: c.id, replica: replica, at: c.at}, now, t.timing)
 		if alone {
-			r.accuse(now, t.timing)
-			onTrial = r.phase == accused
+			r.awaitVerdict(now, t.timing)
+			undecided = r.phase == awaitingVerdict
 		}
 	})
 	t.log.Warn("replica crashed under a request", "fingerprint", k, "replica", replica, "generation", generation, "alone", alone, "crash", c.id)
-	t.nudge()
-	if !onTrial {
+	t.triggerHeartbeat()
+	if !undecided {
 		return
 	}
 	if t.peers() == 0 {
-		t.judge(k, c.id, replica)
+		t.decideVerdict(k, c.id, replica)
 		return
 	}
-	time.AfterFunc(t.timing.VerdictDelay, func() { t.judge(k, c.id, replica) })
+	time.AfterFunc(t.timing.VerdictDelay, func() { t.decideVerdict(k, c.id, replica) })
 }
 
-// startTurns starts the turns on all replicas anew: now many want one.
-func (t *Tracker) startTurns(now time.Time) {
+// restartTurns restarts the nodes' turns on all replicas, because several nodes now
+// want to retry suspects.
+func (t *Tracker) restartTurns(now time.Time) {
 	for i := range t.byReplica {
-		t.byReplica[i].startTurns(now)
+		t.byReplica[i].restartTurns(now)
 	}
 }
 
-// judge looks at the others that were in flight in the crash, one lock at a time.
-func (t *Tracker) judge(k key, crash uint64, replica cluster.ReplicaID) {
+// decideVerdict decides on a crash during a run alone. It inspects the other
+// fingerprints in flight on the replica, holding one lock at a time.
+func (t *Tracker) decideVerdict(k key, crashID uint64, replica cluster.ReplicaID) {
 	otherSuspect := false
 	shard := t.crashShard(replica)
-	for _, other := range append(shard.keysOf(crash), shard.aloneOn(replica)...) {
-		if other != k && t.hasPrior(other, crash) {
+	for _, other := range append(shard.keysOf(crashID), shard.retriesOn(replica)...) {
+		if other != k && t.hasOtherEvidence(other, crashID) {
 			otherSuspect = true
 		}
 	}
-	guilty := false
+	quarantine := false
 	var crashes int
 	t.update(k, func(r *record) {
-		guilty = r.judge(crash, otherSuspect, t.now(), t.timing)
+		quarantine = r.decideVerdict(crashID, otherSuspect, t.now(), t.timing)
 		crashes = len(r.evidence)
 	})
-	t.log.Warn("verdict on a suspect", "fingerprint", k, "guilty", guilty, "replica", replica, "crashes", crashes, "other_suspect", otherSuspect)
-	if guilty {
+	t.log.Warn("verdict on a suspect", "fingerprint", k, "guilty", quarantine, "replica", replica, "crashes", crashes, "other_suspect", otherSuspect)
+	if quarantine {
 		metricQuarantined.Inc()
 	}
 	if otherSuspect {
-		// The suspects of a shared crash get their verdicts together and are retried
-		// together. When the turns of the crash are over, both may take any replica,
-		// and where word of the first is lost they share one again: a single request
-		// then cost four or five replicas (25 of 1,200 simulated runs at 30% loss cost more
-		// than two, 4 of them more than three; with new turns 19, none more than three).
-		t.startTurns(t.now())
+		// The suspects of a shared crash get their verdicts, and so their retries, at
+		// the same time. Once the turns after the crash have passed, both may choose
+		// any replica, and if the report of the first retry is lost they share one
+		// again: a single request then crashed four or five replicas. In 1,200
+		// simulated runs at 30% loss, 25 lost more than two replicas and 4 of these
+		// more than three; with restarted turns 19 did, none of them more than three.
+		t.restartTurns(t.now())
 	}
-	t.nudge()
+	t.triggerHeartbeat()
 }
 
-func (t *Tracker) hasPrior(k key, crash uint64) bool {
+func (t *Tracker) hasOtherEvidence(k key, crashID uint64) bool {
 	s := t.keyShard(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.records[k]
-	return r != nil && r.hasPrior(crash)
+	return r != nil && r.hasOtherEvidence(crashID)
 }
 
-// abandonedAlone leaves the suspicion as it was and the next retry to whoever waits.
-func (t *Tracker) abandonedAlone(k key) {
+// retryAbandoned ends the retry without a result; the next waiting request may retry.
+func (t *Tracker) retryAbandoned(k key) {
 	t.update(k, func(r *record) {
-		if r.run.node == t.node {
-			r.run = run{}
+		if r.retry.node == t.node {
+			r.retry = retry{}
 		}
 	})
 }
 
-func (t *Tracker) finishedAlone(k key) {
+func (t *Tracker) retryFinished(k key) {
 	if t.clear(k, t.now()) {
 		metricCleared.Inc()
-		t.nudge()
+		t.triggerHeartbeat()
 	}
 }
 
-// clear ends a suspicion and reports whether that was news.
+// clear ends a suspicion and reports whether the record changed.
 func (t *Tracker) clear(k key, at time.Time) bool {
-	var was []evidence
-	var ended run
-	news := false
+	var evidenceBefore []evidence
+	var ended retry
+	changed := false
 	t.update(k, func(r *record) {
-		was, ended = r.evidence, r.run
-		news = r.clear(at, t.now(), t.timing)
+		evidenceBefore, ended = r.evidence, r.retry
+		changed = r.clear(at, t.now(), t.timing)
 	})
-	if !news {
+	if !changed {
 		return false
 	}
 	t.log.Info("suspect cleared", "fingerprint", k)
-	t.crashShard(ended.replica).endAlone(ended.replica, k, t.now())
-	for _, e := range was {
-		t.crashShard(e.replica).exonerate(e.crash, k)
+	t.crashShard(ended.replica).endRetry(ended.replica, k, t.now())
+	for _, e := range evidenceBefore {
+		t.crashShard(e.replica).removeKey(e.crash, k)
 	}
 	return true
 }
 
-// update applies f to the record of k if there is one, and wakes those who wait.
+// update applies f to the record of k, if there is one, and notifies waiting requests.
 func (t *Tracker) update(k key, f func(r *record)) {
 	s := t.keyShard(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.records[k]; r != nil {
-		r.lapse(t.now(), t.timing)
+		r.advance(t.now(), t.timing)
 		f(r)
 		r.notify()
 	}
 }
 
-// change applies f to the record of k, which it adds if there is none.
-func (t *Tracker) change(k key, f func(r *record)) {
+// upsert is like update but adds the record if there is none.
+func (t *Tracker) upsert(k key, f func(r *record)) {
 	s := t.keyShard(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.records[k]
 	if r == nil {
-		s.makeRoom()
+		s.evictIfFull()
 		r = &record{key: k, until: t.now().Add(t.timing.SuspectFor)}
 		s.records[k] = r
 	}
-	r.lapse(t.now(), t.timing)
+	r.advance(t.now(), t.timing)
 	f(r)
 	r.notify()
 }
 
-// makeRoom evicts the least valuable record of a full shard: a cleared one, else
-// a suspect, else a quarantine, and of these the one that ends first.
-func (s *keyShard) makeRoom() {
+// evictIfFull evicts a record from a full shard: a cleared one, else a suspect, else a
+// quarantine, and among these the one that ends first.
+func (s *keyShard) evictIfFull() {
 	if len(s.records) < recordsPerShard {
 		return
 	}
-	var victim *record
+	var evicted *record
 	for _, r := range s.records {
-		if victim == nil || r.value() < victim.value() || r.value() == victim.value() && r.until.Before(victim.until) {
-			victim = r
+		if evicted == nil || r.retentionPriority() < evicted.retentionPriority() ||
+			r.retentionPriority() == evicted.retentionPriority() && r.until.Before(evicted.until) {
+			evicted = r
 		}
 	}
-	victim.notify()
-	delete(s.records, victim.key)
+	evicted.notify()
+	delete(s.records, evicted.key)
 	metricEvicted.Inc()
 }
 
-func (r *record) value() int {
+func (r *record) retentionPriority() int {
 	switch {
 	case r.phase == cleared:
 		return 0
@@ -313,7 +320,7 @@
 	}
 }
 
-// wait returns a channel that closes with the next change.
+// wait returns a channel that closes when the record next changes.
 func (r *record) wait() <-chan struct{} {
 	if r.changed == nil {
 		r.changed = make(chan struct{})
--- a/internal/suspect/tracker_test.go
+++ b/internal/suspect/tracker_test.go
@@ -22,44 +22,45 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// Each check is a minute of several nodes.
+	// Each check simulates about a minute of several nodes.
 	if err := flag.Set("rapid.checks", "15"); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// One request crashes every replica that runs it. Its caller sends it again as
-// soon as it is answered, each time through the next node, among many innocent
-// requests. Callers of the group find ever fewer replicas, until none is left.
+// A request crashes every replica that runs it, and its caller sends it again
+// immediately, each time through the next node, among many innocent requests. Without
+// tracking the group loses replica after replica.
 func TestPoisonRequestCostsTwoReplicas(t *testing.T) {
-	naive := run(t, scenario{nodes: 4, replicas: 12, poisons: 1, seed: 1, naive: true, length: 30 * time.Second})
-	require.Greater(t, naive.kills, 20, "the naive version is meant to lose replica after replica")
+	naive := simulate(t, scenario{nodes: 4, replicas: 12, poisonCallers: 1, seed: 1, naive: true, length: 30 * time.Second})
+	require.Greater(t, naive.kills, 20, "without tracking replicas must keep crashing")
 
 	rapid.Check(t, func(rt *rapid.T) {
 		sc := scenario{
-			nodes:    rapid.IntRange(2, 6).Draw(rt, "nodes"),
-			replicas: rapid.IntRange(12, 30).Draw(rt, "replicas"),
-			loss:     rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "loss"),
-			seed:     rapid.Uint64().Draw(rt, "seed"),
-			poisons:  1, length: 30 * time.Second,
+			nodes:         rapid.IntRange(2, 6).Draw(rt, "nodes"),
+			replicas:      rapid.IntRange(12, 30).Draw(rt, "replicas"),
+			loss:          rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "loss"),
+			seed:          rapid.Uint64().Draw(rt, "seed"),
+			poisonCallers: 1, length: 30 * time.Second,
 		}
-		out := run(t, sc)
+		out := simulate(t, sc)
 		if out.innocentsRefused > 0 || out.kills < 2 || out.kills > 4 || out.slowRefusals > 0 || out.poisonRefused < 50 {
 			rt.Fatalf("%+v: %+v", sc, out)
 		}
 	})
 }
 
-var trials = flag.Uint64("trials", 10, "seeds of each scenario; more give the table in docs/crash-requests.md")
+var trials = flag.Uint64("trials", 10, "seeds per scenario; the table in docs/crash-requests.md uses more")
 
-// tally plays a scenario with many seeds and logs what came of it.
-func tally(t *testing.T, sc scenario, check func(outcome)) {
+// runSeeds simulates a scenario with many seeds and logs the distribution of the
+// results.
+func runSeeds(t *testing.T, sc scenario, check func(outcome)) {
 	t.Helper()
 	kills, refused := make(map[int]int), make(map[int]int)
 	var known []time.Duration
 	for sc.seed = range *trials {
-		out := run(t, sc)
+		out := simulate(t, sc)
 		check(out)
 		kills[out.kills]++
 		refused[out.innocentsRefused]++
@@ -68,17 +69,17 @@
 	slices.Sort(known)
 	n := len(known)
 	t.Logf("nodes=%d replicas=%d loss=%v callers=%d cut=%v kills=%v innocents_refused=%v known_median=%v known_p90=%v known_worst=%v",
-		sc.nodes, sc.replicas, sc.loss, sc.poisons, sc.cut, kills, refused, known[n/2], known[n*9/10], known[n-1])
+		sc.nodes, sc.replicas, sc.loss, sc.poisonCallers, sc.partitioned, kills, refused, known[n/2], known[n*9/10], known[n-1])
 }
 
-// Two is the goal; a third replica dies only when two suspects happen to share
-// one, which the nodes' turns prevent unless word of one of them is late. With
-// more nodes than replicas, all of them want the same few.
+// The goal is two crashes. A third replica crashes only if two suspects share one,
+// which the nodes' turns prevent unless the report of one of them is late. With more
+// nodes than replicas, all nodes compete for the same few replicas.
 func TestPoisonRequestMostlyCostsExactlyTwo(t *testing.T) {
 	for _, c := range []struct {
 		scenario
-		// share is the part of runs, one in so many, that may cost one more.
-		share uint64
+		// oneIn allows one crash more than two in one of so many runs.
+		oneIn uint64
 	}{
 		{scenario{nodes: 4, replicas: 12}, 5},
 		{scenario{nodes: 4, replicas: 12, loss: 0.05}, 5},
@@ -86,41 +87,41 @@
 		{scenario{nodes: 8, replicas: 50, loss: 0.3}, 5},
 		{scenario{nodes: 8, replicas: 4, length: 15 * time.Second}, 2},
 	} {
-		c.poisons, c.length = 1, max(c.length, 12*time.Second)
+		c.poisonCallers, c.length = 1, max(c.length, 12*time.Second)
 		over := 0
-		tally(t, c.scenario, func(out outcome) {
+		runSeeds(t, c.scenario, func(out outcome) {
 			require.Zero(t, out.innocentsRefused)
 			require.LessOrEqual(t, out.kills, 5)
 			over += max(0, out.kills-2)
 		})
-		require.LessOrEqual(t, uint64(over), *trials/c.share, "%+v", c.scenario)
+		require.LessOrEqual(t, uint64(over), *trials/c.oneIn, "%+v", c.scenario)
 	}
 }
 
-// Several callers send the same request at the same moment. Each of them kills a
-// replica before anyone can know; then it must be over, and for innocents too.
+// Several callers send the same request concurrently. Each crashes a replica before any
+// node can know; after that the request must be refused, and no innocent one.
 func TestPoisonRequestFromSeveralCallersAtOnce(t *testing.T) {
-	sc := scenario{nodes: 4, replicas: 12, poisons: 4, length: 30 * time.Second}
-	tally(t, sc, func(out outcome) {
+	sc := scenario{nodes: 4, replicas: 12, poisonCallers: 4, length: 30 * time.Second}
+	runSeeds(t, sc, func(out outcome) {
 		require.Zero(t, out.innocentsRefused)
 		require.LessOrEqual(t, out.kills, 8)
 		require.Positive(t, out.poisonRefused)
 	})
 }
 
-// The nodes of the two halves cannot hear each other, and the poison request
-// comes to both. Each half has to find out by itself: up to two replicas each,
-// and seldom one more when both halves use one replica at once.
+// The two halves of the nodes are partitioned and the poison request reaches both. Each
+// half must detect it independently, which costs up to two replicas each and
+// occasionally one more, when both halves use the same replica concurrently.
 func TestNodesThatCannotHearEachOtherPayEach(t *testing.T) {
-	sc := scenario{nodes: 4, replicas: 12, poisons: 1, cut: true, length: 30 * time.Second}
-	tally(t, sc, func(out outcome) {
+	sc := scenario{nodes: 4, replicas: 12, poisonCallers: 1, partitioned: true, length: 30 * time.Second}
+	runSeeds(t, sc, func(out outcome) {
 		require.LessOrEqual(t, out.kills, 6)
 		require.GreaterOrEqual(t, out.kills, 4)
 		require.Positive(t, out.poisonRefused)
 	})
 }
 
-func lone(peers int) *suspect.Tracker {
+func newTracker(peers int) *suspect.Tracker {
 	return suspect.New(suspect.Options{
 		Node: "node-a", Peers: func() int { return peers }, Log: slog.New(slog.DiscardHandler),
 	})
@@ -133,8 +134,8 @@
 	require.True(t, alone)
 }
 
-// convict crashes a replica twice under fp, the second time alone.
-func convict(t *testing.T, tr *suspect.Tracker, fp suspect.Fingerprint) {
+// quarantine crashes two replicas under fp, the second one during a run alone.
+func quarantine(t *testing.T, tr *suspect.Tracker, fp suspect.Fingerprint) {
 	t.Helper()
 	tr.Begin(fp, "replica-1", 1, false)(suspect.Crashed)
 	time.Sleep(time.Millisecond)
@@ -142,11 +143,12 @@
 	tr.Begin(fp, "replica-2", 1, true)(suspect.Crashed)
 }
 
-// A suspect waits while another of its kind is retried. When that one is found
-// guilty, whoever waits must be answered at once and not time out in the queue.
-func TestWaitingSuspectIsAnsweredWhenQuarantined(t *testing.T) {
+// A suspect waits while another request with its fingerprint is retried. If that retry
+// leads to a quarantine, the waiting request must be refused immediately instead of
+// timing out.
+func TestQuarantineEndsWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := lone(0)
+		tr := newTracker(0)
 		tr.Begin(poison, "replica-1", 1, false)(suspect.Crashed)
 		admitAlone(t, tr, poison)
 		end := tr.Begin(poison, "replica-2", 1, true)
@@ -171,11 +173,11 @@
 	})
 }
 
-// The caller of a waiting suspect goes away; the claim must not stay behind and
-// hold up the next one.
-func TestWaitEndsWithItsCaller(t *testing.T) {
+// The caller of a waiting suspect leaves. Its claim must not remain and block the next
+// request.
+func TestCanceledWaitReleasesClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := lone(1)
+		tr := newTracker(1)
 		tr.Begin(poison, "replica-1", 1, false)(suspect.Crashed)
 		ctx, cancel := context.WithTimeout(t.Context(), suspect.DefaultClaimDelay/2)
 		defer cancel()
@@ -187,11 +189,11 @@
 	})
 }
 
-// An innocent request that was on a replica when it crashed must run again, alone
-// first, and then like any other.
-func TestSuccessClears(t *testing.T) {
+// An innocent request that was in flight in a crash must run again, alone first and
+// then like any other request.
+func TestFinishedRetryClears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := lone(0)
+		tr := newTracker(0)
 		tr.Begin(poison, "replica-1", 1, false)(suspect.Crashed)
 		admitAlone(t, tr, poison)
 		end := tr.Begin(poison, "replica-2", 1, true)
@@ -204,7 +206,7 @@
 	})
 }
 
-func tell(tr *suspect.Tracker, id uint64, replica string, fps ...suspect.Fingerprint) {
+func receiveCrash(tr *suspect.Tracker, id uint64, replica string, fps ...suspect.Fingerprint) {
 	m := &wirepb.CrashMark{CrashId: id, Replica: replica, Generation: 1}
 	for _, fp := range fps {
 		m.Fingerprints = append(m.Fingerprints, fp[:8]...)
@@ -212,8 +214,9 @@
 	tr.Receive(membership.Member{}, &wirepb.Datagram{Crashes: []*wirepb.CrashMark{m}})
 }
 
-// After a crash every node has suspects to retry and wants a free replica. All at
-// once they would put several on one, and its crash would tell nothing.
+// After a crash every node has suspects to retry and wants a free replica. Without
+// turns several suspects would run on one replica, and its crash would not show which
+// of them caused it.
 func TestNodesTakeTurnsOnAReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		second := suspect.New(suspect.Options{
@@ -221,7 +224,7 @@
 		})
 		time.Sleep(time.Minute)
 		require.True(t, second.MayRetryOn("replica-2"))
-		tell(second, 1, "replica-1", poison)
+		receiveCrash(second, 1, "replica-1", poison)
 		require.False(t, second.MayRetryOn("replica-2"), "the first node's turn")
 		time.Sleep(suspect.DefaultRetryTurn)
 		require.True(t, second.MayRetryOn("replica-2"))
@@ -234,31 +237,32 @@
 	})
 }
 
-// A suspect of another node crashed a replica some seconds ago, and word of its
-// retry there still goes round. It must not cast doubt on the next crash, or the
-// guilty one of that goes free and takes another replica.
-func TestLateWordOfAnEndedRetryCastsNoDoubt(t *testing.T) {
+// A suspect of another node crashed a replica some seconds ago, and reports of its
+// retry there still circulate. If they counted for the next crash there, the request
+// that caused that crash would not be quarantined and would crash another replica.
+func TestLateRetryReportIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr, other := lone(0), fingerprint(2)
-		tell(tr, 1, "replica-1", other)
+		tr, other := newTracker(0), fingerprint(2)
+		receiveCrash(tr, 1, "replica-1", other)
 		running := &wirepb.SuspectMark{Fingerprint: other[:8], RunningAlone: true, Runner: "node-b", Replica: "replica-2"}
 		tr.Receive(membership.Member{}, &wirepb.Datagram{Suspects: []*wirepb.SuspectMark{running}})
 		time.Sleep(time.Second)
-		tell(tr, 2, "replica-2", other)
+		receiveCrash(tr, 2, "replica-2", other)
 		running.AgeMs = 1000
 		tr.Receive(membership.Member{}, &wirepb.Datagram{Suspects: []*wirepb.SuspectMark{running}})
 		time.Sleep(6 * time.Second)
-		convict(t, tr, poison)
+		quarantine(t, tr, poison)
 		_, err := tr.Admit(t.Context(), poison)
 		require.True(t, fennelerr.Is(err, fennelerr.Quarantined), err)
 	})
 }
 
-// The caller of the poison request hangs up before the replica dies. Taken for a
-// success, that would clear it, and the next send would share a replica again.
-func TestHangingUpDoesNotClear(t *testing.T) {
+// The caller of the poison request disconnects before the replica crashes. If that
+// counted as success, the request would be cleared and its next run would no longer be
+// kept apart from other suspects.
+func TestAbandonedRetryDoesNotClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := lone(0)
+		tr := newTracker(0)
 		tr.Begin(poison, "replica-1", 1, false)(suspect.Crashed)
 		for range 3 {
 			admitAlone(t, tr, poison)
@@ -268,13 +272,13 @@
 	})
 }
 
-// A replica died a moment ago and the router does not know yet. Requests sent to
-// it fail as if it had crashed under them; counted as evidence, innocent ones
-// would be quarantined in a row.
-func TestDeadReplicaSaysNothing(t *testing.T) {
+// A replica crashed a moment ago and the router does not know yet. Requests sent to it
+// fail as if they had crashed it. If that counted as evidence, innocent requests would
+// be quarantined one after another.
+func TestFailuresOnDeadReplicaAreNoEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr, innocent := lone(0), fingerprint(2)
-		convict(t, tr, poison)
+		tr, innocent := newTracker(0), fingerprint(2)
+		quarantine(t, tr, poison)
 		for range 3 {
 			time.Sleep(time.Second)
 			alone, err := tr.Admit(t.Context(), innocent)
@@ -289,30 +293,30 @@
 	})
 }
 
-// Several nodes tell of one crash under names of their own. Counted twice, it
-// would speak against a request that was only there once, and leave it open who
-// was to blame: another replica would die.
+// Several nodes report one crash under different ids. Counted twice, it would be
+// evidence against a request that was in flight only once and make the verdict
+// inconclusive: another replica would crash.
 func TestOneCrashToldByManyCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr, innocent := lone(1), fingerprint(2)
+		tr, innocent := newTracker(1), fingerprint(2)
 		tr.Begin(poison, "replica-1", 1, false)(suspect.Crashed)
 		admitAlone(t, tr, poison)
 		endPoison := tr.Begin(poison, "replica-2", 1, true)
 		endInnocent := tr.Begin(innocent, "replica-2", 1, false)
 		endPoison(suspect.Crashed)
 		endInnocent(suspect.Crashed)
-		tell(tr, 77, "replica-2", innocent)
+		receiveCrash(tr, 77, "replica-2", innocent)
 		_, err := tr.Admit(t.Context(), poison)
 		require.True(t, fennelerr.Is(err, fennelerr.Quarantined), err)
 	})
 }
 
-// Two suspects shared a replica and it crashed. Only one is to blame; barring
-// both would refuse an innocent caller for a quarter of an hour.
+// Two suspects ran on a replica when it crashed, and only one caused the crash.
+// Quarantining both would refuse an innocent request for 15 minutes.
 func TestSharedCrashCondemnsNeither(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr, innocent := lone(0), fingerprint(2)
-		tell(tr, 1, "replica-1", poison, innocent)
+		tr, innocent := newTracker(0), fingerprint(2)
+		receiveCrash(tr, 1, "replica-1", poison, innocent)
 		admitAlone(t, tr, innocent)
 		endInnocent := tr.Begin(innocent, "replica-2", 1, true)
 		admitAlone(t, tr, poison)
@@ -328,20 +332,20 @@
 	})
 }
 
-// Two suspects of two nodes shared a replica and it crashed, so both are to be
-// retried, at the same moment. By then the turns of the crash have passed. Each
-// takes any replica it likes, and when word of the other is lost, again the same:
-// replica after replica dies of one request, and callers of the group see it.
-func TestUnclearVerdictStartsTheTurnsAnew(t *testing.T) {
+// Two suspects of two nodes ran on one replica when it crashed, so both are due for a
+// retry at the same time, after the turns of that crash have passed. Each node then
+// chooses any replica and, if the other's report is lost, possibly the same one again:
+// one request crashes replica after replica and callers of the group are affected.
+func TestInconclusiveVerdictRestartsTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		second := suspect.New(suspect.Options{
 			Node: "node-b", Peers: func() int { return 1 }, Rank: func(string) int { return 1 }, Log: slog.New(slog.DiscardHandler),
 		})
 		other := fingerprint(2)
-		tell(second, 1, "replica-1", poison, other)
+		receiveCrash(second, 1, "replica-1", poison, other)
 		admitAlone(t, second, poison)
 		end := second.Begin(poison, "replica-2", 1, true)
-		tell(second, 2, "replica-2", other)
+		receiveCrash(second, 2, "replica-2", other)
 		end(suspect.Crashed)
 		time.Sleep(suspect.DefaultVerdictDelay)
 		admitAlone(t, second, poison)
@@ -351,22 +355,22 @@
 	})
 }
 
-// A quarantined request is sent again every few minutes for days. Let in freely
-// at each expiry, it would cost two replicas every quarter of an hour.
-func TestQuarantineIsProlongedThenOnProbation(t *testing.T) {
+// A quarantined request is sent again every few minutes for days. If it ran freely
+// whenever the quarantine expired, it would crash two replicas every 15 minutes.
+func TestQuarantineExtensionAndProbation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := lone(0)
-		convict(t, tr, poison)
-		var barred time.Duration
+		tr := newTracker(0)
+		quarantine(t, tr, poison)
+		var refusedFor time.Duration
 		for began := time.Now(); ; time.Sleep(10 * time.Minute) {
 			alone, err := tr.Admit(t.Context(), poison)
 			if err == nil {
 				require.True(t, alone, "on probation it runs alone")
-				barred = time.Since(began)
+				refusedFor = time.Since(began)
 				break
 			}
 		}
-		require.InDelta(t, suspect.DefaultMaxQuarantine.Minutes(), barred.Minutes(), 10)
+		require.InDelta(t, suspect.DefaultMaxQuarantine.Minutes(), refusedFor.Minutes(), 10)
 		tr.Begin(poison, "replica-3", 1, true)(suspect.Crashed)
 		_, err := tr.Admit(t.Context(), poison)
 		require.True(t, fennelerr.Is(err, fennelerr.Quarantined), "one crash on probation is enough")
@@ -377,12 +381,12 @@
 	})
 }
 
-// Crash after crash under ever new requests must not fill the memory, nor push
-// out a quarantine.
+// Many crashes under ever new requests must neither grow memory without bound nor evict
+// a quarantine.
 func TestMemoryIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := lone(0)
-		convict(t, tr, poison)
+		tr := newTracker(0)
+		quarantine(t, tr, poison)
 		for n := range uint64(18_000) {
 			fp := fingerprint(n + 10)
 			tr.Begin(fp, "replica-9", int64(n), false)(suspect.Crashed)
@@ -408,7 +412,7 @@
 	f.Add([]byte("12345678"), int64(5), "node-b", true)
 	f.Add([]byte("short"), int64(-1), "", false)
 	f.Fuzz(func(_ *testing.T, fp []byte, ms int64, name string, flag bool) {
-		tr := lone(1)
+		tr := newTracker(1)
 		d := &wirepb.Datagram{
 			Crashes:     []*wirepb.CrashMark{{Fingerprints: fp, AgeMs: ms, Replica: name}},
 			Suspects:    []*wirepb.SuspectMark{{Fingerprint: fp, AgeMs: ms, Runner: name, RunningAlone: flag, Cleared: !flag}},
@@ -420,11 +424,11 @@
 	})
 }
 
-// Two nodes met one crash and each gave it a name. The other's name for it comes
-// with every heartbeat. If each of these began the turns anew, a node that is not
-// the first in turn would never put an innocent suspect on a replica, and its
-// caller, a few words into the answer, would be cut off.
-func TestOneCrashUnderTwoNamesBeginsTurnsOnce(t *testing.T) {
+// Two nodes detected the same crash under different ids, and the other node's id
+// arrives with every heartbeat. If each one restarted the turns, a node that is not
+// first in turn could never retry an innocent suspect, and its caller, already
+// receiving the answer, would be cut off.
+func TestDuplicateCrashIDRestartsTurnsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := suspect.New(suspect.Options{Node: "node-b", Log: slog.New(slog.DiscardHandler),
 			Peers: func() int { return 2 }, Rank: func(string) int { return 2 }})
--- a/internal/suspect/types.go
+++ b/internal/suspect/types.go
@@ -1,11 +1,11 @@
-// Package suspect finds the requests that crash replicas. A crash makes all of
-// the replica's requests in flight suspects; a suspect is retried alone; success
-// clears it and a crash while it runs alone quarantines its fingerprint on every
-// node.
+// Package suspect detects requests that crash replicas. A crash makes all requests in
+// flight on the replica suspects. A suspect is retried alone: if the retry finishes,
+// the suspect is cleared; if the replica crashes again, the request's fingerprint is
+// quarantined on every node.
 //
-// Evidence travels as marks in the heartbeats (see Tracker.Section and
-// Tracker.Receive) and is never agreed upon: nodes that cannot hear each other
-// each pay for finding out.
+// Evidence is exchanged as marks in the heartbeats (see Tracker.Section and
+// Tracker.Receive) without consensus: nodes that cannot communicate each detect a
+// crashing request independently.
 package suspect
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Fingerprint identifies a request by its content: team, path and body.
+// Fingerprint identifies a request by its team, path and body.
 type Fingerprint [16]byte
 
 // String returns the fingerprint in hex, as it appears in logs.
@@ -24,12 +24,13 @@
 type Outcome int
 
 const (
-	// Finished means that the whole answer came. It clears a suspect.
+	// Finished means that the answer is complete. It clears a suspect.
 	Finished Outcome = iota
-	// Crashed means that the replica crashed under the run.
+	// Crashed means that the replica crashed during the run.
 	Crashed
-	// Abandoned means that the run ended otherwise, such as by its caller going away. It
-	// proves nothing: a crash may have been about to come.
+	// Abandoned means that the run ended in another way, for example because its caller
+	// disconnected. It is no evidence that the request is harmless: a crash may have
+	// been about to happen.
 	Abandoned
 )
 
@@ -45,7 +46,7 @@
 
 func (k key) bytes() []byte { return binary.BigEndian.AppendUint64(nil, uint64(k)) }
 
-func keyFrom(b []byte) (key, bool) {
+func parseKey(b []byte) (key, bool) {
 	if len(b) < keySize {
 		return 0, false
 	}
@@ -54,24 +55,26 @@
 
 // Timing holds the durations of the rules. Zero fields take the defaults.
 type Timing struct {
-	// ClaimDelay is how long an announced retry waits for word of another node
-	// that announced the same.
+	// ClaimDelay is how long a node waits after claiming a retry for competing claims
+	// of other nodes.
 	ClaimDelay time.Duration
-	// VerdictDelay is how long the verdict on a crash waits for word of other
+	// VerdictDelay is how long the verdict on a crash waits for reports of other
 	// suspects that were in flight on the same replica.
 	VerdictDelay time.Duration
-	// RetryTurn is how long each node has to put a suspect on a free replica before
-	// the next one may.
+	// RetryTurn is how long each node has to place a suspect on a free replica before
+	// the next node in rank may do so.
 	RetryTurn time.Duration
-	// ClaimTTL ends a claim whose retry has not begun.
+	// ClaimTTL is how long a claim is valid if its retry does not start.
 	ClaimTTL time.Duration
-	// RunnerTTL ends belief in another node's retry that is not heard of again.
+	// RunnerTTL is how long another node's retry is assumed to continue without a
+	// further report.
 	RunnerTTL time.Duration
-	// SuspectFor ends a suspicion that nothing confirmed or cleared.
+	// SuspectFor is how long a suspicion lasts that is neither confirmed nor cleared.
 	SuspectFor time.Duration
 	// QuarantineFor is how long a fingerprint is refused after it was last sent.
 	QuarantineFor time.Duration
-	// MaxQuarantine bounds a quarantine that is prolonged by being sent again.
+	// MaxQuarantine bounds a quarantine that is extended because the request is sent
+	// again.
 	MaxQuarantine time.Duration
 	// ProbationFor is how long after its quarantine a request still runs alone.
 	ProbationFor time.Duration
