--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -1,12 +1,12 @@
 package recovery
 
-// Proof is what a failed attempt shows of the call's run.
-type Proof int
+// Outcome is what a failed attempt shows of the call's run.
+type Outcome int
 
 const (
 	// Interrupted: the attempt broke off, went silent or brought another call's
 	// answer. The call may have run.
-	Interrupted Proof = iota
+	Interrupted Outcome = iota
 	// NotRun: the attempt certainly did not run the call and never will.
 	NotRun
 	// Rejected: the backend server's final word on the call itself.
@@ -15,7 +15,7 @@
 
 // Failure is all that the next step after a failed attempt depends on.
 type Failure struct {
-	Proof Proof
+	Proof Outcome
 	// MayHaveRun is true when this attempt or an earlier one may have run the call. A
 	// resume whose dial fails did not run it, but the attempt that it resumes may have.
 	MayHaveRun bool
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -15,7 +15,7 @@
 // two runs, and a call that must not run twice must never be sent again once an
 // earlier attempt can have run it: a deposit would be booked twice.
 func TestDecideNeverStitchesOrRepeats(t *testing.T) {
-	for _, proof := range []recovery.Proof{recovery.Interrupted, recovery.NotRun, recovery.Rejected} {
+	for _, proof := range []recovery.Outcome{recovery.Interrupted, recovery.NotRun, recovery.Rejected} {
 		for flags := range 128 {
 			asked := 0
 			f := recovery.Failure{
