--- a/internal/gateway/plaincall.go
+++ b/internal/gateway/plaincall.go
@@ -85,7 +85,7 @@
 		Budget: func() bool { return p.g.opts.Admitter.AllowRetry(p.c.team.Name) },
 	}
 	if _, notStarted := errors.Into[*engine.NotStartedError](err); notStarted {
-		f.Proof = recovery.NotRun
+		f.Outcome = recovery.NotRun
 	}
 	return f
 }
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -27,7 +27,7 @@
 // matters.
 func (s *session) Judge(ctx context.Context, err error) recovery.Failure {
 	f := recovery.Failure{
-		Proof: recovery.Interrupted, MayHaveRun: s.run != fennelerr.NotRun, Repeatable: s.route.Once != rules.OnceRequired,
+		Outcome: recovery.Interrupted, MayHaveRun: s.run != fennelerr.NotRun, Repeatable: s.route.Once != rules.OnceRequired,
 		Begun: s.exchange.Begun(), CanContinue: s.info.CanContinue && s.exchange.CanGoOn(),
 		Attempts: s.fruitless, MaxAttempts: s.g.opts.MaxAttempts,
 		Budget: func() bool { return s.g.opts.Admitter.AllowRetry(s.c.team.Name) },
@@ -37,13 +37,13 @@
 	_, rejected := errors.Into[*engine.RejectedError](err)
 	switch {
 	case notStarted:
-		f.Proof = recovery.NotRun
+		f.Outcome = recovery.NotRun
 		s.verdict.unreachable = true
 		s.verdict.crashed = s.resume // it had the request and cannot be reached any more
 	case rejected && (s.resume || s.carryOn):
 		s.verdict.forgot = true
 	case rejected:
-		f.Proof = recovery.Rejected
+		f.Outcome = recovery.Rejected
 	default:
 		countInterruption(err)
 		f.Alive = s.probe(ctx)
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -15,7 +15,7 @@
 
 // Failure is all that the next step after a failed attempt depends on.
 type Failure struct {
-	Proof Outcome
+	Outcome Outcome
 	// MayHaveRun is true when this attempt or an earlier one may have run the call. A
 	// resume whose dial fails did not run it, but the attempt that it resumes may have.
 	MayHaveRun bool
@@ -80,15 +80,15 @@
 // runs that differ would make up an answer that nobody gave.
 func Decide(f Failure) Decision {
 	switch {
-	case f.Proof == Rejected:
+	case f.Outcome == Rejected:
 		return Decision{GiveUp, RejectedByServer}
 	case f.Attempts >= f.MaxAttempts:
 		return Decision{GiveUp, AttemptsUsed}
 	case f.OutOfTime:
 		return Decision{GiveUp, NoTimeLeft}
-	case f.Proof == Interrupted && f.Alive:
+	case f.Outcome == Interrupted && f.Alive:
 		return Decision{Resume, ServerAlive}
-	case !f.Repeatable && (f.MayHaveRun || f.Proof == Interrupted):
+	case !f.Repeatable && (f.MayHaveRun || f.Outcome == Interrupted):
 		return Decision{GiveUp, MayHaveRun}
 	case f.Begun && !f.CanContinue:
 		return Decision{GiveUp, NotContinuable}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -19,7 +19,7 @@
 		for flags := range 128 {
 			asked := 0
 			f := recovery.Failure{
-				Proof: proof, MayHaveRun: flags&1 > 0, Repeatable: flags&2 > 0, Begun: flags&4 > 0, CanContinue: flags&8 > 0,
+				Outcome: proof, MayHaveRun: flags&1 > 0, Repeatable: flags&2 > 0, Begun: flags&4 > 0, CanContinue: flags&8 > 0,
 				Alive: flags&16 > 0, OutOfTime: flags&32 > 0, MaxAttempts: 3,
 				Budget: func() bool { asked++; return flags&64 > 0 },
 			}
@@ -41,14 +41,14 @@
 	if got.Step == recovery.Continue {
 		require.True(t, f.Begun && f.CanContinue, name)
 	}
-	if !f.Repeatable && (f.MayHaveRun || f.Proof == recovery.Interrupted) {
+	if !f.Repeatable && (f.MayHaveRun || f.Outcome == recovery.Interrupted) {
 		require.False(t, elsewhere, name)
 	}
-	if f.Proof == recovery.Rejected || f.OutOfTime {
+	if f.Outcome == recovery.Rejected || f.OutOfTime {
 		require.Equal(t, recovery.GiveUp, got.Step, name)
 	}
 	if got.Step == recovery.Resume {
-		require.True(t, f.Alive && f.Proof == recovery.Interrupted, name)
+		require.True(t, f.Alive && f.Outcome == recovery.Interrupted, name)
 	}
 	require.Equal(t, elsewhere || got.Reason == recovery.BudgetUsed, asked == 1, name)
 	require.LessOrEqual(t, asked, 1, name)
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -176,7 +176,7 @@
 		Budget: func() bool { return !charged || s.r.opts.Budget.Repeat(s.service, time.Now()) },
 	}
 	if proved {
-		f.Proof = recovery.NotRun
+		f.Outcome = recovery.NotRun
 	}
 	return f
 }
