--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -28,7 +28,7 @@
 func (s *session) Judge(ctx context.Context, err error) recovery.Failure {
 	f := recovery.Failure{
 		Outcome: recovery.Interrupted, MayHaveRun: s.run != fennelerr.NotRun, Repeatable: s.route.Once != rules.OnceRequired,
-		Begun: s.exchange.Begun(), CanContinue: s.info.CanContinue && s.exchange.CanGoOn(),
+		ResponseStarted: s.exchange.Begun(), CanContinue: s.info.CanContinue && s.exchange.CanGoOn(),
 		Attempts: s.fruitless, MaxAttempts: s.g.opts.MaxAttempts,
 		Budget: func() bool { return s.g.opts.Admitter.AllowRetry(s.c.team.Name) },
 	}
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -21,8 +21,8 @@
 	MayHaveRun bool
 	// Repeatable is true for a call that may run more than once.
 	Repeatable bool
-	// Begun is true once the caller has a part of the answer.
-	Begun bool
+	// ResponseStarted is true once the caller has a part of the answer.
+	ResponseStarted bool
 	// CanContinue is true when another backend server can go on after that part.
 	CanContinue bool
 	// Alive is true when the backend server still has the call, so that a new
@@ -90,11 +90,11 @@
 		return Decision{Resume, ServerAlive}
 	case !f.Repeatable && (f.MayHaveRun || f.Outcome == Interrupted):
 		return Decision{GiveUp, MayHaveRun}
-	case f.Begun && !f.CanContinue:
+	case f.ResponseStarted && !f.CanContinue:
 		return Decision{GiveUp, NotContinuable}
 	case !f.Budget():
 		return Decision{GiveUp, BudgetUsed}
-	case f.Begun:
+	case f.ResponseStarted:
 		return Decision{Continue, AnswerBegun}
 	default:
 		return Decision{Restart, NothingBegun}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -19,7 +19,7 @@
 		for flags := range 128 {
 			asked := 0
 			f := recovery.Failure{
-				Outcome: proof, MayHaveRun: flags&1 > 0, Repeatable: flags&2 > 0, Begun: flags&4 > 0, CanContinue: flags&8 > 0,
+				Outcome: proof, MayHaveRun: flags&1 > 0, Repeatable: flags&2 > 0, ResponseStarted: flags&4 > 0, CanContinue: flags&8 > 0,
 				Alive: flags&16 > 0, OutOfTime: flags&32 > 0, MaxAttempts: 3,
 				Budget: func() bool { asked++; return flags&64 > 0 },
 			}
@@ -36,10 +36,10 @@
 	name := fmt.Sprintf("%+v -> %+v", f, got)
 	elsewhere := got.Step == recovery.Restart || got.Step == recovery.Continue
 	if got.Step == recovery.Restart {
-		require.False(t, f.Begun, name)
+		require.False(t, f.ResponseStarted, name)
 	}
 	if got.Step == recovery.Continue {
-		require.True(t, f.Begun && f.CanContinue, name)
+		require.True(t, f.ResponseStarted && f.CanContinue, name)
 	}
 	if !f.Repeatable && (f.MayHaveRun || f.Outcome == recovery.Interrupted) {
 		require.False(t, elsewhere, name)
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -171,7 +171,7 @@
 	f := recovery.Failure{
 		MayHaveRun: s.mayHaveRun, Repeatable: s.call.Route.Terms.Idempotent(),
 		// A stream goes on after the id of its last piece on any replica.
-		Begun: s.started, CanContinue: true,
+		ResponseStarted: s.started, CanContinue: true,
 		Attempts: s.sent, MaxAttempts: s.call.Route.Terms.MaxAttempts, OutOfTime: s.left < minAttempt,
 		Budget: func() bool { return !charged || s.r.opts.Budget.Repeat(s.service, time.Now()) },
 	}
