--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -46,8 +46,8 @@
 		f.Outcome = recovery.Rejected
 	default:
 		countInterruption(err)
-		f.Alive = s.probe(ctx)
-		s.verdict.crashed = !f.Alive
+		f.CanResume = s.probe(ctx)
+		s.verdict.crashed = !f.CanResume
 	}
 	return f
 }
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -25,9 +25,9 @@
 	ResponseStarted bool
 	// CanContinue is true when another backend server can go on after that part.
 	CanContinue bool
-	// Alive is true when the backend server still has the call, so that a new
+	// CanResume is true when the backend server still has the call, so that a new
 	// connection can resume it.
-	Alive bool
+	CanResume bool
 	// Attempts counts the attempts that used up the call's allowance.
 	Attempts, MaxAttempts int
 	// OutOfTime is true when another attempt could bring nothing in time.
@@ -86,7 +86,7 @@
 		return Decision{GiveUp, AttemptsUsed}
 	case f.OutOfTime:
 		return Decision{GiveUp, NoTimeLeft}
-	case f.Outcome == Interrupted && f.Alive:
+	case f.Outcome == Interrupted && f.CanResume:
 		return Decision{Resume, ServerAlive}
 	case !f.Repeatable && (f.MayHaveRun || f.Outcome == Interrupted):
 		return Decision{GiveUp, MayHaveRun}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -20,7 +20,7 @@
 			asked := 0
 			f := recovery.Failure{
 				Outcome: proof, MayHaveRun: flags&1 > 0, Repeatable: flags&2 > 0, ResponseStarted: flags&4 > 0, CanContinue: flags&8 > 0,
-				Alive: flags&16 > 0, OutOfTime: flags&32 > 0, MaxAttempts: 3,
+				CanResume: flags&16 > 0, OutOfTime: flags&32 > 0, MaxAttempts: 3,
 				Budget: func() bool { asked++; return flags&64 > 0 },
 			}
 			got := recovery.Decide(f)
@@ -48,7 +48,7 @@
 		require.Equal(t, recovery.GiveUp, got.Step, name)
 	}
 	if got.Step == recovery.Resume {
-		require.True(t, f.Alive && f.Outcome == recovery.Interrupted, name)
+		require.True(t, f.CanResume && f.Outcome == recovery.Interrupted, name)
 	}
 	require.Equal(t, elsewhere || got.Reason == recovery.BudgetUsed, asked == 1, name)
 	require.LessOrEqual(t, asked, 1, name)
@@ -101,7 +101,7 @@
 	budget := func() bool { return true }
 	broken := recovery.Failure{Repeatable: true, MaxAttempts: 9, Budget: budget}
 	alive := broken
-	alive.Alive = true
+	alive.CanResume = true
 	s := &script{ends: []error{errBroken, errBroken, nil}, steps: []recovery.Failure{alive, broken}}
 	require.NoError(t, recovery.Run(t.Context(), s))
 	require.Equal(t, 3, s.tried)
