--- a/internal/gateway/plaincall.go
+++ b/internal/gateway/plaincall.go
@@ -82,7 +82,7 @@
 	f := recovery.Failure{
 		MayHaveRun: p.run != fennelerr.NotRun, Repeatable: p.repeatable,
 		Attempts: p.tried, MaxAttempts: len(p.addrs), OutOfTime: ctx.Err() != nil,
-		Budget: func() bool { return p.g.opts.Admitter.AllowRetry(p.c.team.Name) },
+		TakeRetry: func() bool { return p.g.opts.Admitter.AllowRetry(p.c.team.Name) },
 	}
 	if _, notStarted := errors.Into[*engine.NotStartedError](err); notStarted {
 		f.Outcome = recovery.NotRun
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -30,7 +30,7 @@
 		Outcome: recovery.Interrupted, MayHaveRun: s.run != fennelerr.NotRun, Repeatable: s.route.Once != rules.OnceRequired,
 		ResponseStarted: s.exchange.Begun(), CanContinue: s.info.CanContinue && s.exchange.CanGoOn(),
 		Attempts: s.fruitless, MaxAttempts: s.g.opts.MaxAttempts,
-		Budget: func() bool { return s.g.opts.Admitter.AllowRetry(s.c.team.Name) },
+		TakeRetry: func() bool { return s.g.opts.Admitter.AllowRetry(s.c.team.Name) },
 	}
 	s.verdict = verdict{}
 	_, notStarted := errors.Into[*engine.NotStartedError](err)
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -32,9 +32,9 @@
 	Attempts, MaxAttempts int
 	// OutOfTime is true when another attempt could bring nothing in time.
 	OutOfTime bool
-	// Budget spends one repeat, or reports false. It is asked only when all else
+	// TakeRetry spends one repeat, or reports false. It is asked only when all else
 	// allows another attempt.
-	Budget func() bool
+	TakeRetry func() bool
 }
 
 // Step is how a call goes on.
@@ -92,7 +92,7 @@
 		return Decision{GiveUp, MayHaveRun}
 	case f.ResponseStarted && !f.CanContinue:
 		return Decision{GiveUp, NotContinuable}
-	case !f.Budget():
+	case !f.TakeRetry():
 		return Decision{GiveUp, BudgetUsed}
 	case f.ResponseStarted:
 		return Decision{Continue, AnswerBegun}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -21,7 +21,7 @@
 			f := recovery.Failure{
 				Outcome: proof, MayHaveRun: flags&1 > 0, Repeatable: flags&2 > 0, ResponseStarted: flags&4 > 0, CanContinue: flags&8 > 0,
 				CanResume: flags&16 > 0, OutOfTime: flags&32 > 0, MaxAttempts: 3,
-				Budget: func() bool { asked++; return flags&64 > 0 },
+				TakeRetry: func() bool { asked++; return flags&64 > 0 },
 			}
 			got := recovery.Decide(f)
 			requireSound(t, f, got, asked)
@@ -99,7 +99,7 @@
 
 func TestRunGoesOnUntilTheAnswerIsWhole(t *testing.T) {
 	budget := func() bool { return true }
-	broken := recovery.Failure{Repeatable: true, MaxAttempts: 9, Budget: budget}
+	broken := recovery.Failure{Repeatable: true, MaxAttempts: 9, TakeRetry: budget}
 	alive := broken
 	alive.CanResume = true
 	s := &script{ends: []error{errBroken, errBroken, nil}, steps: []recovery.Failure{alive, broken}}
@@ -110,7 +110,7 @@
 }
 
 func TestRunEnds(t *testing.T) {
-	once := recovery.Failure{MaxAttempts: 9, Budget: func() bool { return true }}
+	once := recovery.Failure{MaxAttempts: 9, TakeRetry: func() bool { return true }}
 	again := once
 	again.Repeatable = true
 	left := errors.New("caller left")
