--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -63,7 +63,7 @@
 	NotContinuable   Reason = "the answer cannot be continued elsewhere"
 	BudgetUsed       Reason = "retry budget used"
 
-	ServerAlive  Reason = "the connection failed, the server still has the call"
+	ConnectionLost  Reason = "the connection failed, the server still has the call"
 	AnswerBegun  Reason = "another server can go on"
 	NothingBegun Reason = "nothing has reached the caller"
 )
@@ -87,7 +87,7 @@
 	case f.OutOfTime:
 		return Decision{GiveUp, NoTimeLeft}
 	case f.Outcome == Interrupted && f.CanResume:
-		return Decision{Resume, ServerAlive}
+		return Decision{Resume, ConnectionLost}
 	case !f.Repeatable && (f.MayHaveRun || f.Outcome == Interrupted):
 		return Decision{GiveUp, MayHaveRun}
 	case f.ResponseStarted && !f.CanContinue:
