--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -64,7 +64,7 @@
 	BudgetUsed       Reason = "retry budget used"
 
 	ConnectionLost  Reason = "the connection failed, the server still has the call"
-	AnswerBegun  Reason = "another server can go on"
+	ResponseStarted  Reason = "another server can go on"
 	NothingBegun Reason = "nothing has reached the caller"
 )
 
@@ -95,7 +95,7 @@
 	case !f.TakeRetry():
 		return Decision{GiveUp, BudgetUsed}
 	case f.ResponseStarted:
-		return Decision{Continue, AnswerBegun}
+		return Decision{Continue, ResponseStarted}
 	default:
 		return Decision{Restart, NothingBegun}
 	}
