--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -65,7 +65,7 @@
 
 	ConnectionLost  Reason = "the connection failed, the server still has the call"
 	ResponseStarted  Reason = "another server can go on"
-	NothingBegun Reason = "nothing has reached the caller"
+	ResponseNotStarted Reason = "nothing has reached the caller"
 )
 
 // Decision is a step with its reason.
@@ -97,7 +97,7 @@
 	case f.ResponseStarted:
 		return Decision{Continue, ResponseStarted}
 	default:
-		return Decision{Restart, NothingBegun}
+		return Decision{Restart, ResponseNotStarted}
 	}
 }
 
