--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -122,7 +122,7 @@
 // giveUpCodes are the codes of a request that is given up, by reason.
 var giveUpCodes = map[recovery.Reason]fennelerr.Code{
 	recovery.RejectedByServer: fennelerr.InvalidRequest,
-	recovery.AttemptsUsed:     fennelerr.BackendFailed,
+	recovery.AttemptsExhausted:     fennelerr.BackendFailed,
 	recovery.MayHaveRun:       fennelerr.OutcomeUnknown,
 	recovery.NotContinuable:   fennelerr.StreamTruncated,
 	recovery.BudgetUsed:       fennelerr.Overloaded,
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -57,7 +57,7 @@
 // Reasons of Decide. The first ones are those of giving up.
 const (
 	RejectedByServer Reason = "rejected"
-	AttemptsUsed     Reason = "attempts used"
+	AttemptsExhausted     Reason = "attempts used"
 	NoTimeLeft       Reason = "no time left"
 	MayHaveRun       Reason = "may have run"
 	NotContinuable   Reason = "the answer cannot be continued elsewhere"
@@ -83,7 +83,7 @@
 	case f.Outcome == Rejected:
 		return Decision{GiveUp, RejectedByServer}
 	case f.Attempts >= f.MaxAttempts:
-		return Decision{GiveUp, AttemptsUsed}
+		return Decision{GiveUp, AttemptsExhausted}
 	case f.OutOfTime:
 		return Decision{GiveUp, NoTimeLeft}
 	case f.Outcome == Interrupted && f.CanResume:
