--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -125,7 +125,7 @@
 	recovery.AttemptsExhausted:     fennelerr.BackendFailed,
 	recovery.MayHaveRun:       fennelerr.OutcomeUnknown,
 	recovery.NotContinuable:   fennelerr.StreamTruncated,
-	recovery.BudgetUsed:       fennelerr.Overloaded,
+	recovery.BudgetExhausted:       fennelerr.Overloaded,
 }
 
 // giveUp turns the last failure into the caller's final answer.
@@ -134,7 +134,7 @@
 		return s.rejected(r)
 	}
 	wait := time.Second
-	if reason == recovery.BudgetUsed {
+	if reason == recovery.BudgetExhausted {
 		wait = retryBudgetWait
 	}
 	return fennelerr.Wrap(err, giveUpCodes[reason], "%s", reason).WithRun(s.run).WithRetryAfter(wait)
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -61,7 +61,7 @@
 	NoTimeLeft       Reason = "no time left"
 	MayHaveRun       Reason = "may have run"
 	NotContinuable   Reason = "the answer cannot be continued elsewhere"
-	BudgetUsed       Reason = "retry budget used"
+	BudgetExhausted       Reason = "retry budget used"
 
 	ConnectionLost  Reason = "the connection failed, the server still has the call"
 	ResponseStarted  Reason = "another server can go on"
@@ -93,7 +93,7 @@
 	case f.ResponseStarted && !f.CanContinue:
 		return Decision{GiveUp, NotContinuable}
 	case !f.TakeRetry():
-		return Decision{GiveUp, BudgetUsed}
+		return Decision{GiveUp, BudgetExhausted}
 	case f.ResponseStarted:
 		return Decision{Continue, ResponseStarted}
 	default:
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -50,7 +50,7 @@
 	if got.Step == recovery.Resume {
 		require.True(t, f.CanResume && f.Outcome == recovery.Interrupted, name)
 	}
-	require.Equal(t, elsewhere || got.Reason == recovery.BudgetUsed, asked == 1, name)
+	require.Equal(t, elsewhere || got.Reason == recovery.BudgetExhausted, asked == 1, name)
 	require.LessOrEqual(t, asked, 1, name)
 	require.NotEmpty(t, got.Reason, name)
 	require.NotEmpty(t, got.Step.String(), name)
