--- a/internal/gateway/plaincall.go
+++ b/internal/gateway/plaincall.go
@@ -74,8 +74,8 @@
 	return err
 }
 
-// Gone implements recovery.Call: a call without time is judged like any failed one.
-func (p *plainCall) Gone(context.Context, error) error { return nil }
+// Abandoned implements recovery.Call: a call without time is judged like any failed one.
+func (p *plainCall) Abandoned(context.Context, error) error { return nil }
 
 // Judge implements recovery.Call.
 func (p *plainCall) Judge(ctx context.Context, err error) recovery.Failure {
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// Gone implements recovery.Call.
-func (s *session) Gone(ctx context.Context, err error) error {
+// Abandoned implements recovery.Call.
+func (s *session) Abandoned(ctx context.Context, err error) error {
 	gone := s.gone(ctx, err)
 	if gone != nil {
 		s.cancelAtReplica()
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -12,9 +12,9 @@
 	// Attempt sends the call once, or resumes it where it was; nil means that the
 	// whole answer came.
 	Attempt(ctx context.Context) error
-	// Gone returns the call's last error when nobody waits for its answer any more,
+	// Abandoned returns the call's last error when nobody waits for its answer any more,
 	// else nil.
-	Gone(ctx context.Context, err error) error
+	Abandoned(ctx context.Context, err error) error
 	// Judge says what the failure of the last attempt proves.
 	Judge(ctx context.Context, err error) Failure
 	// After carries out the decision on that failure: it frees the backend server
@@ -37,7 +37,7 @@
 		if err == nil {
 			return nil
 		}
-		if gone := c.Gone(ctx, err); gone != nil {
+		if gone := c.Abandoned(ctx, err); gone != nil {
 			return gone
 		}
 		d := Decide(c.Judge(ctx, err))
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -85,7 +85,7 @@
 	return s.ends[s.tried-1]
 }
 
-func (s *script) Gone(context.Context, error) error { return s.gone }
+func (s *script) Abandoned(context.Context, error) error { return s.gone }
 
 func (s *script) Judge(context.Context, error) recovery.Failure { return s.steps[s.tried-1] }
 
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -148,8 +148,8 @@
 	return firstExtra
 }
 
-// Gone implements recovery.Call.
-func (s *session) Gone(ctx context.Context, _ error) error {
+// Abandoned implements recovery.Call.
+func (s *session) Abandoned(ctx context.Context, _ error) error {
 	if !gone(ctx) {
 		return nil
 	}
