--- a/internal/gateway/plaincall.go
+++ b/internal/gateway/plaincall.go
@@ -77,8 +77,8 @@
 // Abandoned implements recovery.Call: a call without time is judged like any failed one.
 func (p *plainCall) Abandoned(context.Context, error) error { return nil }
 
-// Judge implements recovery.Call.
-func (p *plainCall) Judge(ctx context.Context, err error) recovery.Failure {
+// Classify implements recovery.Call.
+func (p *plainCall) Classify(ctx context.Context, err error) recovery.Failure {
 	f := recovery.Failure{
 		MayHaveRun: p.run != fennelerr.NotRun, Repeatable: p.repeatable,
 		Attempts: p.tried, MaxAttempts: len(p.addrs), OutOfTime: ctx.Err() != nil,
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -23,9 +23,9 @@
 	forgot bool
 }
 
-// Judge implements recovery.Call. It asks the replica over a new connection where that
+// Classify implements recovery.Call. It asks the replica over a new connection where that
 // matters.
-func (s *session) Judge(ctx context.Context, err error) recovery.Failure {
+func (s *session) Classify(ctx context.Context, err error) recovery.Failure {
 	f := recovery.Failure{
 		Outcome: recovery.Interrupted, MayHaveRun: s.run != fennelerr.NotRun, Repeatable: s.route.Once != rules.OnceRequired,
 		ResponseStarted: s.exchange.Begun(), CanContinue: s.info.CanContinue && s.exchange.CanGoOn(),
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -15,8 +15,8 @@
 	// Abandoned returns the call's last error when nobody waits for its answer any more,
 	// else nil.
 	Abandoned(ctx context.Context, err error) error
-	// Judge says what the failure of the last attempt proves.
-	Judge(ctx context.Context, err error) Failure
+	// Classify says what the failure of the last attempt proves.
+	Classify(ctx context.Context, err error) Failure
 	// After carries out the decision on that failure: it frees the backend server
 	// unless the call is resumed there. Its error ends the call; on GiveUp it
 	// returns one.
@@ -40,7 +40,7 @@
 		if gone := c.Abandoned(ctx, err); gone != nil {
 			return gone
 		}
-		d := Decide(c.Judge(ctx, err))
+		d := Decide(c.Classify(ctx, err))
 		if end := c.After(ctx, d, err); end != nil {
 			return end
 		}
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -158,8 +158,8 @@
 	return left
 }
 
-// Judge implements recovery.Call.
-func (s *session) Judge(_ context.Context, err error) recovery.Failure {
+// Classify implements recovery.Call.
+func (s *session) Classify(_ context.Context, err error) recovery.Failure {
 	notRun, proved := errors.Into[*NotRunError](err)
 	charged := !proved || notRun.Arrived
 	if charged && !errors.Is(err, errReplicaLost) {
