--- a/internal/gateway/plaincall.go
+++ b/internal/gateway/plaincall.go
@@ -90,8 +90,8 @@
 	return f
 }
 
-// After implements recovery.Call.
-func (p *plainCall) After(ctx context.Context, d recovery.Decision, err error) error {
+// Apply implements recovery.Call.
+func (p *plainCall) Apply(ctx context.Context, d recovery.Decision, err error) error {
 	p.g.opts.Log.Warn("attempt failed", "request", p.c.id, "addr", p.addr(), "run", p.run, "next", d.Step, "reason", d.Reason,
 		"err", err.Error())
 	if d.Step == recovery.GiveUp {
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -52,8 +52,8 @@
 	return f
 }
 
-// After implements recovery.Call.
-func (s *session) After(_ context.Context, d recovery.Decision, err error) error {
+// Apply implements recovery.Call.
+func (s *session) Apply(_ context.Context, d recovery.Decision, err error) error {
 	t := s.target.choice
 	s.g.opts.Log.Warn("attempt failed", "request", s.c.id, "replica", t.Replica.ID, "addr", t.Addr,
 		"after_event", s.exchange.LastID(), "next", d.Step, "reason", d.Reason, "err", err.Error())
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -17,10 +17,10 @@
 	Abandoned(ctx context.Context, err error) error
 	// Classify says what the failure of the last attempt proves.
 	Classify(ctx context.Context, err error) Failure
-	// After carries out the decision on that failure: it frees the backend server
+	// Apply carries out the decision on that failure: it frees the backend server
 	// unless the call is resumed there. Its error ends the call; on GiveUp it
 	// returns one.
-	After(ctx context.Context, d Decision, err error) error
+	Apply(ctx context.Context, d Decision, err error) error
 }
 
 // Run takes the call to its end: nil once an attempt brought the whole answer, else
@@ -41,7 +41,7 @@
 			return gone
 		}
 		d := Decide(c.Classify(ctx, err))
-		if end := c.After(ctx, d, err); end != nil {
+		if end := c.Apply(ctx, d, err); end != nil {
 			return end
 		}
 		resume = d.Step == Resume
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -89,7 +89,7 @@
 
 func (s *script) Classify(context.Context, error) recovery.Failure { return s.steps[s.tried-1] }
 
-func (s *script) After(_ context.Context, d recovery.Decision, _ error) error {
+func (s *script) Apply(_ context.Context, d recovery.Decision, _ error) error {
 	s.decided = append(s.decided, d)
 	if d.Step == recovery.GiveUp {
 		return errGivenUp
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -185,8 +185,8 @@
 // trip and a short answer.
 const minAttempt = 40 * time.Millisecond
 
-// After implements recovery.Call.
-func (s *session) After(_ context.Context, d recovery.Decision, err error) error {
+// Apply implements recovery.Call.
+func (s *session) Apply(_ context.Context, d recovery.Decision, err error) error {
 	s.r.opts.Log.Info("after attempt", "request", s.call.ID, "next", d.Step, "reason", d.Reason, "sent", s.sent, "held", time.Since(s.call.ReceivedAt), "left", s.left)
 	if d.Step != recovery.GiveUp {
 		return nil
