--- a/internal/player/backend.go
+++ b/internal/player/backend.go
@@ -157,8 +157,8 @@
 	return []byte{}, strconv.Itoa(r.last), nil
 }
 
-// All implements relay.Body.
-func (r *reading) All(int64) ([]byte, error) { return nil, errors.New("streams only") }
+// ReadAll implements relay.Body.
+func (r *reading) ReadAll(int64) ([]byte, error) { return nil, errors.New("streams only") }
 
 // Close implements relay.Body.
 func (r *reading) Close() {
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -102,7 +102,7 @@
 
 // whole reads an answer in one piece and passes it on once it is complete.
 func (a *attempt) whole(reply *Reply) (routing.Result, error) {
-	body, err := reply.Body.All(maxWhole)
+	body, err := reply.Body.ReadAll(maxWhole)
 	if err != nil {
 		return a.result(false, 0, 0), a.explain(err)
 	}
--- a/internal/relay/backend.go
+++ b/internal/relay/backend.go
@@ -41,8 +41,8 @@
 	// Next returns the next whole piece of a stream and its id; io.EOF after the
 	// last one of a complete answer. Any other error means that it is not complete.
 	Next() (data []byte, id string, err error)
-	// All reads an answer that has no pieces, of at most limit bytes.
-	All(limit int64) ([]byte, error)
+	// ReadAll reads an answer that has no pieces, of at most limit bytes.
+	ReadAll(limit int64) ([]byte, error)
 	// Close ends the reading; it may be called more than once.
 	Close()
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -119,7 +119,7 @@
 	return nil, "", b.err
 }
 
-func (b *scriptedBody) All(int64) ([]byte, error) {
+func (b *scriptedBody) ReadAll(int64) ([]byte, error) {
 	if b.err != nil && b.err != io.EOF {
 		return nil, b.err
 	}
