--- a/internal/player/backend.go
+++ b/internal/player/backend.go
@@ -55,7 +55,7 @@
 
 func (b *backend) reach(ctx context.Context, a relay.Attempt) (*vm, error) {
 	b.w.mu.Lock()
-	v := b.w.vms[a.To.Server]
+	v := b.w.vms[a.Peer.Server]
 	up := v != nil && !v.dead && b.w.reaches(b.zone, v.entry.Zone)
 	b.w.mu.Unlock()
 	if up {
--- a/internal/relay/backend.go
+++ b/internal/relay/backend.go
@@ -15,7 +15,7 @@
 // Attempt is one sending of a call to one backend server.
 type Attempt struct {
 	Call    *call.Call
-	To      conns.Peer
+	Peer      conns.Peer
 	Replica cluster.ReplicaID
 	// Left is the time after which nobody waits for the answer any more.
 	Left time.Duration
