--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -55,7 +55,7 @@
 	defer a.unwatch()
 
 	reply, err := a.s.r.opts.Backend.Send(a.ctx, Attempt{
-		Call: a.s.call, Peer: a.peer, Replica: a.choice.Replica.ID, Left: time.Until(a.s.end),
+		Call: a.s.call, Peer: a.peer, Replica: a.choice.Replica.ID, Timeout: time.Until(a.s.end),
 		ResumeAfter: a.s.lastID, MaxIdle: a.maxIdle(),
 	})
 	if err != nil {
--- a/internal/relay/backend.go
+++ b/internal/relay/backend.go
@@ -17,8 +17,8 @@
 	Call    *call.Call
 	Peer      conns.Peer
 	Replica cluster.ReplicaID
-	// Left is the time after which nobody waits for the answer any more.
-	Left time.Duration
+	// Timeout is the time after which nobody waits for the answer any more.
+	Timeout time.Duration
 	// ResumeAfter is the id of the last piece that came; empty to start anew.
 	ResumeAfter string
 	// MaxIdle is how long a connection may have been idle to be used.
