--- a/internal/player/backend.go
+++ b/internal/player/backend.go
@@ -80,10 +80,10 @@
 		load.Running, load.Waiting = h.replica.Running(), h.replica.Waiting()
 	}
 	if !open || v.model != a.Call.Model {
-		return nil, nil, load, &relay.NotRunError{Reason: "not the head of a replica of the model", Arrived: true, Load: &load, Err: errors.New(string(v.entry.ID))}
+		return nil, nil, load, &relay.NotRunError{Reason: "not the head of a replica of the model", Received: true, Load: &load, Err: errors.New(string(v.entry.ID))}
 	}
 	if load.Waiting >= w.scenario.Engine.Queue {
-		return nil, nil, load, &relay.NotRunError{Reason: "full", Arrived: true, Load: &load, Err: errors.New(string(v.entry.ID))}
+		return nil, nil, load, &relay.NotRunError{Reason: "full", Received: true, Load: &load, Err: errors.New(string(v.entry.ID))}
 	}
 	tokens := max(b.truth(a.Call.ID)-resumed(a.ResumeAfter)*w.scenario.Engine.Stride, 1)
 	job := &enginemodel.Job{Prompt: max(a.Call.PromptTokens, 1), Answer: tokens, Urgency: a.Call.Urgency}
--- a/internal/relay/backend.go
+++ b/internal/relay/backend.go
@@ -55,9 +55,9 @@
 // NotRunError is an attempt that certainly did not run and never will.
 type NotRunError struct {
 	Reason string
-	// Arrived is true when the server got the call and refused it, which counts
+	// Received is true when the server got the call and refused it, which counts
 	// against the retry budget.
-	Arrived bool
+	Received bool
 	// Culprit is the address of the member at fault, where the server named one.
 	Culprit string
 	// Elsewhere is true when another process has the server's address.
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -141,7 +141,7 @@
 
 var (
 	broken = &relay.BrokenError{Reason: "reset", Err: io.ErrUnexpectedEOF}
-	shed   = &relay.NotRunError{Reason: "full", Arrived: true}
+	shed   = &relay.NotRunError{Reason: "full", Received: true}
 	noDial = &relay.NotRunError{Reason: "connection refused"}
 )
 
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -161,7 +161,7 @@
 // Classify implements recovery.Call.
 func (s *session) Classify(_ context.Context, err error) recovery.Failure {
 	notRun, proved := errors.Into[*NotRunError](err)
-	charged := !proved || notRun.Arrived
+	charged := !proved || notRun.Received
 	if charged && !errors.Is(err, errReplicaLost) {
 		s.sent++ // a replica that ended meanwhile does not count
 	}
