--- a/internal/relay/backend.go
+++ b/internal/relay/backend.go
@@ -58,8 +58,8 @@
 	// Received is true when the server got the call and refused it, which counts
 	// against the retry budget.
 	Received bool
-	// Culprit is the address of the member at fault, where the server named one.
-	Culprit string
+	// FaultyMember is the address of the member at fault, where the server named one.
+	FaultyMember string
 	// Elsewhere is true when another process has the server's address.
 	Elsewhere bool
 	// Load is what the refusing server said of itself; may be nil.
@@ -69,7 +69,7 @@
 
 // Error implements error.
 func (e *NotRunError) Error() string {
-	return fmt.Sprintf("not run: %s: culprit=%s: %v", e.Reason, e.Culprit, e.Err)
+	return fmt.Sprintf("not run: %s: culprit=%s: %v", e.Reason, e.FaultyMember, e.Err)
 }
 
 // Unwrap returns the cause.
