--- a/internal/relay/backend.go
+++ b/internal/relay/backend.go
@@ -60,8 +60,8 @@
 	Received bool
 	// FaultyMember is the address of the member at fault, where the server named one.
 	FaultyMember string
-	// Elsewhere is true when another process has the server's address.
-	Elsewhere bool
+	// AddressReassigned is true when another process has the server's address.
+	AddressReassigned bool
 	// Load is what the refusing server said of itself; may be nil.
 	Load *Load
 	Err  error
