--- a/internal/entry/stalls.go
+++ b/internal/entry/stalls.go
@@ -24,7 +24,7 @@
 
 // replicaWorks tells all nodes, this one too, that the members of a replica answer.
 func (n *Core) replicaWorks(id cluster.ReplicaID) {
-	n.relay.ReplicaWorks(id, time.Now())
+	n.relay.MarkHealthy(id, time.Now())
 	if n.announce != nil {
 		n.announce(membership.Section{WorkingIDs: []uint32{loadID(id)}})
 	}
@@ -46,7 +46,7 @@
 			n.relay.ReportStall(id, node, now)
 		}
 		if slices.Contains(report.WorkingIDs, loadID(id)) {
-			n.relay.ReplicaWorks(id, now)
+			n.relay.MarkHealthy(id, now)
 		}
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// ReplicaWorks takes the word that all members of a replica answer.
-func (r *Relay) ReplicaWorks(id cluster.ReplicaID, now time.Time) { r.stalls.vouch(id, now) }
+// MarkHealthy takes the word that all members of a replica answer.
+func (r *Relay) MarkHealthy(id cluster.ReplicaID, now time.Time) { r.stalls.vouch(id, now) }
 
 // ReplicaLost ends the attempts on a replica that lost a member, so that they go
 // on elsewhere at once: the engines hold them for seconds before they fail.
