--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -45,8 +45,8 @@
 	return &Budget{opts: opts, by: make(map[cluster.Service]*tally)}
 }
 
-// Call counts a caller's request for the service.
-func (b *Budget) Call(service cluster.Service, now time.Time) {
+// RecordCall counts a caller's request for the service.
+func (b *Budget) RecordCall(service cluster.Service, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.at(service, now)
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -60,7 +60,7 @@
 	s := &session{r: r, call: c, sink: sink, end: c.End(), lastID: c.ResumeAfter}
 	s.service = c.Route.Terms.Pick(xxhash.Sum64String(c.ID))
 	s.group = GroupOf(s.service, c.Model)
-	r.opts.Budget.Call(s.service, c.ReceivedAt)
+	r.opts.Budget.RecordCall(s.service, c.ReceivedAt)
 	if !s.end.IsZero() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, s.end)
