--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -53,8 +53,8 @@
 	t.calls[t.step%budgetSteps]++
 }
 
-// Repeat takes the right to send a call of the service once more, or reports false.
-func (b *Budget) Repeat(service cluster.Service, now time.Time) bool {
+// TryRetry takes the right to send a call of the service once more, or reports false.
+func (b *Budget) TryRetry(service cluster.Service, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.at(service, now)
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -173,7 +173,7 @@
 		// A stream goes on after the id of its last piece on any replica.
 		ResponseStarted: s.started, CanContinue: true,
 		Attempts: s.sent, MaxAttempts: s.call.Route.Terms.MaxAttempts, OutOfTime: s.left < minAttempt,
-		TakeRetry: func() bool { return !charged || s.r.opts.Budget.Repeat(s.service, time.Now()) },
+		TakeRetry: func() bool { return !charged || s.r.opts.Budget.TryRetry(s.service, time.Now()) },
 	}
 	if proved {
 		f.Outcome = recovery.NotRun
