--- a/internal/admission/virtual_test.go
+++ b/internal/admission/virtual_test.go
@@ -165,7 +165,7 @@
 		m := &member{queue: newQueue(30 * time.Second), table: routing.NewTable(routing.Options{Zone: "a", Policy: f.policy, Seed: f.seed + uint64(i)})}
 		m.table.SetReplicas("a", entries)
 		for _, e := range entries {
-			m.table.SetWhole(e.Replica.ID, 1, true)
+			m.table.SetHealthy(e.Replica.ID, 1, true)
 		}
 		m.queue.setSlots(epoch, int(DefaultOvercommit*float64(f.replicas*batch)/float64(f.nodes)))
 		f.members = append(f.members, m)
--- a/internal/daemon/feeds.go
+++ b/internal/daemon/feeds.go
@@ -30,7 +30,7 @@
 	}
 	n.health.OnChange(func(r cluster.Replica, whole bool, reason string) {
 		n.log.Info("replica", "replica", r.ID, "generation", r.Generation, "whole", whole, "reason", reason)
-		n.routing.SetWhole(r.ID, r.Generation, whole)
+		n.routing.SetHealthy(r.ID, r.Generation, whole)
 		n.ledger.wake()
 		n.wakeReview()
 	})
--- a/internal/daemon/feeds_test.go
+++ b/internal/daemon/feeds_test.go
@@ -36,7 +36,7 @@
 		go func() { n.review(ctx); close(done) }()
 		replica := cluster.Replica{ID: "fit.1", Group: "fit", Zone: "serra-a", Generation: 1, Members: []cluster.VMID{"a"}, Serving: "a"}
 		n.routing.SetReplicas("serra-a", []routing.Entry{{Replica: replica, Addr: "127.0.0.1:1"}})
-		n.routing.SetWhole(replica.ID, replica.Generation, true)
+		n.routing.SetHealthy(replica.ID, replica.Generation, true)
 		n.wakeReview()
 		synctest.Wait()
 		slot, err := n.admission.Acquire(ctx, request)
--- a/internal/entry/derive.go
+++ b/internal/entry/derive.go
@@ -26,7 +26,7 @@
 	}
 	n.table.SetReplicas("", entries)
 	for _, e := range entries {
-		n.table.SetWhole(e.Replica.ID, e.Replica.Generation, true)
+		n.table.SetHealthy(e.Replica.ID, e.Replica.Generation, true)
 	}
 	n.noteChanges(serving, replicas, list.Revision)
 	n.serving = serving
--- a/internal/entry/region_test.go
+++ b/internal/entry/region_test.go
@@ -72,7 +72,7 @@
 	replica := cluster.Replica{ID: "m/1.1", Group: "m", Model: "m", Zone: "z", Generation: 1, Serving: "a"}
 	n.serving[replica.ID] = true
 	n.table.SetReplicas("", []routing.Entry{{Replica: replica, Addr: "127.0.0.1:1", Slots: 4}})
-	n.table.SetWhole(replica.ID, 1, true)
+	n.table.SetHealthy(replica.ID, 1, true)
 	request := routing.Request{Group: "m", Limit: routing.Limit{PerSlot: 1}}
 	choice, err := n.table.Choose(request)
 	require.NoError(t, err)
@@ -95,7 +95,7 @@
 	replica := cluster.Replica{ID: "m/1.1", Group: "m", Model: "m", Zone: "z", Generation: 1, Serving: "a"}
 	n.serving[replica.ID] = true
 	n.table.SetReplicas("", []routing.Entry{{Replica: replica, Addr: "127.0.0.1:1", Slots: 4}})
-	n.table.SetWhole(replica.ID, 1, true)
+	n.table.SetHealthy(replica.ID, 1, true)
 	n.TakeLoadReport("other", membership.Section{LoadIDs: []uint32{loadID(replica.ID)}, LoadCounts: []uint32{4}})
 	request := routing.Request{Group: "m", Limit: routing.Limit{PerSlot: 1}}
 	_, err := n.table.ChooseAt(time.Now(), request)
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -26,7 +26,7 @@
 	}
 	table.SetReplicas("", entries)
 	for _, e := range entries {
-		table.SetWhole(e.Replica.ID, e.Replica.Generation, true)
+		table.SetHealthy(e.Replica.ID, e.Replica.Generation, true)
 		table.ReportLoad(e.Replica.ID, engine.Load{AsOf: time.Now(), MaxRunning: batch}, time.Now())
 	}
 	b.opts.Router = table
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -204,9 +204,9 @@
 	t.groups.Store(&next)
 }
 
-// SetWhole says whether the health check confirms every member of the replica's
+// SetHealthy says whether the health check confirms every member of the replica's
 // generation. Only the committed generation counts.
-func (t *Table) SetWhole(id cluster.ReplicaID, generation int64, whole bool) {
+func (t *Table) SetHealthy(id cluster.ReplicaID, generation int64, whole bool) {
 	var changed cluster.GroupName
 	t.with(id, func(e *entry) {
 		before := e.eligible()
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -38,7 +38,7 @@
 		t.SetReplicas(zone, entries)
 	}
 	for i := range n {
-		t.SetWhole(cluster.ReplicaID(fmt.Sprintf("r%d", i)), 1, true)
+		t.SetHealthy(cluster.ReplicaID(fmt.Sprintf("r%d", i)), 1, true)
 	}
 	return t
 }
@@ -332,9 +332,9 @@
 			},
 			"whole": func(rt *rapid.T) {
 				r, ok := id.Draw(rt, "replica"), rapid.Bool().Draw(rt, "whole")
-				table.SetWhole(r, 1, ok)
-				table.SetWhole(r, 2, true) // a generation that was never committed
-				table.SetWhole(r, 1, ok)
+				table.SetHealthy(r, 1, ok)
+				table.SetHealthy(r, 2, true) // a generation that was never committed
+				table.SetHealthy(r, 1, ok)
 				whole[r] = ok
 			},
 			"time": func(rt *rapid.T) {
@@ -357,7 +357,7 @@
 	table := newFleet(3, nil)
 	reportAll(table, 2, 0, start)
 	require.Equal(t, map[cluster.GroupName]int{"g": 3 * testCapacity}, table.Capacities(start), "a silent one counts as a median one")
-	table.SetWhole("r0", 1, false)
+	table.SetHealthy("r0", 1, false)
 	require.Equal(t, map[cluster.GroupName]int{"g": 2 * testCapacity}, table.Capacities(start))
 }
 
@@ -367,7 +367,7 @@
 	table.SetReplicas("a", []Entry{{Replica: cluster.Replica{ID: "r1", Group: "g", Zone: "a", Generation: 2}, Addr: "x"}})
 	_, err := table.ChooseAt(start, Request{Group: "g"})
 	require.True(t, fennelerr.Is(err, fennelerr.NoReplica), "generation 2 is not confirmed")
-	table.SetWhole("r1", 2, true)
+	table.SetHealthy("r1", 2, true)
 	require.Equal(t, cluster.ReplicaID("r1"), choose(t, table, start, Request{}).Replica.ID)
 	table.EndAt(start, held, Result{OK: true})
 }
