--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -71,7 +71,7 @@
 	list, _ := n.currentList()
 	for _, s := range n.table.Statuses(now) {
 		resp.Replicas = append(resp.Replicas, &wirepb.ReplicaReport{Replica: string(s.Replica.ID), Group: string(s.Replica.Group), Zone: string(s.Replica.Zone),
-			Generation: s.Replica.Generation, Whole: s.Whole, Running: int32(s.Load.Running), Waiting: int32(s.Load.Waiting), ConfirmedAgoMs: now.Sub(list.ReadAt).Milliseconds()})
+			Generation: s.Replica.Generation, Whole: s.Healthy, Running: int32(s.Load.Running), Waiting: int32(s.Load.Waiting), ConfirmedAgoMs: now.Sub(list.ReadAt).Milliseconds()})
 	}
 	return resp, nil
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -334,7 +334,7 @@
 // Status is what the table knows of one replica, for operators and for gossip.
 type Status struct {
 	Replica     cluster.Replica
-	Whole       bool
+	Healthy       bool
 	Load        engine.Load
 	LoadAt      time.Time // zero when no report came
 	Outstanding int
@@ -351,7 +351,7 @@
 		s.mu.Lock()
 		for _, e := range s.entries {
 			out = append(out, Status{
-				Replica: e.replica, Whole: e.eligible(), Load: e.report.load, LoadAt: e.report.receivedAt,
+				Replica: e.replica, Healthy: e.eligible(), Load: e.report.load, LoadAt: e.report.receivedAt,
 				Outstanding: e.outstanding, InFlight: float64(e.outstanding) + e.others(now, t.opts), Avoided: e.speed.avoided(now),
 			})
 		}
