--- a/internal/routing/group.go
+++ b/internal/routing/group.go
@@ -187,7 +187,7 @@
 	o := v.table.opts
 	capacity := believedCapacity(e.claimed(), v.snap.capacity)
 	return Candidate{
-		ID: e.replica.ID, Local: e.replica.Zone == o.Zone, Whole: e.eligible(),
+		ID: e.replica.ID, Local: e.replica.Zone == o.Zone, Healthy: e.eligible(),
 		InFlight: e.inFlight(v.now, o, capacity, v.snap.usual), Capacity: capacity,
 		Load:    float64(e.outstanding) + e.others(v.now, o),
 		Avoided: e.speed.avoided(v.now) || e.speed.closedForTrial(),
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -13,8 +13,8 @@
 	ID cluster.ReplicaID
 	// Local is true for a replica in this node's availability zone.
 	Local bool
-	// Whole is false for a replica that stopped being whole since the view was made.
-	Whole bool
+	// Healthy is false for a replica that stopped being whole since the view was made.
+	Healthy bool
 	// InFlight estimates the requests running and waiting on the replica.
 	InFlight float64
 	// Load is the same with all that is known of what others run on it, where InFlight
@@ -88,7 +88,7 @@
 	start := rnd.IntN(n)
 	for i := range n {
 		c := v.At((start + i) % n)
-		if c.Whole && !slices.Contains(req.Exclude, c.ID) {
+		if c.Healthy && !slices.Contains(req.Exclude, c.ID) {
 			return Pick{Candidate: c, Found: true, Reason: ReasonRandom, Considered: 1}
 		}
 	}
@@ -200,7 +200,7 @@
 
 func (b *best) offer(c Candidate, match float64) {
 	b.considered++
-	if !c.Whole || slices.Contains(b.req.Exclude, c.ID) {
+	if !c.Healthy || slices.Contains(b.req.Exclude, c.ID) {
 		return
 	}
 	if b.req.Limit.exceeded(c) {
@@ -261,7 +261,7 @@
 	out := Pick{Reason: ReasonAlone, Considered: v.Len()}
 	for i := range v.Len() {
 		c := v.At(i)
-		if !c.Whole || c.Suspects > 0 || slices.Contains(req.Exclude, c.ID) {
+		if !c.Healthy || c.Suspects > 0 || slices.Contains(req.Exclude, c.ID) {
 			continue
 		}
 		if req.MayRetryOn != nil && !req.MayRetryOn(c.ID) {
