--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -134,7 +134,7 @@
 func (s *session) chooseReplica(ctx context.Context, alone bool) (routing.Choice, error) {
 	req := routing.Request{
 		Group: s.route.Group, Prefer: s.route.Prefer, PrefixHashes: s.asked.PrefixHashes, Exclude: s.exclude,
-		Alone: alone, MayRetryOn: s.g.opts.Quarantine.MayRetryOn,
+		Isolated: alone, MayRetryOn: s.g.opts.Quarantine.MayRetryOn,
 	}
 	giveUp := time.Now().Add(maxRetryTurnWait)
 	for {
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -124,7 +124,7 @@
 	if v.Len() == 0 {
 		return Pick{}
 	}
-	if req.Alone {
+	if req.Isolated {
 		return pickAlone(v, req)
 	}
 	b := best{policy: p, req: req}
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -22,8 +22,8 @@
 	PrefixHashes []uint64
 	// Exclude lists replicas that failed this request already.
 	Exclude []cluster.ReplicaID
-	// Alone asks for a replica on which no other suspect runs (see package suspect).
-	Alone bool
+	// Isolated asks for a replica on which no other suspect runs (see package suspect).
+	Isolated bool
 	// MayRetryOn narrows the replicas for Alone; nil means all.
 	MayRetryOn func(cluster.ReplicaID) bool
 	// Limit is what a replica may hold with the request; the zero value is no bound.
