--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -91,7 +91,7 @@
 	}
 	return Choice{
 		Replica: e.replica, Addr: e.addr, Reason: pick.Reason, Considered: pick.Considered,
-		Alone: req.Isolated, entry: e, trial: trial,
+		Isolated: req.Isolated, entry: e, trial: trial,
 	}, e.cacheEpoch, true
 }
 
@@ -111,7 +111,7 @@
 	if choice.trial {
 		e.speed.trials = max(e.speed.trials-1, 0)
 	}
-	if choice.Alone {
+	if choice.Isolated {
 		e.suspects--
 	}
 	if e.replica.Serving == choice.Replica.Serving {
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -60,8 +60,8 @@
 	Reason string
 	// Considered is how many candidates were compared.
 	Considered int
-	// Alone repeats Request.Alone.
-	Alone bool
+	// Isolated repeats Request.Isolated.
+	Isolated bool
 
 	// entry is where the table counted the request; End counts it back.
 	entry *entry
