--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -71,7 +71,7 @@
 	ReasonPrefix  = "prefix"
 	ReasonZone    = "own-zone"
 	ReasonTrial   = "trial"
-	ReasonAlone   = "suspect-alone"
+	ReasonIsolated   = "suspect-alone"
 	ReasonNoOther = "no-better-replica"
 )
 
@@ -258,7 +258,7 @@
 // suspect crashes it, the fewest others are hurt. Suspects are rare, so the whole
 // list is read.
 func pickAlone(v View, req Request) Pick {
-	out := Pick{Reason: ReasonAlone, Considered: v.Len()}
+	out := Pick{Reason: ReasonIsolated, Considered: v.Len()}
 	for i := range v.Len() {
 		c := v.At(i)
 		if !c.Healthy || c.Suspects > 0 || slices.Contains(req.Exclude, c.ID) {
