--- a/internal/routing/entry.go
+++ b/internal/routing/entry.go
@@ -65,7 +65,7 @@
 // and count whole.
 func (e *entry) inFlight(now time.Time, o Options, capacity, usual float64) float64 {
 	expected := usual * capacity
-	return float64(e.outstanding) + expected + o.OthersWeight*(e.others(now, o)-expected)
+	return float64(e.outstanding) + expected + o.RemoteLoadWeight*(e.others(now, o)-expected)
 }
 
 // claimed is how many requests the replica batches by its own report, or as listed.
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -24,9 +24,9 @@
 	ReportExpiry time.Duration
 	// PeerExpiry is the age at which a peer's outstanding count is dropped.
 	PeerExpiry time.Duration
-	// OthersWeight is the part that counts of a replica's difference from the
+	// RemoteLoadWeight is the part that counts of a replica's difference from the
 	// group in what others run on it, above 0 and up to 1.
-	OthersWeight float64
+	RemoteLoadWeight float64
 	// MaxLag bounds how late a report is believed to be.
 	MaxLag time.Duration
 	// PrefixEntries bounds the prefix index; PrefixExpiry ends an entry nobody renews.
@@ -58,7 +58,7 @@
 	}
 	setDefault(&o.ReportExpiry, DefaultReportExpiry)
 	setDefault(&o.PeerExpiry, DefaultPeerExpiry)
-	setDefault(&o.OthersWeight, DefaultOthersWeight)
+	setDefault(&o.RemoteLoadWeight, DefaultOthersWeight)
 	setDefault(&o.MaxLag, DefaultMaxLag)
 	setDefault(&o.PrefixEntries, DefaultPrefixEntries)
 	setDefault(&o.PrefixExpiry, DefaultPrefixExpiry)
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -121,7 +121,7 @@
 		var tables []*Table
 		for i := range nodes {
 			table := newFleet(n, nil)
-			table.opts.Seed, table.opts.OthersWeight = uint64(draw*nodes+i), weight
+			table.opts.Seed, table.opts.RemoteLoadWeight = uint64(draw*nodes+i), weight
 			tables = append(tables, table)
 		}
 		var open [][]Choice
