--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -42,7 +42,7 @@
 const (
 	DefaultReportExpiry  = 5 * time.Second
 	DefaultPeerExpiry    = 5 * time.Second
-	DefaultOthersWeight  = 0.25
+	DefaultRemoteLoadWeight  = 0.25
 	DefaultMaxLag        = 2 * time.Second
 	DefaultPrefixEntries = 1 << 16
 	DefaultPrefixExpiry  = 10 * time.Minute
@@ -58,7 +58,7 @@
 	}
 	setDefault(&o.ReportExpiry, DefaultReportExpiry)
 	setDefault(&o.PeerExpiry, DefaultPeerExpiry)
-	setDefault(&o.RemoteLoadWeight, DefaultOthersWeight)
+	setDefault(&o.RemoteLoadWeight, DefaultRemoteLoadWeight)
 	setDefault(&o.MaxLag, DefaultMaxLag)
 	setDefault(&o.PrefixEntries, DefaultPrefixEntries)
 	setDefault(&o.PrefixExpiry, DefaultPrefixExpiry)
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -149,7 +149,7 @@
 	// The worst swing of one series of draws is a matter of luck; its mean is not.
 	damped, full := 0.0, 0.0
 	for draw := range draws {
-		damped += float64(swing(DefaultOthersWeight, draw)) / draws
+		damped += float64(swing(DefaultRemoteLoadWeight, draw)) / draws
 		full += float64(swing(1, draw)) / draws
 	}
 	t.Logf("worst swing, mean over %d series: %.1f damped, %.1f at full weight", draws, damped, full)
