--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -27,8 +27,8 @@
 	// RemoteLoadWeight is the part that counts of a replica's difference from the
 	// group in what others run on it, above 0 and up to 1.
 	RemoteLoadWeight float64
-	// MaxLag bounds how late a report is believed to be.
-	MaxLag time.Duration
+	// MaxReportLag bounds how late a report is believed to be.
+	MaxReportLag time.Duration
 	// PrefixEntries bounds the prefix index; PrefixExpiry ends an entry nobody renews.
 	PrefixEntries int
 	PrefixExpiry  time.Duration
@@ -59,7 +59,7 @@
 	setDefault(&o.ReportExpiry, DefaultReportExpiry)
 	setDefault(&o.PeerExpiry, DefaultPeerExpiry)
 	setDefault(&o.RemoteLoadWeight, DefaultRemoteLoadWeight)
-	setDefault(&o.MaxLag, DefaultMaxLag)
+	setDefault(&o.MaxReportLag, DefaultMaxLag)
 	setDefault(&o.PrefixEntries, DefaultPrefixEntries)
 	setDefault(&o.PrefixExpiry, DefaultPrefixExpiry)
 	setDefault(&o.ReviewEvery, DefaultReviewEvery)
@@ -237,7 +237,7 @@
 			// that was set back.
 			return
 		}
-		lag := min(max(receivedAt.Sub(load.AsOf), 0), t.opts.MaxLag)
+		lag := min(max(receivedAt.Sub(load.AsOf), 0), t.opts.MaxReportLag)
 		e.report = report{
 			load: load, receivedAt: receivedAt,
 			ownThen: e.history.countAt(receivedAt.Add(-lag), e.outstanding),
