--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -43,7 +43,7 @@
 	DefaultReportExpiry  = 5 * time.Second
 	DefaultPeerExpiry    = 5 * time.Second
 	DefaultRemoteLoadWeight  = 0.25
-	DefaultMaxLag        = 2 * time.Second
+	DefaultMaxReportLag        = 2 * time.Second
 	DefaultPrefixEntries = 1 << 16
 	DefaultPrefixExpiry  = 10 * time.Minute
 	DefaultReviewEvery   = time.Second
@@ -59,7 +59,7 @@
 	setDefault(&o.ReportExpiry, DefaultReportExpiry)
 	setDefault(&o.PeerExpiry, DefaultPeerExpiry)
 	setDefault(&o.RemoteLoadWeight, DefaultRemoteLoadWeight)
-	setDefault(&o.MaxReportLag, DefaultMaxLag)
+	setDefault(&o.MaxReportLag, DefaultMaxReportLag)
 	setDefault(&o.PrefixEntries, DefaultPrefixEntries)
 	setDefault(&o.PrefixExpiry, DefaultPrefixExpiry)
 	setDefault(&o.ReviewEvery, DefaultReviewEvery)
