--- a/internal/routing/group.go
+++ b/internal/routing/group.go
@@ -39,7 +39,7 @@
 // is checked again under its lock.
 func (g *group) current(o Options, now time.Time) *snapshot {
 	old := g.snapshot.Load()
-	due := old == nil || g.dirty.Load() || now.Sub(old.takenAt) >= o.ReviewEvery
+	due := old == nil || g.dirty.Load() || now.Sub(old.takenAt) >= o.ReviewInterval
 	if !due {
 		return old
 	}
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -32,8 +32,8 @@
 	// PrefixEntries bounds the prefix index; PrefixExpiry ends an entry nobody renews.
 	PrefixEntries int
 	PrefixExpiry  time.Duration
-	// ReviewEvery is how often a group's medians are taken and stragglers judged.
-	ReviewEvery time.Duration
+	// ReviewInterval is how often a group's medians are taken and stragglers judged.
+	ReviewInterval time.Duration
 	// Now is the clock of Choose and End; default time.Now.
 	Now func() time.Time
 }
@@ -62,7 +62,7 @@
 	setDefault(&o.MaxReportLag, DefaultMaxReportLag)
 	setDefault(&o.PrefixEntries, DefaultPrefixEntries)
 	setDefault(&o.PrefixExpiry, DefaultPrefixExpiry)
-	setDefault(&o.ReviewEvery, DefaultReviewEvery)
+	setDefault(&o.ReviewInterval, DefaultReviewEvery)
 	return o
 }
 
