--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -46,7 +46,7 @@
 	DefaultMaxReportLag        = 2 * time.Second
 	DefaultPrefixEntries = 1 << 16
 	DefaultPrefixExpiry  = 10 * time.Minute
-	DefaultReviewEvery   = time.Second
+	DefaultReviewInterval   = time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -62,7 +62,7 @@
 	setDefault(&o.MaxReportLag, DefaultMaxReportLag)
 	setDefault(&o.PrefixEntries, DefaultPrefixEntries)
 	setDefault(&o.PrefixExpiry, DefaultPrefixExpiry)
-	setDefault(&o.ReviewInterval, DefaultReviewEvery)
+	setDefault(&o.ReviewInterval, DefaultReviewInterval)
 	return o
 }
 
