--- a/internal/routing/cachepoll.go
+++ b/internal/routing/cachepoll.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	// DefaultCacheBytes is a quarter of what a node may spend on control.
-	DefaultCacheBytes = 1500
+	// DefaultCacheBytesPerSecond is a quarter of what a node may spend on control.
+	DefaultCacheBytesPerSecond = 1500
 	// pollBytes and eventBytes are the traffic of one poll and of one event in it.
 	pollBytes  = 400
 	eventBytes = 50
@@ -50,7 +50,7 @@
 func (p *CachePoller) Run(ctx context.Context) {
 	budget := p.BytesPerSecond
 	if budget == 0 {
-		budget = DefaultCacheBytes
+		budget = DefaultCacheBytesPerSecond
 	}
 	for ctx.Err() == nil {
 		cycle := time.Now()
--- a/internal/routing/cachepoll_test.go
+++ b/internal/routing/cachepoll_test.go
@@ -49,7 +49,7 @@
 			for _, n := range source.asked {
 				bytes += n * (pollBytes + events*eventBytes)
 			}
-			require.LessOrEqual(t, bytes, 2*60*DefaultCacheBytes+pollBytes+events*eventBytes+source.asked["addr-r3"]*events*eventBytes)
+			require.LessOrEqual(t, bytes, 2*60*DefaultCacheBytesPerSecond+pollBytes+events*eventBytes+source.asked["addr-r3"]*events*eventBytes)
 			require.Len(t, source.asked, 4, "the own zone's replicas only")
 			require.GreaterOrEqual(t, source.asked["addr-r0"], 3)
 			require.Zero(t, source.after["addr-r3"])
