--- a/internal/capacity/role.go
+++ b/internal/capacity/role.go
@@ -36,7 +36,7 @@
 const (
 	listEvery        = 5.0  // settings.DefaultVMListEvery, in seconds
 	heartbeatTargets = 4.3  // three of the zone and 2 x 16 links among 25 nodes
-	cachePollBudget  = 1500 // routing.DefaultCacheBytes
+	cachePollBudget  = 1500 // routing.DefaultCacheBytesPerSecond
 	prefixesAtMost   = 65_536
 	tableAskEvery    = 1.0      // grouping.DefaultRetry, in seconds
 	healthRounds     = 4        // health's tick, a second: each asks for each replica's duty
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -121,11 +121,11 @@
 
 // giveUpCodes are the codes of a request that is given up, by reason.
 var giveUpCodes = map[recovery.Reason]fennelerr.Code{
-	recovery.RejectedByServer: fennelerr.InvalidRequest,
-	recovery.AttemptsExhausted:     fennelerr.BackendFailed,
-	recovery.MayHaveRun:       fennelerr.OutcomeUnknown,
-	recovery.NotContinuable:   fennelerr.StreamTruncated,
-	recovery.BudgetExhausted:       fennelerr.Overloaded,
+	recovery.RejectedByServer:  fennelerr.InvalidRequest,
+	recovery.AttemptsExhausted: fennelerr.BackendFailed,
+	recovery.MayHaveRun:        fennelerr.OutcomeUnknown,
+	recovery.NotContinuable:    fennelerr.StreamTruncated,
+	recovery.BudgetExhausted:   fennelerr.Overloaded,
 }
 
 // giveUp turns the last failure into the caller's final answer.
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -56,15 +56,15 @@
 
 // Reasons of Decide. The first ones are those of giving up.
 const (
-	RejectedByServer Reason = "rejected"
-	AttemptsExhausted     Reason = "attempts used"
-	NoTimeLeft       Reason = "no time left"
-	MayHaveRun       Reason = "may have run"
-	NotContinuable   Reason = "the answer cannot be continued elsewhere"
-	BudgetExhausted       Reason = "retry budget used"
+	RejectedByServer  Reason = "rejected"
+	AttemptsExhausted Reason = "attempts used"
+	NoTimeLeft        Reason = "no time left"
+	MayHaveRun        Reason = "may have run"
+	NotContinuable    Reason = "the answer cannot be continued elsewhere"
+	BudgetExhausted   Reason = "retry budget used"
 
-	ConnectionLost  Reason = "the connection failed, the server still has the call"
-	ResponseStarted  Reason = "another server can go on"
+	ConnectionLost     Reason = "the connection failed, the server still has the call"
+	ResponseStarted    Reason = "another server can go on"
 	ResponseNotStarted Reason = "nothing has reached the caller"
 )
 
--- a/internal/relay/backend.go
+++ b/internal/relay/backend.go
@@ -15,7 +15,7 @@
 // Attempt is one sending of a call to one backend server.
 type Attempt struct {
 	Call    *call.Call
-	Peer      conns.Peer
+	Peer    conns.Peer
 	Replica cluster.ReplicaID
 	// Timeout is the time after which nobody waits for the answer any more.
 	Timeout time.Duration
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -66,13 +66,13 @@
 
 // Reasons of picks, as they appear in the decision log.
 const (
-	ReasonRandom  = "random"
-	ReasonLoad    = "least-loaded"
-	ReasonPrefix  = "prefix"
-	ReasonZone    = "own-zone"
-	ReasonTrial   = "trial"
-	ReasonIsolated   = "suspect-alone"
-	ReasonNoOther = "no-better-replica"
+	ReasonRandom   = "random"
+	ReasonLoad     = "least-loaded"
+	ReasonPrefix   = "prefix"
+	ReasonZone     = "own-zone"
+	ReasonTrial    = "trial"
+	ReasonIsolated = "suspect-alone"
+	ReasonNoOther  = "no-better-replica"
 )
 
 // Naive picks any whole replica at random. It is the yardstick of the
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -40,12 +40,12 @@
 
 // Defaults of Options.
 const (
-	DefaultReportExpiry  = 5 * time.Second
-	DefaultPeerExpiry    = 5 * time.Second
-	DefaultRemoteLoadWeight  = 0.25
-	DefaultMaxReportLag        = 2 * time.Second
-	DefaultPrefixEntries = 1 << 16
-	DefaultPrefixExpiry  = 10 * time.Minute
+	DefaultReportExpiry     = 5 * time.Second
+	DefaultPeerExpiry       = 5 * time.Second
+	DefaultRemoteLoadWeight = 0.25
+	DefaultMaxReportLag     = 2 * time.Second
+	DefaultPrefixEntries    = 1 << 16
+	DefaultPrefixExpiry     = 10 * time.Minute
 	DefaultReviewInterval   = time.Second
 )
 
@@ -334,7 +334,7 @@
 // Status is what the table knows of one replica, for operators and for gossip.
 type Status struct {
 	Replica     cluster.Replica
-	Healthy       bool
+	Healthy     bool
 	Load        engine.Load
 	LoadAt      time.Time // zero when no report came
 	Outstanding int
