--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -1,60 +1,62 @@
 package recovery
 
-// Outcome is what a failed attempt shows of the call's run.
+// Outcome says what a failed attempt reveals about the execution of the call.
 type Outcome int
 
 const (
-	// Interrupted: the attempt broke off, went silent or brought another call's
-	// answer. The call may have run.
+	// Interrupted means that the connection broke, timed out or returned the answer
+	// to another call. The call may have run.
 	Interrupted Outcome = iota
-	// NotRun: the attempt certainly did not run the call and never will.
+	// NotRun means that the attempt did not run the call and never will.
 	NotRun
-	// Rejected: the backend server's final word on the call itself.
+	// Rejected means that the backend server rejected the call itself.
 	Rejected
 )
 
-// Failure is all that the next step after a failed attempt depends on.
+// Failure describes a failed attempt and the state of its call, as input to Decide.
 type Failure struct {
 	Outcome Outcome
 	// MayHaveRun is true when this attempt or an earlier one may have run the call. A
-	// resume whose dial fails did not run it, but the attempt that it resumes may have.
+	// resume that fails to dial did not run the call, but the attempt it resumes may have.
 	MayHaveRun bool
 	// Repeatable is true for a call that may run more than once.
 	Repeatable bool
-	// ResponseStarted is true once the caller has a part of the answer.
+	// ResponseStarted is true once the caller has received part of the answer.
 	ResponseStarted bool
-	// CanContinue is true when another backend server can go on after that part.
+	// CanContinue is true when another backend server can continue after that part.
 	CanContinue bool
-	// CanResume is true when the backend server still has the call, so that a new
-	// connection can resume it.
+	// CanResume is true when the backend server still holds the call, so that it can be
+	// resumed over a new connection.
 	CanResume bool
-	// Attempts counts the attempts that used up the call's allowance.
+	// Attempts is the number of attempts that count against MaxAttempts.
 	Attempts, MaxAttempts int
-	// OutOfTime is true when another attempt could bring nothing in time.
+	// OutOfTime is true when another attempt could not finish before the deadline.
 	OutOfTime bool
-	// TakeRetry spends one repeat, or reports false. It is asked only when all else
-	// allows another attempt.
+	// TakeRetry takes one retry from the retry budget and returns false if the budget is
+	// exhausted. It is called only if everything else allows another attempt.
 	TakeRetry func() bool
 }
 
-// Step is how a call goes on.
+// Step is the next action for a call after a failed attempt.
 type Step int
 
 const (
 	// GiveUp ends the call.
 	GiveUp Step = iota
-	// Resume goes to the same backend server again, after the part that came.
+	// Resume reconnects to the same backend server and continues after the last piece
+	// received.
 	Resume
-	// Continue goes to another one, after the part that the caller has.
+	// Continue sends the call to another backend server, which continues after the part
+	// the caller already has.
 	Continue
-	// Restart goes to another one, from the start.
+	// Restart sends the call to another backend server from the beginning.
 	Restart
 )
 
-// Reason tells why a step was chosen.
+// Reason explains why a step was chosen.
 type Reason string
 
-// Reasons of Decide. The first ones are those of giving up.
+// Reasons returned by Decide. Those of the first group accompany GiveUp.
 const (
 	RejectedByServer  Reason = "rejected"
 	AttemptsExhausted Reason = "attempts used"
@@ -68,16 +70,16 @@
 	ResponseNotStarted Reason = "nothing has reached the caller"
 )
 
-// Decision is a step with its reason.
+// Decision is a step and the reason for it.
 type Decision struct {
 	Step   Step
 	Reason Reason
 }
 
-// Decide says how a call goes on after a failed attempt. A call that must not run
-// twice goes on elsewhere only when no attempt can have run it. Once the caller has
-// a part of the answer, only a resume or a continuation may follow: parts of two
-// runs that differ would make up an answer that nobody gave.
+// Decide returns the next step after a failed attempt. A call that must not run twice
+// is sent to another server only if no earlier attempt can have run it. Once the caller
+// has received part of the answer, only Resume and Continue are allowed: a restart could
+// mix parts of two different answers.
 func Decide(f Failure) Decision {
 	switch {
 	case f.Outcome == Rejected:
@@ -101,7 +103,7 @@
 	}
 }
 
-// String names the step for logs.
+// String returns the name of the step as it appears in logs.
 func (s Step) String() string {
 	switch s {
 	case Resume:
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,30 +1,30 @@
-// Package recovery takes a call from attempt to attempt until its caller has an
-// answer or the call is given up. What an attempt is and what its failure proves,
-// each kind of call tells itself; how a call may go on is decided here, alike for all.
+// Package recovery retries a call until it is answered or given up. Each kind of call
+// implements its own attempts and classifies their failures; the decision whether and
+// how to retry is shared by all kinds.
 package recovery
 
 import "context"
 
-// Call is one call on its way.
+// Call is a call that may take several attempts.
 type Call interface {
-	// Choose takes a backend server for the next attempt. Its error ends the call.
+	// Choose selects the backend server for the next attempt. An error ends the call.
 	Choose(ctx context.Context) error
-	// Attempt sends the call once, or resumes it where it was; nil means that the
-	// whole answer came.
+	// Attempt sends the call once, or resumes the previous attempt. It returns nil if
+	// the complete answer was received.
 	Attempt(ctx context.Context) error
-	// Abandoned returns the call's last error when nobody waits for its answer any more,
-	// else nil.
+	// Abandoned returns the call's final error if nobody waits for the answer any more,
+	// and nil otherwise.
 	Abandoned(ctx context.Context, err error) error
-	// Classify says what the failure of the last attempt proves.
+	// Classify describes the failure of the last attempt.
 	Classify(ctx context.Context, err error) Failure
-	// Apply carries out the decision on that failure: it frees the backend server
-	// unless the call is resumed there. Its error ends the call; on GiveUp it
+	// Apply carries out the decision on that failure. It releases the backend server
+	// unless the call is resumed there. An error ends the call; for GiveUp, Apply always
 	// returns one.
 	Apply(ctx context.Context, d Decision, err error) error
 }
 
-// Run takes the call to its end: nil once an attempt brought the whole answer, else
-// the error that ended it.
+// Run makes attempts until one returns the complete answer, or returns the error that
+// ended the call.
 func Run(ctx context.Context, c Call) error {
 	resume := false
 	for {
@@ -37,12 +37,12 @@
 		if err == nil {
 			return nil
 		}
-		if gone := c.Abandoned(ctx, err); gone != nil {
-			return gone
+		if abandoned := c.Abandoned(ctx, err); abandoned != nil {
+			return abandoned
 		}
 		d := Decide(c.Classify(ctx, err))
-		if end := c.Apply(ctx, d, err); end != nil {
-			return end
+		if final := c.Apply(ctx, d, err); final != nil {
+			return final
 		}
 		resume = d.Step == Resume
 	}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -11,30 +11,30 @@
 	"github.com/fennelcourse/fennelcourse/internal/recovery"
 )
 
-// A call fails in every way there is. Its caller must never get an answer made up of
-// two runs, and a call that must not run twice must never be sent again once an
-// earlier attempt can have run it: a deposit would be booked twice.
+// Checks every combination of failure properties. A caller must never receive an answer
+// combined from two executions, and a call that must not run twice must never be sent
+// again once an earlier attempt may have run it: a deposit would be booked twice.
 func TestDecideNeverStitchesOrRepeats(t *testing.T) {
-	for _, proof := range []recovery.Outcome{recovery.Interrupted, recovery.NotRun, recovery.Rejected} {
+	for _, outcome := range []recovery.Outcome{recovery.Interrupted, recovery.NotRun, recovery.Rejected} {
 		for flags := range 128 {
-			asked := 0
+			retriesTaken := 0
 			f := recovery.Failure{
-				Outcome: proof, MayHaveRun: flags&1 > 0, Repeatable: flags&2 > 0, ResponseStarted: flags&4 > 0, CanContinue: flags&8 > 0,
+				Outcome: outcome, MayHaveRun: flags&1 > 0, Repeatable: flags&2 > 0, ResponseStarted: flags&4 > 0, CanContinue: flags&8 > 0,
 				CanResume: flags&16 > 0, OutOfTime: flags&32 > 0, MaxAttempts: 3,
-				TakeRetry: func() bool { asked++; return flags&64 > 0 },
+				TakeRetry: func() bool { retriesTaken++; return flags&64 > 0 },
 			}
 			got := recovery.Decide(f)
-			requireSound(t, f, got, asked)
+			requireValidDecision(t, f, got, retriesTaken)
 			f.Attempts = f.MaxAttempts
 			require.Equal(t, recovery.GiveUp, recovery.Decide(f).Step, "attempts used")
 		}
 	}
 }
 
-func requireSound(t *testing.T, f recovery.Failure, got recovery.Decision, asked int) {
+func requireValidDecision(t *testing.T, f recovery.Failure, got recovery.Decision, retriesTaken int) {
 	t.Helper()
 	name := fmt.Sprintf("%+v -> %+v", f, got)
-	elsewhere := got.Step == recovery.Restart || got.Step == recovery.Continue
+	otherServer := got.Step == recovery.Restart || got.Step == recovery.Continue
 	if got.Step == recovery.Restart {
 		require.False(t, f.ResponseStarted, name)
 	}
@@ -42,7 +42,7 @@
 		require.True(t, f.ResponseStarted && f.CanContinue, name)
 	}
 	if !f.Repeatable && (f.MayHaveRun || f.Outcome == recovery.Interrupted) {
-		require.False(t, elsewhere, name)
+		require.False(t, otherServer, name)
 	}
 	if f.Outcome == recovery.Rejected || f.OutOfTime {
 		require.Equal(t, recovery.GiveUp, got.Step, name)
@@ -50,47 +50,49 @@
 	if got.Step == recovery.Resume {
 		require.True(t, f.CanResume && f.Outcome == recovery.Interrupted, name)
 	}
-	require.Equal(t, elsewhere || got.Reason == recovery.BudgetExhausted, asked == 1, name)
-	require.LessOrEqual(t, asked, 1, name)
+	require.Equal(t, otherServer || got.Reason == recovery.BudgetExhausted, retriesTaken == 1, name)
+	require.LessOrEqual(t, retriesTaken, 1, name)
 	require.NotEmpty(t, got.Reason, name)
 	require.NotEmpty(t, got.Step.String(), name)
 }
 
-// script is a call whose attempts end as written.
-type script struct {
-	ends    []error
-	steps   []recovery.Failure
-	chosen  int
-	tried   int
-	gone    error
-	decided []recovery.Decision
+// scriptedCall is a recovery.Call whose attempts fail as scripted.
+type scriptedCall struct {
+	results   []error
+	failures  []recovery.Failure
+	chosen    int
+	attempts  int
+	abandoned error
+	decisions []recovery.Decision
 }
 
 var (
-	errBroken  = errors.New("broken")
-	errGivenUp = errors.New("given up")
-	errNone    = errors.New("no server left")
+	errInterrupted = errors.New("broken")
+	errGivenUp     = errors.New("given up")
+	errNoServer    = errors.New("no server left")
 )
 
-func (s *script) Choose(context.Context) error {
+func (s *scriptedCall) Choose(context.Context) error {
 	s.chosen++
-	if s.chosen > len(s.ends) {
-		return errNone
+	if s.chosen > len(s.results) {
+		return errNoServer
 	}
 	return nil
 }
 
-func (s *script) Attempt(context.Context) error {
-	s.tried++
-	return s.ends[s.tried-1]
+func (s *scriptedCall) Attempt(context.Context) error {
+	s.attempts++
+	return s.results[s.attempts-1]
 }
 
-func (s *script) Abandoned(context.Context, error) error { return s.gone }
+func (s *scriptedCall) Abandoned(context.Context, error) error { return s.abandoned }
 
-func (s *script) Classify(context.Context, error) recovery.Failure { return s.steps[s.tried-1] }
+func (s *scriptedCall) Classify(context.Context, error) recovery.Failure {
+	return s.failures[s.attempts-1]
+}
 
-func (s *script) Apply(_ context.Context, d recovery.Decision, _ error) error {
-	s.decided = append(s.decided, d)
+func (s *scriptedCall) Apply(_ context.Context, d recovery.Decision, _ error) error {
+	s.decisions = append(s.decisions, d)
 	if d.Step == recovery.GiveUp {
 		return errGivenUp
 	}
@@ -98,34 +100,34 @@
 }
 
 func TestRunGoesOnUntilTheAnswerIsWhole(t *testing.T) {
-	budget := func() bool { return true }
-	broken := recovery.Failure{Repeatable: true, MaxAttempts: 9, TakeRetry: budget}
-	alive := broken
-	alive.CanResume = true
-	s := &script{ends: []error{errBroken, errBroken, nil}, steps: []recovery.Failure{alive, broken}}
+	takeRetry := func() bool { return true }
+	interrupted := recovery.Failure{Repeatable: true, MaxAttempts: 9, TakeRetry: takeRetry}
+	resumable := interrupted
+	resumable.CanResume = true
+	s := &scriptedCall{results: []error{errInterrupted, errInterrupted, nil}, failures: []recovery.Failure{resumable, interrupted}}
 	require.NoError(t, recovery.Run(t.Context(), s))
-	require.Equal(t, 3, s.tried)
-	require.Equal(t, 2, s.chosen, "a resume stays where it is")
-	require.Equal(t, []recovery.Step{recovery.Resume, recovery.Restart}, []recovery.Step{s.decided[0].Step, s.decided[1].Step})
+	require.Equal(t, 3, s.attempts)
+	require.Equal(t, 2, s.chosen, "a resume keeps the server")
+	require.Equal(t, []recovery.Step{recovery.Resume, recovery.Restart}, []recovery.Step{s.decisions[0].Step, s.decisions[1].Step})
 }
 
 func TestRunEnds(t *testing.T) {
-	once := recovery.Failure{MaxAttempts: 9, TakeRetry: func() bool { return true }}
-	again := once
-	again.Repeatable = true
-	left := errors.New("caller left")
+	notRepeatable := recovery.Failure{MaxAttempts: 9, TakeRetry: func() bool { return true }}
+	repeatable := notRepeatable
+	repeatable.Repeatable = true
+	errCallerLeft := errors.New("caller left")
 	for name, c := range map[string]struct {
-		script *script
-		want   error
-		tried  int
+		call     *scriptedCall
+		want     error
+		attempts int
 	}{
-		"given up":       {&script{ends: []error{errBroken, nil}, steps: []recovery.Failure{once}}, errGivenUp, 1},
-		"no server left": {&script{ends: []error{errBroken}, steps: []recovery.Failure{again}}, errNone, 1},
-		"caller gone":    {&script{ends: []error{errBroken, nil}, steps: []recovery.Failure{again}, gone: left}, left, 1},
+		"given up":       {&scriptedCall{results: []error{errInterrupted, nil}, failures: []recovery.Failure{notRepeatable}}, errGivenUp, 1},
+		"no server left": {&scriptedCall{results: []error{errInterrupted}, failures: []recovery.Failure{repeatable}}, errNoServer, 1},
+		"caller gone":    {&scriptedCall{results: []error{errInterrupted, nil}, failures: []recovery.Failure{repeatable}, abandoned: errCallerLeft}, errCallerLeft, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.ErrorIs(t, recovery.Run(t.Context(), c.script), c.want)
-			require.Equal(t, c.tried, c.script.tried)
+			require.ErrorIs(t, recovery.Run(t.Context(), c.call), c.want)
+			require.Equal(t, c.attempts, c.call.attempts)
 		})
 	}
 }
