--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -15,7 +15,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// attempt is one sending of a session's call.
+// attempt sends a session's call to one replica and forwards the answer.
 type attempt struct {
 	s       *session
 	choice  routing.Choice
@@ -23,36 +23,37 @@
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
 	started time.Time
-	// movable attempts are ended when their replica is lost; those that are not the
-	// last one allowed also when it is silent.
-	movable, notLast bool
-	silence          *time.Timer
-	// load is what the server said of itself; nil where it said nothing.
+	// idempotent attempts are canceled when their replica loses a member. Those with
+	// canRetry set, which are not the last one allowed, are also canceled when the
+	// replica stalls or the connection is silent for too long.
+	idempotent, canRetry bool
+	idleTimer            *time.Timer
+	// load is the load reported by the server; nil if it reported none.
 	load *Load
-	// lastSign is when the attempt last brought anything, in Unix nanoseconds.
-	lastSign atomic.Int64
+	// lastActivity is when the attempt last received anything, in Unix nanoseconds.
+	lastActivity atomic.Int64
 }
 
 func newAttempt(ctx context.Context, s *session, choice routing.Choice, peer conns.Peer) *attempt {
-	a := &attempt{s: s, choice: choice, peer: peer, started: time.Now(), movable: s.call.Route.Terms.Idempotent()}
-	a.notLast = a.movable && s.sent+1 < s.call.Route.Terms.MaxAttempts
+	a := &attempt{s: s, choice: choice, peer: peer, started: time.Now(), idempotent: s.call.Route.Terms.Idempotent()}
+	a.canRetry = a.idempotent && s.sent+1 < s.call.Route.Terms.MaxAttempts
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	return a
 }
 
-// run sends the call and passes the answer on. A nil error means that the caller
-// got a whole answer.
+// run sends the call and forwards the answer. A nil error means that a complete answer
+// was received.
 func (a *attempt) run() (routing.Result, error) {
-	a.lastSign.Store(a.started.UnixNano())
-	a.s.r.enter(a.choice.Replica.ID, a)
-	defer a.s.r.leave(a.choice.Replica.ID, a)
+	a.lastActivity.Store(a.started.UnixNano())
+	a.s.r.register(a.choice.Replica.ID, a)
+	defer a.s.r.unregister(a.choice.Replica.ID, a)
 	if a.s.streams() {
 		a.s.r.stalls.begin(a.choice.Replica.ID, a.started)
 		defer a.s.r.stalls.end(a.choice.Replica.ID)
 	}
 	defer a.cancel(nil)
-	a.watch(a.firstTimeout())
-	defer a.unwatch()
+	a.resetIdleTimer(a.firstPieceTimeout())
+	defer a.stopIdleTimer()
 
 	reply, err := a.s.r.opts.Backend.Send(a.ctx, Attempt{
 		Call: a.s.call, Peer: a.peer, Replica: a.choice.Replica.ID, Timeout: time.Until(a.s.end),
@@ -60,38 +61,38 @@
 	})
 	if err != nil {
 		if notRun, ok := errors.Into[*NotRunError](err); ok {
-			a.report(notRun.Load)
+			a.reportLoad(notRun.Load)
 		}
-		return a.result(false, 0, 0), a.explain(err)
+		return a.result(false, 0, 0), a.withCancelCause(err)
 	}
 	defer reply.Body.Close()
-	a.report(reply.Load)
+	a.reportLoad(reply.Load)
 	switch {
 	case a.s.streams() && reply.Head.Status < http.StatusBadRequest:
-		return a.stream(reply)
+		return a.forwardStream(reply)
 	case a.s.started:
-		// A stream that was to go on here met a failure of this server. The caller has the
-		// first server's head and pieces: the failure's text after them would end the
-		// answer as if it were complete.
-		return a.result(false, 0, 0), failedItself(reply)
+		// This server was to continue a stream and failed. The caller already has the
+		// head and pieces from the first server: appending the text of the failure would
+		// end the answer as if it were complete.
+		return a.result(false, 0, 0), serverFailure(reply)
 	}
-	return a.whole(reply)
+	return a.forwardUnary(reply)
 }
 
-// failedItself is an attempt whose server answered that it failed.
-func failedItself(reply *Reply) *BrokenError {
+// serverFailure is the error of an attempt that the server answered with a failure.
+func serverFailure(reply *Reply) *BrokenError {
 	return &BrokenError{Reason: "the server failed", Err: errors.Errorf("status %d", reply.Head.Status)}
 }
 
 func (a *attempt) maxIdle() time.Duration {
 	if a.s.call.Route.Terms.Idempotent() {
-		return safeIdle
+		return maxIdleIdempotent
 	}
-	return unsafeIdle
+	return maxIdleNonIdempotent
 }
 
-// report tells the router what the server said of its load.
-func (a *attempt) report(load *Load) {
+// reportLoad passes the load reported by the server on to the router.
+func (a *attempt) reportLoad(load *Load) {
 	if load == nil {
 		return
 	}
@@ -100,16 +101,16 @@
 	a.s.r.opts.Router.ReportLoad(a.choice.Replica.ID, engine.Load{AsOf: now, Running: load.Running, Waiting: load.Waiting, MaxRunning: load.Slots}, now)
 }
 
-// whole reads an answer in one piece and passes it on once it is complete.
-func (a *attempt) whole(reply *Reply) (routing.Result, error) {
-	body, err := reply.Body.ReadAll(maxWhole)
+// forwardUnary reads an answer that is not streamed and forwards it once it is complete.
+func (a *attempt) forwardUnary(reply *Reply) (routing.Result, error) {
+	body, err := reply.Body.ReadAll(maxUnaryBytes)
 	if err != nil {
-		return a.result(false, 0, 0), a.explain(err)
+		return a.result(false, 0, 0), a.withCancelCause(err)
 	}
 	first := time.Since(a.started)
 	if reply.Head.Status >= http.StatusInternalServerError && a.s.call.Route.Terms.Kind == rules.CallSafe {
-		a.s.kept = &keptAnswer{reply.Head, body}
-		return a.result(false, first, 0), failedItself(reply)
+		a.s.failedAnswer = &storedAnswer{reply.Head, body}
+		return a.result(false, first, 0), serverFailure(reply)
 	}
 	if err := a.s.sink.Whole(reply.Head, body); err != nil {
 		a.s.r.opts.Log.Info("caller gone", "request", a.s.call.ID, "err", err.Error())
@@ -117,8 +118,8 @@
 	return a.result(true, first, 1), nil
 }
 
-// stream passes pieces on as they come.
-func (a *attempt) stream(reply *Reply) (routing.Result, error) {
+// forwardStream forwards pieces as they arrive.
+func (a *attempt) forwardStream(reply *Reply) (routing.Result, error) {
 	pieces := 0
 	first := time.Duration(0)
 	for {
@@ -127,15 +128,15 @@
 			return a.endStream(reply, first, pieces)
 		}
 		if err != nil {
-			return a.result(false, first, pieces), a.explain(err)
+			return a.result(false, first, pieces), a.withCancelCause(err)
 		}
 		if pieces == 0 {
 			first = time.Since(a.started)
 		}
 		pieces++
-		a.noteSign(time.Now())
-		a.watch(a.gapTimeout())
-		if err := a.pass(reply, data); err != nil {
+		a.recordActivity(time.Now())
+		a.resetIdleTimer(a.pieceTimeout())
+		if err := a.forwardPiece(reply, data); err != nil {
 			a.cancel(err)
 			return a.result(false, first, pieces), &BrokenError{Reason: "the caller takes nothing", Err: err}
 		}
@@ -143,15 +144,16 @@
 	}
 }
 
-// pass gives one piece to the caller, after the head of the answer's first attempt.
-func (a *attempt) pass(reply *Reply, data []byte) error {
+// forwardPiece sends one piece to the caller, preceded by the head if this is the first
+// piece of the answer.
+func (a *attempt) forwardPiece(reply *Reply, data []byte) error {
 	if !a.s.started {
 		a.s.started = true
 		if err := a.s.sink.Start(reply.Head); err != nil {
 			return err
 		}
 	}
-	a.s.notePiece(time.Now())
+	a.s.recordPiece(time.Now())
 	return a.s.sink.Piece(data)
 }
 
@@ -159,7 +161,7 @@
 	if !a.s.started {
 		a.s.started = true
 		if err := a.s.sink.Start(reply.Head); err != nil {
-			return a.result(true, first, pieces), nil // the caller has gone: there is nobody to tell
+			return a.result(true, first, pieces), nil // the caller has disconnected
 		}
 	}
 	if err := a.s.sink.End(); err != nil {
@@ -168,55 +170,57 @@
 	return a.result(true, first, pieces), nil
 }
 
-// explain gives the reason for which the attempt was ended, if this node ended it.
-func (a *attempt) explain(err error) error {
+// withCancelCause returns the reason for which this node canceled the attempt, or err if
+// it did not.
+func (a *attempt) withCancelCause(err error) error {
 	cause := context.Cause(a.ctx)
 	if cause == nil || errors.Is(cause, context.Canceled) || errors.Is(cause, context.DeadlineExceeded) {
 		return err
 	}
-	if _, proved := errors.Into[*NotRunError](err); proved {
+	if _, notRun := errors.Into[*NotRunError](err); notRun {
 		return err
 	}
 	return &BrokenError{Reason: cause.Error(), Err: cause}
 }
 
 func (a *attempt) result(ok bool, first time.Duration, pieces int) routing.Result {
-	canceled := !ok && (a.ctx.Err() != nil && !errors.Is(context.Cause(a.ctx), errSilent) && !errors.Is(context.Cause(a.ctx), errStalled))
+	canceled := !ok && (a.ctx.Err() != nil && !errors.Is(context.Cause(a.ctx), errIdleTimeout) && !errors.Is(context.Cause(a.ctx), errStalled))
 	return routing.Result{OK: ok, Canceled: canceled, FirstToken: first, Tokens: pieces, Duration: time.Since(a.started)}
 }
 
-// watch ends the attempt after so long without another call of watch.
-func (a *attempt) watch(timeout time.Duration) {
-	if !a.notLast {
+// resetIdleTimer cancels the attempt after the timeout unless the timer is reset before.
+// The last attempt allowed has no timer.
+func (a *attempt) resetIdleTimer(timeout time.Duration) {
+	if !a.canRetry {
 		return
 	}
-	if a.silence == nil {
-		a.silence = time.AfterFunc(timeout, func() { a.cancel(errSilent) })
+	if a.idleTimer == nil {
+		a.idleTimer = time.AfterFunc(timeout, func() { a.cancel(errIdleTimeout) })
 		return
 	}
-	a.silence.Reset(timeout)
+	a.idleTimer.Reset(timeout)
 }
 
-func (a *attempt) unwatch() {
-	if a.silence != nil {
-		a.silence.Stop()
+func (a *attempt) stopIdleTimer() {
+	if a.idleTimer != nil {
+		a.idleTimer.Stop()
 	}
 }
 
-func (a *attempt) firstTimeout() time.Duration {
-	return time.Duration(firstShare * float64(time.Until(a.s.end)))
+func (a *attempt) firstPieceTimeout() time.Duration {
+	return time.Duration(firstPieceShare * float64(time.Until(a.s.end)))
 }
 
-// noteSign notes that a piece came.
-func (a *attempt) noteSign(now time.Time) {
-	a.lastSign.Store(now.UnixNano())
-	a.s.r.stalls.sign(a.choice.Replica.ID, now)
+// recordActivity records the arrival of a piece.
+func (a *attempt) recordActivity(now time.Time) {
+	a.lastActivity.Store(now.UnixNano())
+	a.s.r.stalls.recordActivity(a.choice.Replica.ID, now)
 }
 
-func (a *attempt) silentFor(now time.Time) time.Duration {
-	return time.Duration(now.UnixNano() - a.lastSign.Load())
+func (a *attempt) idleFor(now time.Time) time.Duration {
+	return time.Duration(now.UnixNano() - a.lastActivity.Load())
 }
 
-func (a *attempt) gapTimeout() time.Duration {
-	return max(gapFactor*a.s.call.Route.Terms.TargetGap, gapFloor)
+func (a *attempt) pieceTimeout() time.Duration {
+	return max(pieceTimeoutFactor*a.s.call.Route.Terms.TargetGap, minPieceTimeout)
 }
--- a/internal/relay/backend.go
+++ b/internal/relay/backend.go
@@ -1,5 +1,5 @@
-// Package relay takes a call to a backend server and its answer back. It decides
-// where a call goes, how often, and what a failure proves; it knows no protocol.
+// Package relay forwards calls to backend servers and returns their answers. It chooses
+// the server, limits retries and interprets failures, independently of the protocol.
 package relay
 
 import (
@@ -12,38 +12,38 @@
 	"github.com/fennelcourse/fennelcourse/internal/conns"
 )
 
-// Attempt is one sending of a call to one backend server.
+// Attempt is a call to be sent to one backend server.
 type Attempt struct {
 	Call    *call.Call
 	Peer    conns.Peer
 	Replica cluster.ReplicaID
-	// Timeout is the time after which nobody waits for the answer any more.
+	// Timeout is the time left until the call's deadline.
 	Timeout time.Duration
-	// ResumeAfter is the id of the last piece that came; empty to start anew.
+	// ResumeAfter is the id of the last piece received; empty to start from the beginning.
 	ResumeAfter string
-	// MaxIdle is how long a connection may have been idle to be used.
+	// MaxIdle is the longest idle time of a connection that may be reused.
 	MaxIdle time.Duration
 }
 
-// Load is what a backend server says of itself in an answer.
+// Load is the load that a backend server reports in an answer.
 type Load struct{ Running, Waiting, Slots int }
 
-// Reply is a backend server's answer whose beginning has come.
+// Reply is a backend server's answer, of which the head has been received.
 type Reply struct {
 	Head call.Head
-	// Load is nil where the server does not tell it.
+	// Load is nil if the server did not report it.
 	Load *Load
 	Body Body
 }
 
 // Body reads the rest of an answer.
 type Body interface {
-	// Next returns the next whole piece of a stream and its id; io.EOF after the
-	// last one of a complete answer. Any other error means that it is not complete.
+	// Next returns the next complete piece of a stream and its id, or io.EOF after the
+	// last piece of a complete answer. Any other error means that the answer is incomplete.
 	Next() (data []byte, id string, err error)
-	// ReadAll reads an answer that has no pieces, of at most limit bytes.
+	// ReadAll reads an answer that is not streamed, of at most limit bytes.
 	ReadAll(limit int64) ([]byte, error)
-	// Close ends the reading; it may be called more than once.
+	// Close stops reading. It may be called more than once.
 	Close()
 }
 
@@ -52,17 +52,18 @@
 	Send(ctx context.Context, a Attempt) (*Reply, error)
 }
 
-// NotRunError is an attempt that certainly did not run and never will.
+// NotRunError reports that an attempt did not run the call and never will.
 type NotRunError struct {
 	Reason string
-	// Received is true when the server got the call and refused it, which counts
+	// Received is true if the server received the call and refused it, which counts
 	// against the retry budget.
 	Received bool
-	// FaultyMember is the address of the member at fault, where the server named one.
+	// FaultyMember is the address of the replica member that caused the failure, if the
+	// server named one.
 	FaultyMember string
-	// AddressReassigned is true when another process has the server's address.
+	// AddressReassigned is true if another process now has the server's address.
 	AddressReassigned bool
-	// Load is what the refusing server said of itself; may be nil.
+	// Load is the load reported by the server that refused; may be nil.
 	Load *Load
 	Err  error
 }
@@ -75,7 +76,8 @@
 // Unwrap returns the cause.
 func (e *NotRunError) Unwrap() error { return e.Err }
 
-// BrokenError is an attempt that may have run and gave no whole answer.
+// BrokenError reports that an attempt may have run the call but returned no complete
+// answer.
 type BrokenError struct {
 	Reason string
 	Err    error
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -7,80 +7,82 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// BudgetOptions bound the arrivals beyond the first of each call, over all nodes.
+// BudgetOptions limit the retries of all nodes together. A retry is every delivery of a
+// call to a server beyond the first.
 type BudgetOptions struct {
-	// Ratio of repeats to calls, and Slack beside it, in each Window.
+	// Ratio is the allowed ratio of retries to calls in each Window, and Slack the
+	// number of retries allowed in addition.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
-	// Nodes is the most nodes that may share the slack.
+	// Nodes is the largest number of nodes that may share the slack.
 	Nodes int
 }
 
 const (
-	// ratioMargin is the part of the ratio that is used: calls are counted where
-	// they arrive, in windows that need not be the operators'.
+	// ratioMargin is the fraction of the ratio that is used. Calls are counted where they
+	// arrive, in windows that may not be aligned with those of the operators.
 	ratioMargin = 0.8
-	// budgetSteps is how finely the sliding window is counted.
-	budgetSteps = 20
+	// windowBuckets is the number of buckets of the sliding window.
+	windowBuckets = 20
 )
 
-// Budget bounds repeats by service. Each node spends a part of its own calls and an
-// even part of the slack, so that all of them together keep the bound without
-// talking to each other.
+// Budget limits retries per service. Each node may spend a fraction of its own calls and
+// an equal share of the slack, so that all nodes together stay within the limit without
+// coordination.
 type Budget struct {
-	opts BudgetOptions
-	mu   sync.Mutex
-	by   map[cluster.Service]*tally
+	opts     BudgetOptions
+	mu       sync.Mutex
+	services map[cluster.Service]*retryWindow
 }
 
-// tally counts calls and repeats in steps of the window.
-type tally struct {
-	calls, repeats [budgetSteps]int
-	step           int64
+// retryWindow is a ring buffer that counts calls and retries in a sliding window.
+type retryWindow struct {
+	calls, retries [windowBuckets]int
+	bucket         int64
 }
 
-// NewBudget returns a budget without a past.
+// NewBudget returns a budget with no calls counted.
 func NewBudget(opts BudgetOptions) *Budget {
-	return &Budget{opts: opts, by: make(map[cluster.Service]*tally)}
+	return &Budget{opts: opts, services: make(map[cluster.Service]*retryWindow)}
 }
 
 // RecordCall counts a caller's request for the service.
 func (b *Budget) RecordCall(service cluster.Service, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.at(service, now)
-	t.calls[t.step%budgetSteps]++
+	w := b.window(service, now)
+	w.calls[w.bucket%windowBuckets]++
 }
 
-// TryRetry takes the right to send a call of the service once more, or reports false.
+// TryRetry takes one retry from the service's budget, or returns false if it is exhausted.
 func (b *Budget) TryRetry(service cluster.Service, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.at(service, now)
-	calls, repeats := 0, 0
-	for i := range budgetSteps {
-		calls += t.calls[i]
-		repeats += t.repeats[i]
+	w := b.window(service, now)
+	calls, retries := 0, 0
+	for i := range windowBuckets {
+		calls += w.calls[i]
+		retries += w.retries[i]
 	}
-	if float64(repeats+1) > b.opts.Ratio*ratioMargin*float64(calls)+b.opts.Slack/float64(max(b.opts.Nodes, 1)) {
+	if float64(retries+1) > b.opts.Ratio*ratioMargin*float64(calls)+b.opts.Slack/float64(max(b.opts.Nodes, 1)) {
 		return false
 	}
-	t.repeats[t.step%budgetSteps]++
+	w.retries[w.bucket%windowBuckets]++
 	return true
 }
 
-// at returns the service's tally, moved on to now.
-func (b *Budget) at(service cluster.Service, now time.Time) *tally {
-	t := b.by[service]
-	if t == nil {
-		t = &tally{}
-		b.by[service] = t
+// window returns the service's window, advanced to now. The caller holds b.mu.
+func (b *Budget) window(service cluster.Service, now time.Time) *retryWindow {
+	w := b.services[service]
+	if w == nil {
+		w = &retryWindow{}
+		b.services[service] = w
 	}
-	step := now.UnixNano() / int64(b.opts.Window/budgetSteps)
-	for i := max(t.step+1, step-budgetSteps+1); i <= step; i++ {
-		t.calls[i%budgetSteps], t.repeats[i%budgetSteps] = 0, 0
+	bucket := now.UnixNano() / int64(b.opts.Window/windowBuckets)
+	for i := max(w.bucket+1, bucket-windowBuckets+1); i <= bucket; i++ {
+		w.calls[i%windowBuckets], w.retries[i%windowBuckets] = 0, 0
 	}
-	t.step = max(t.step, step)
-	return t
+	w.bucket = max(w.bucket, bucket)
+	return w
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -24,8 +24,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// listRouter hands out its replicas in order, without the excluded ones and those that
-// have no room by their last report.
+// listRouter chooses its replicas in order, skipping the excluded ones and those that are
+// full by their last load report.
 type listRouter struct {
 	ids   []cluster.ReplicaID
 	mu    sync.Mutex
@@ -35,8 +35,8 @@
 func (l *listRouter) hasRoom(id cluster.ReplicaID, limit routing.Limit) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	load, told := l.loads[id]
-	return !told || float64(load.Running+load.Waiting+1) <= limit.PerSlot*float64(load.MaxRunning)+limit.Extra
+	load, reported := l.loads[id]
+	return !reported || float64(load.Running+load.Waiting+1) <= limit.PerSlot*float64(load.MaxRunning)+limit.Extra
 }
 
 func (l *listRouter) Choose(req routing.Request) (routing.Choice, error) {
@@ -65,48 +65,48 @@
 	l.loads[id] = load
 }
 
-// script is what one backend server does with each attempt in turn.
-type script func(ctx context.Context, a relay.Attempt) (*relay.Reply, error)
+// handler is the behavior of a backend server: it answers an attempt or fails it.
+type handler func(ctx context.Context, a relay.Attempt) (*relay.Reply, error)
 
-// scripted runs a script for each replica and notes the attempts.
-type scripted struct {
+// fakeBackend calls the handler of each replica and records the attempts.
+type fakeBackend struct {
 	mu       sync.Mutex
-	by       map[cluster.ReplicaID]script
+	handlers map[cluster.ReplicaID]handler
 	attempts []relay.Attempt
 }
 
-func (s *scripted) Send(ctx context.Context, a relay.Attempt) (*relay.Reply, error) {
-	s.mu.Lock()
-	s.attempts = append(s.attempts, a)
-	run := s.by[a.Replica]
-	s.mu.Unlock()
-	return run(ctx, a)
+func (b *fakeBackend) Send(ctx context.Context, a relay.Attempt) (*relay.Reply, error) {
+	b.mu.Lock()
+	b.attempts = append(b.attempts, a)
+	handle := b.handlers[a.Replica]
+	b.mu.Unlock()
+	return handle(ctx, a)
 }
 
-func (s *scripted) sent() []relay.Attempt {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.attempts
+func (b *fakeBackend) sent() []relay.Attempt {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.attempts
 }
 
-// pieces streams pieces from after the one that the caller has up to the last; then
-// it ends with err, io.EOF for a whole answer, or stays silent for nil.
-func pieces(last int, err error) script {
+// streamPieces streams the pieces after ResumeAfter up to the last one. Then it fails with
+// err, which is io.EOF for a complete answer, or stays silent if err is nil.
+func streamPieces(last int, err error) handler {
 	return func(ctx context.Context, a relay.Attempt) (*relay.Reply, error) {
 		after, _ := strconv.Atoi(a.ResumeAfter)
 		return &relay.Reply{Head: call.Head{Status: 200, Header: http.Header{"By": {string(a.Replica)}}},
-			Body: &scriptedBody{ctx: ctx, next: after + 1, last: last, err: err}}, nil
+			Body: &fakeBody{ctx: ctx, next: after + 1, last: last, err: err}}, nil
 	}
 }
 
-type scriptedBody struct {
+type fakeBody struct {
 	ctx        context.Context
 	next, last int
 	err        error
 	closed     bool
 }
 
-func (b *scriptedBody) Next() ([]byte, string, error) {
+func (b *fakeBody) Next() ([]byte, string, error) {
 	if b.next <= b.last {
 		id := strconv.Itoa(b.next)
 		b.next++
@@ -119,33 +119,34 @@
 	return nil, "", b.err
 }
 
-func (b *scriptedBody) ReadAll(int64) ([]byte, error) {
+func (b *fakeBody) ReadAll(int64) ([]byte, error) {
 	if b.err != nil && b.err != io.EOF {
 		return nil, b.err
 	}
 	return []byte("whole"), nil
 }
 
-func (b *scriptedBody) Close() { b.closed = true }
+func (b *fakeBody) Close() { b.closed = true }
 
-// answers replies at once with a status.
-func answers(status int) script {
+// respondWith answers at once with the status.
+func respondWith(status int) handler {
 	return func(context.Context, relay.Attempt) (*relay.Reply, error) {
-		return &relay.Reply{Head: call.Head{Status: status, Header: http.Header{}}, Body: &scriptedBody{err: io.EOF}}, nil
+		return &relay.Reply{Head: call.Head{Status: status, Header: http.Header{}}, Body: &fakeBody{err: io.EOF}}, nil
 	}
 }
 
-func fails(err error) script {
+// failWith fails the attempt with err.
+func failWith(err error) handler {
 	return func(context.Context, relay.Attempt) (*relay.Reply, error) { return nil, err }
 }
 
 var (
-	broken = &relay.BrokenError{Reason: "reset", Err: io.ErrUnexpectedEOF}
-	shed   = &relay.NotRunError{Reason: "full", Received: true}
-	noDial = &relay.NotRunError{Reason: "connection refused"}
+	errReset   = &relay.BrokenError{Reason: "reset", Err: io.ErrUnexpectedEOF}
+	errFull    = &relay.NotRunError{Reason: "full", Received: true}
+	errRefused = &relay.NotRunError{Reason: "connection refused"}
 )
 
-// recorder is a sink that keeps what the caller got.
+// recorder is a call.Sink that records what the caller receives.
 type recorder struct {
 	head    call.Head
 	text    string
@@ -164,24 +165,24 @@
 func (r *recorder) Abort(err *fennelerr.Error)  { r.aborted = err }
 func (r *recorder) Refuse(err *fennelerr.Error) { r.refused = err }
 
-// world is a relay before scripted servers.
-type world struct {
+// fixture is a relay with a fake backend.
+type fixture struct {
 	relay   *relay.Relay
-	backend *scripted
+	backend *fakeBackend
 }
 
-func newWorld(t *testing.T, slack float64, order []cluster.ReplicaID, by map[cluster.ReplicaID]script) *world {
+func newFixture(t *testing.T, slack float64, order []cluster.ReplicaID, handlers map[cluster.ReplicaID]handler) *fixture {
 	t.Helper()
-	w := &world{backend: &scripted{by: by}}
-	w.relay = relay.New(relay.Options{
-		Router: &listRouter{ids: order, loads: make(map[cluster.ReplicaID]engine.Load)}, Backend: w.backend,
+	f := &fixture{backend: &fakeBackend{handlers: handlers}}
+	f.relay = relay.New(relay.Options{
+		Router: &listRouter{ids: order, loads: make(map[cluster.ReplicaID]engine.Load)}, Backend: f.backend,
 		Budget: relay.NewBudget(relay.BudgetOptions{Slack: slack, Window: 10 * time.Second, Nodes: 1}),
 		Peer:   func(c routing.Choice) (conns.Peer, bool) { return conns.Peer{Server: c.Replica.Serving}, true },
 	})
-	return w
+	return f
 }
 
-func (w *world) serve(ctx context.Context, terms rules.Terms) *recorder {
+func (f *fixture) serve(ctx context.Context, terms rules.Terms) *recorder {
 	if terms.MaxAttempts == 0 {
 		terms.MaxAttempts = 2
 	}
@@ -194,20 +195,20 @@
 	if terms.Kind == rules.CallStream {
 		model = "m"
 	}
-	w.relay.Serve(ctx, &call.Call{ID: "id-1", Model: model, Route: &rules.Route{Terms: &terms}, ReceivedAt: time.Now()}, got)
+	f.relay.Serve(ctx, &call.Call{ID: "id-1", Model: model, Route: &rules.Route{Terms: &terms}, ReceivedAt: time.Now()}, got)
 	return got
 }
 
 var (
-	safe       = rules.Terms{Kind: rules.CallSafe}
-	unsafeCall = rules.Terms{Kind: rules.CallUnsafe}
-	resumable  = rules.Terms{Kind: rules.CallStream, Resumable: true, TargetGap: 100 * time.Millisecond, Target: 100 * time.Millisecond}
-	once       = rules.Terms{Kind: rules.CallStream}
+	safeTerms         = rules.Terms{Kind: rules.CallSafe}
+	unsafeTerms       = rules.Terms{Kind: rules.CallUnsafe}
+	resumableTerms    = rules.Terms{Kind: rules.CallStream, Resumable: true, TargetGap: 100 * time.Millisecond, Target: 100 * time.Millisecond}
+	nonResumableTerms = rules.Terms{Kind: rules.CallStream}
 )
 
 func requireNotRun(t *testing.T, e *fennelerr.Error) {
 	t.Helper()
 	require.NotNil(t, e)
 	require.Equal(t, fennelerr.NotRun, e.Run)
-	require.Positive(t, e.RetryAfter, "a caller is told when to come back")
+	require.Positive(t, e.RetryAfter, "the refusal has a retry time")
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -15,55 +15,55 @@
 	"github.com/fennelcourse/fennelcourse/internal/routing"
 )
 
-// Router chooses replicas and counts what runs on them.
+// Router chooses replicas and counts the requests running on them.
 type Router interface {
 	Choose(req routing.Request) (routing.Choice, error)
 	End(choice routing.Choice, res routing.Result)
 	ReportLoad(id cluster.ReplicaID, load engine.Load, receivedAt time.Time)
 }
 
-// Options are the parts of a Relay; all are required but Log.
+// Options are the dependencies of a Relay. All are required except OnStall and Log.
 type Options struct {
 	Router  Router
 	Backend Backend
 	Budget  *Budget
-	// Peer finds the process that serves a replica; false when it is not listed.
+	// Peer returns the process that serves a replica, or false if it is not listed.
 	Peer func(choice routing.Choice) (conns.Peer, bool)
-	// OnStall is told of replicas that this node's requests show to stand still, and
-	// whether others work; may be nil.
+	// OnStall is called with the replicas that this node's requests show to be stalled,
+	// and with whether other replicas work; may be nil.
 	OnStall func(ids []cluster.ReplicaID, othersWork bool)
 	Log     *slog.Logger
 }
 
 // Limits of a Relay.
 const (
-	// maxWhole bounds an answer that is not streamed, in bytes: it is held in
-	// memory until it is known to be complete.
-	maxWhole = 8 << 20
-	// unsafeIdle is how long a connection may have been idle that carries a call
-	// which can't be repeated: one that died meanwhile leaves the call's fate
-	// unknown. Servers keep idle connections for seconds.
-	unsafeIdle = 1500 * time.Millisecond
-	// safeIdle is the same for calls that can be repeated.
-	safeIdle = 8 * time.Second
-	// gapFactor and gapFloor: a stream that was silent for so many of its longest
-	// on-time pauses, or so long, goes on elsewhere, though its replica serves
-	// others: its connection may have gone silent. Callers leave after eight pauses
-	// or two seconds.
-	gapFactor = 5
-	gapFloor  = 1400 * time.Millisecond
-	// firstShare is the part of its time that an idempotent call waits for its first
-	// piece from a replica that serves others: a long queue looks the same as a
-	// silent connection, and going elsewhere gives the place in it up.
-	firstShare = 0.6
+	// maxUnaryBytes limits the size of an answer that is not streamed. It is buffered
+	// until it is complete.
+	maxUnaryBytes = 8 << 20
+	// maxIdleNonIdempotent is the longest idle time of a connection reused for a call
+	// that cannot be repeated. If the connection has died meanwhile, it is unknown whether
+	// the call ran. Servers keep idle connections open for seconds.
+	maxIdleNonIdempotent = 1500 * time.Millisecond
+	// maxIdleIdempotent is the same for calls that can be repeated.
+	maxIdleIdempotent = 8 * time.Second
+	// A stream that receives no piece for pieceTimeoutFactor times its target gap, and at
+	// least minPieceTimeout, is moved to another replica even if its own replica serves
+	// other streams: the connection may be dead. Callers give up after eight target gaps or
+	// two seconds.
+	pieceTimeoutFactor = 5
+	minPieceTimeout    = 1400 * time.Millisecond
+	// firstPieceShare is the fraction of its remaining time that an idempotent call waits
+	// for the first piece from a replica that serves other calls. A long queue looks the
+	// same as a dead connection, and moving gives up the place in the queue.
+	firstPieceShare = 0.6
 )
 
 // Relay serves calls. All methods are safe for concurrent use.
 type Relay struct {
 	opts    Options
 	stalls  *stallDetector
-	returns *returns
-	// running has the attempts by replica, to be told when one is lost.
+	advisor *retryAdvisor
+	// running holds the attempts by replica, to cancel them when the replica fails.
 	mu      sync.Mutex
 	running map[cluster.ReplicaID]map[*attempt]struct{}
 }
@@ -73,24 +73,24 @@
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Relay{opts: opts, stalls: newStallDetector(), returns: newReturns(), running: make(map[cluster.ReplicaID]map[*attempt]struct{})}
+	return &Relay{opts: opts, stalls: newStallDetector(), advisor: newRetryAdvisor(), running: make(map[cluster.ReplicaID]map[*attempt]struct{})}
 }
 
-// errReplicaLost ends attempts on a replica that lost a member.
+// errReplicaLost cancels attempts on a replica that lost a member.
 var errReplicaLost = errors.New("the replica lost a member")
 
-// errStalled ends attempts on a replica that brings nothing to anybody.
+// errStalled cancels attempts on a stalled replica, from which no stream receives anything.
 var errStalled = errors.New("the replica stands still")
 
-// errSilent ends attempts on a connection that brought nothing for too long.
-var errSilent = errors.New("nothing came for too long")
+// errIdleTimeout cancels attempts whose connection was silent for too long.
+var errIdleTimeout = errors.New("nothing came for too long")
 
-// Run watches the replicas for ones that stand still, until ctx ends.
+// Run checks for stalled replicas until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
-	clock.Every(ctx, stallCheck, func(now time.Time) {
-		found, othersWork := r.stalls.review(now)
+	clock.Every(ctx, stallCheckInterval, func(now time.Time) {
+		found, othersWork := r.stalls.check(now)
 		for _, id := range found {
-			r.opts.Log.Warn("replica stands still", "replica", id, "moved", r.move(id, errStalled), "others_work", othersWork)
+			r.opts.Log.Warn("replica stands still", "replica", id, "moved", r.cancelAttempts(id, errStalled), "others_work", othersWork)
 		}
 		if len(found) > 0 && r.opts.OnStall != nil {
 			r.opts.OnStall(found, othersWork)
@@ -98,43 +98,44 @@
 	})
 }
 
-// ReportStall takes another node's word that a replica stands still.
+// ReportStall records another node's report that a replica is stalled.
 func (r *Relay) ReportStall(id cluster.ReplicaID, by cluster.NodeID, now time.Time) {
 	if r.stalls.report(id, by, now) {
 		r.opts.Log.Debug("replica stands still", "replica", id, "reported_by", by)
 	}
 }
 
-// MarkHealthy takes the word that all members of a replica answer.
-func (r *Relay) MarkHealthy(id cluster.ReplicaID, now time.Time) { r.stalls.vouch(id, now) }
+// MarkHealthy records that all members of a replica responded.
+func (r *Relay) MarkHealthy(id cluster.ReplicaID, now time.Time) { r.stalls.markHealthy(id, now) }
 
-// ReplicaLost ends the attempts on a replica that lost a member, so that they go
-// on elsewhere at once: the engines hold them for seconds before they fail.
-func (r *Relay) ReplicaLost(id cluster.ReplicaID) { r.move(id, errReplicaLost) }
+// ReplicaLost cancels the attempts on a replica that lost a member, so that they are
+// retried elsewhere at once. The engines would hold them for seconds before failing them.
+func (r *Relay) ReplicaLost(id cluster.ReplicaID) { r.cancelAttempts(id, errReplicaLost) }
 
-// move ends the attempts on the replica that can go on elsewhere and are silent. On
-// mere suspicion the last attempt that a call is allowed goes on: ended, its caller
-// would have nothing, and the replica may only be slow.
-func (r *Relay) move(id cluster.ReplicaID, cause error) (moved int) {
+// cancelAttempts cancels the idle attempts on the replica that can be retried elsewhere
+// and returns their number. If the replica is only suspected, the last attempt that a call
+// is allowed continues: canceling it would leave the caller without an answer, and the
+// replica may only be slow.
+func (r *Relay) cancelAttempts(id cluster.ReplicaID, cause error) (canceled int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	lost := errors.Is(cause, errReplicaLost)
 	for a := range r.running[id] {
-		if (a.notLast || a.movable && lost) && a.silentFor(now) > lostSilence {
+		if (a.canRetry || a.idempotent && lost) && a.idleFor(now) > minIdleToCancel {
 			a.cancel(cause)
-			moved++
+			canceled++
 		}
 	}
-	return moved
+	return canceled
 }
 
-// lostSilence is how long an attempt on a lost replica must have been silent to be
-// moved. A member that left the list may still work until it has drained; its
-// streams bring a piece every pass and end well where they are.
-const lostSilence = 200 * time.Millisecond
+// minIdleToCancel is how long an attempt on a failed replica must have been idle to be
+// canceled. A member that left the list may still work until it has drained: its streams
+// receive a piece in every pass and complete there.
+const minIdleToCancel = 200 * time.Millisecond
 
-// Running is the number of attempts under way.
+// Running returns the number of attempts in progress.
 func (r *Relay) Running() (count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,7 +145,7 @@
 	return count
 }
 
-func (r *Relay) enter(id cluster.ReplicaID, a *attempt) {
+func (r *Relay) register(id cluster.ReplicaID, a *attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.running[id] == nil {
@@ -153,7 +154,7 @@
 	r.running[id][a] = struct{}{}
 }
 
-func (r *Relay) leave(id cluster.ReplicaID, a *attempt) {
+func (r *Relay) unregister(id cluster.ReplicaID, a *attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.running[id], a)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,215 +14,216 @@
 	"github.com/fennelcourse/fennelcourse/internal/relay"
 )
 
-type replicas = map[cluster.ReplicaID]script
+type handlers = map[cluster.ReplicaID]handler
 
 var ab = []cluster.ReplicaID{"a", "b"}
 
-// The connection breaks while a payment is under way. It may have gone through:
-// a second try could charge twice, and a promise that it did not run would have
-// the caller try again itself.
+// If the connection breaks during a payment, the payment may have been made. A retry could
+// charge twice, and so could the caller's own retry if the refusal said that the call did
+// not run.
 func TestUnsafeCallIsSentOnce(t *testing.T) {
-	w := newWorld(t, 10, ab, replicas{"a": fails(broken), "b": answers(200)})
-	got := w.serve(t.Context(), unsafeCall)
-	require.Len(t, w.backend.sent(), 1)
+	f := newFixture(t, 10, ab, handlers{"a": failWith(errReset), "b": respondWith(200)})
+	got := f.serve(t.Context(), unsafeTerms)
+	require.Len(t, f.backend.sent(), 1)
 	require.NotNil(t, got.refused)
 	require.Equal(t, fennelerr.Unknown, got.refused.Run)
 	require.Equal(t, fennelerr.BackendFailed, got.refused.Code)
 }
 
-// The first server of a payment is dead: nothing listens at its address. Not a
-// byte was sent, so another server may run it.
+// If nothing listens at the first server's address, nothing was sent, and a payment may be
+// sent to another server.
 func TestUnsafeCallGoesOnWhereNothingWasSent(t *testing.T) {
-	w := newWorld(t, 10, ab, replicas{"a": fails(noDial), "b": answers(200)})
-	got := w.serve(t.Context(), unsafeCall)
+	f := newFixture(t, 10, ab, handlers{"a": failWith(errRefused), "b": respondWith(200)})
+	got := f.serve(t.Context(), unsafeTerms)
 	require.True(t, got.ended)
 	require.Equal(t, "whole", got.text)
 }
 
-// A full server turns a payment away, and the route allows one server. The caller
-// hears that it did not run and when to come back.
+// A full server refuses a payment, and the route allows only one attempt. The refusal must
+// say that the call did not run and when to retry.
 func TestRefusalIsTrueAndSaysWhen(t *testing.T) {
-	w := newWorld(t, 10, ab, replicas{"a": fails(shed), "b": answers(200)})
-	terms := unsafeCall
+	f := newFixture(t, 10, ab, handlers{"a": failWith(errFull), "b": respondWith(200)})
+	terms := unsafeTerms
 	terms.MaxAttempts = 1
-	got := w.serve(t.Context(), terms)
+	got := f.serve(t.Context(), terms)
 	requireNotRun(t, got.refused)
-	require.Len(t, w.backend.sent(), 1)
+	require.Len(t, f.backend.sent(), 1)
 }
 
-// A lookup fails on one server. It may run again, and the caller gets its answer.
-func TestSafeCallIsRepeated(t *testing.T) {
-	for name, first := range map[string]script{"broken": fails(broken), "failed": answers(500)} {
-		w := newWorld(t, 10, ab, replicas{"a": first, "b": answers(200)})
-		got := w.serve(t.Context(), safe)
+// A safe call that fails on one server is retried on another one.
+func TestSafeCallIsRetried(t *testing.T) {
+	for name, first := range map[string]handler{"broken": failWith(errReset), "failed": respondWith(500)} {
+		f := newFixture(t, 10, ab, handlers{"a": first, "b": respondWith(200)})
+		got := f.serve(t.Context(), safeTerms)
 		require.Equal(t, 200, got.head.Status, name)
 		require.True(t, got.ended, name)
 	}
 }
 
-// Both servers of a lookup fail by themselves. The caller gets a server's own
-// failure, signed by it, and not one of ours.
-func TestServersOwnFailureIsPassedOn(t *testing.T) {
-	w := newWorld(t, 10, ab, replicas{"a": answers(500), "b": fails(broken)})
-	got := w.serve(t.Context(), safe)
+// If every attempt of a safe call fails, the caller must receive the error response that a
+// server sent and signed, not a refusal by the relay.
+func TestServerErrorIsForwarded(t *testing.T) {
+	f := newFixture(t, 10, ab, handlers{"a": respondWith(500), "b": failWith(errReset)})
+	got := f.serve(t.Context(), safeTerms)
 	require.Equal(t, 500, got.head.Status)
 	require.Nil(t, got.refused)
 }
 
-// Servers fail because they are overloaded, and every failure brings a repeat. The
-// repeats would keep them overloaded: beyond the budget there are none.
+// Retries of calls that failed on overloaded servers would keep the servers overloaded. No
+// retry may be made beyond the budget.
 func TestRepeatsStopAtTheBudget(t *testing.T) {
-	w := newWorld(t, 3, ab, replicas{"a": fails(broken), "b": fails(broken)})
+	f := newFixture(t, 3, ab, handlers{"a": failWith(errReset), "b": failWith(errReset)})
 	for range 10 {
-		w.serve(t.Context(), safe)
+		f.serve(t.Context(), safeTerms)
 	}
-	require.Len(t, w.backend.sent(), 10+3)
+	require.Len(t, f.backend.sent(), 10+3)
 }
 
-// A stream breaks off midway. The caller sees one stream, whole, with the head of
-// the server that began it.
+// If a stream is interrupted, another server continues it. The caller must receive one
+// complete stream with the head from the first server.
 func TestStreamGoesOnElsewhere(t *testing.T) {
-	w := newWorld(t, 10, ab, replicas{"a": pieces(2, broken), "b": pieces(4, io.EOF)})
-	got := w.serve(t.Context(), resumable)
+	f := newFixture(t, 10, ab, handlers{"a": streamPieces(2, errReset), "b": streamPieces(4, io.EOF)})
+	got := f.serve(t.Context(), resumableTerms)
 	require.Equal(t, "1;2;3;4;", got.text)
 	require.True(t, got.ended)
 	require.Equal(t, "a", got.head.Header.Get("By"))
-	require.Equal(t, "2", w.backend.sent()[1].ResumeAfter)
+	require.Equal(t, "2", f.backend.sent()[1].ResumeAfter)
 }
 
-// A stream breaks off midway, and the server that it goes on at fails by itself. The
-// first server's head and pieces are with the caller: written after them, the failure
-// would end the answer as if it were complete, and a fitter would read half an advice.
+// A stream is interrupted, and the server that is to continue it answers with an error. The
+// caller already has the head and pieces from the first server: the error appended to them
+// would end the answer as if it were complete, and a user would act on half an answer.
 func TestFailureInTheMiddleOfAStreamDoesNotEndIt(t *testing.T) {
 	for _, status := range []int{400, 500} {
-		w := newWorld(t, 10, ab, replicas{"a": pieces(2, broken), "b": answers(status)})
-		got := w.serve(t.Context(), resumable)
+		f := newFixture(t, 10, ab, handlers{"a": streamPieces(2, errReset), "b": respondWith(status)})
+		got := f.serve(t.Context(), resumableTerms)
 		require.Equal(t, "1;2;", got.text, status)
 		require.False(t, got.ended, status)
 		require.NotNil(t, got.aborted, status)
 	}
 }
 
-// A stream that may not be resumed breaks off midway. What the caller has can't be
-// taken back: its answer is broken off too, and never ended in order.
-func TestStreamThatCannotGoOnIsBrokenOff(t *testing.T) {
-	w := newWorld(t, 10, ab, replicas{"a": pieces(2, broken), "b": pieces(4, io.EOF)})
-	got := w.serve(t.Context(), once)
+// If a stream that cannot be resumed is interrupted, the caller already has part of the
+// answer. The caller's stream must be aborted, not ended normally.
+func TestNonResumableStreamIsAborted(t *testing.T) {
+	f := newFixture(t, 10, ab, handlers{"a": streamPieces(2, errReset), "b": streamPieces(4, io.EOF)})
+	got := f.serve(t.Context(), nonResumableTerms)
 	require.Equal(t, "1;2;", got.text)
 	require.False(t, got.ended)
 	require.NotNil(t, got.aborted)
-	require.Len(t, w.backend.sent(), 1)
+	require.Len(t, f.backend.sent(), 1)
 }
 
-// A replica loses a member and stands still: it takes requests and answers none.
-// Its callers would wait until the engines give up, and so would everyone sent
-// there meanwhile.
+// A replica that lost a member accepts requests and answers none. Without detection its
+// callers, and all callers sent there afterwards, would wait until the engines give up.
 func TestCallsLeaveAReplicaThatStandsStill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 10, ab, replicas{"a": pieces(2, nil), "b": pieces(4, io.EOF)})
+		f := newFixture(t, 10, ab, handlers{"a": streamPieces(2, nil), "b": streamPieces(4, io.EOF)})
 		ctx, cancel := context.WithCancel(t.Context())
-		go w.relay.Run(ctx)
-		began := time.Now()
-		got := w.serve(t.Context(), resumable)
+		go f.relay.Run(ctx)
+		start := time.Now()
+		got := f.serve(t.Context(), resumableTerms)
 		require.Equal(t, "1;2;3;4;", got.text)
 		require.True(t, got.ended)
-		require.Less(t, time.Since(began), 600*time.Millisecond)
+		require.Less(t, time.Since(start), 600*time.Millisecond)
 
-		w.serve(t.Context(), resumable)
-		require.EqualValues(t, "b", w.backend.sent()[2].Replica, "the next call does not go there at all")
+		f.serve(t.Context(), resumableTerms)
+		require.EqualValues(t, "b", f.backend.sent()[2].Replica, "the next call avoids the stalled replica")
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// One connection goes silent while its replica serves others. Only that call moves.
-func TestCallLeavesASilentConnection(t *testing.T) {
+// A connection goes silent while its replica serves other calls. Only the call on that
+// connection must be moved.
+func TestCallMovesFromSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 10, ab, replicas{"a": pieces(1, nil), "b": pieces(3, io.EOF)})
-		got := w.serve(t.Context(), resumable) // nobody watches the replica: Run is not running
+		f := newFixture(t, 10, ab, handlers{"a": streamPieces(1, nil), "b": streamPieces(3, io.EOF)})
+		got := f.serve(t.Context(), resumableTerms) // Run is not running, so the replica is never checked for a stall
 		require.Equal(t, "1;2;3;", got.text)
 		require.True(t, got.ended)
 	})
 }
 
-// The list shows that a replica lost a member. Calls that are silent there go on
-// elsewhere at once, and the lost replica does not count as an attempt.
-func TestCallsLeaveALostReplica(t *testing.T) {
+// When the list shows that a replica lost a member, its idle calls must be moved at once,
+// and the attempt on the lost replica must not count.
+func TestCallsMoveFromLostReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 10, []cluster.ReplicaID{"a", "b", "c"}, replicas{"a": pieces(1, nil), "b": pieces(2, broken), "c": pieces(3, io.EOF)})
-		time.AfterFunc(300*time.Millisecond, func() { w.relay.ReplicaLost("a") })
-		got := w.serve(t.Context(), resumable)
+		f := newFixture(t, 10, []cluster.ReplicaID{"a", "b", "c"}, handlers{"a": streamPieces(1, nil), "b": streamPieces(2, errReset), "c": streamPieces(3, io.EOF)})
+		time.AfterFunc(300*time.Millisecond, func() { f.relay.ReplicaLost("a") })
+		got := f.serve(t.Context(), resumableTerms)
 		require.Equal(t, "1;2;3;", got.text)
 		require.True(t, got.ended)
 	})
 }
 
-// A payment's server is silent. It may be at work: the caller gets its answer if
-// it comes in time, and the route's timeout ends the wait.
-func TestSilentServerIsNoReasonToEndAPayment(t *testing.T) {
+// A server that is silent during a payment may still be working on it. Only the route's
+// timeout may end the wait.
+func TestSilentUnsafeCallRunsUntilTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		silent := func(ctx context.Context, _ relay.Attempt) (*relay.Reply, error) {
 			<-ctx.Done()
 			return nil, &relay.BrokenError{Reason: "no answer", Err: ctx.Err()}
 		}
-		w := newWorld(t, 10, ab, replicas{"a": silent, "b": answers(200)})
-		terms := unsafeCall
+		f := newFixture(t, 10, ab, handlers{"a": silent, "b": respondWith(200)})
+		terms := unsafeTerms
 		terms.Timeout = 2 * time.Second
-		began := time.Now()
-		got := w.serve(t.Context(), terms)
-		require.Equal(t, 2*time.Second, time.Since(began))
+		start := time.Now()
+		got := f.serve(t.Context(), terms)
+		require.Equal(t, 2*time.Second, time.Since(start))
 		require.Equal(t, fennelerr.Timeout, got.refused.Code)
 		require.Equal(t, fennelerr.Unknown, got.refused.Run)
-		require.Len(t, w.backend.sent(), 1)
+		require.Len(t, f.backend.sent(), 1)
 	})
 }
 
-// The caller hangs up. The server must not go on for nobody.
+// When the caller disconnects, the attempt must be canceled so that the server stops
+// generating.
 func TestCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 10, ab, replicas{"a": pieces(1, nil), "b": pieces(3, io.EOF)})
-		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(50*time.Millisecond, leave)
-		began := time.Now()
-		got := w.serve(ctx, resumable)
-		require.Equal(t, 50*time.Millisecond, time.Since(began))
+		f := newFixture(t, 10, ab, handlers{"a": streamPieces(1, nil), "b": streamPieces(3, io.EOF)})
+		ctx, disconnect := context.WithCancel(t.Context())
+		time.AfterFunc(50*time.Millisecond, disconnect)
+		start := time.Now()
+		got := f.serve(ctx, resumableTerms)
+		require.Equal(t, 50*time.Millisecond, time.Since(start))
 		require.NotNil(t, got.aborted)
-		require.Len(t, w.backend.sent(), 1)
+		require.Len(t, f.backend.sent(), 1)
 	})
 }
 
-// Every replica is full. The caller hears at once that its call did not run and
-// when to come back, rather than wait in a queue until it is late.
+// When every replica is full, a call must be refused at once, with NotRun and a retry time,
+// instead of being queued until its answer is late.
 func TestFullReplicasRefuseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		crowded := func(ctx context.Context, a relay.Attempt) (*relay.Reply, error) {
-			reply, err := pieces(1, nil)(ctx, a)
+		overloaded := func(ctx context.Context, a relay.Attempt) (*relay.Reply, error) {
+			reply, err := streamPieces(1, nil)(ctx, a)
 			reply.Load = &relay.Load{Running: 26, Waiting: 2, Slots: 26}
 			return reply, err
 		}
-		w := newWorld(t, 10, ab[:1], replicas{"a": crowded})
+		f := newFixture(t, 10, ab[:1], handlers{"a": overloaded})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			w.serve(ctx, resumable)
+			f.serve(ctx, resumableTerms)
 		}()
 		synctest.Wait()
-		began := time.Now()
-		requireNotRun(t, w.serve(t.Context(), resumable).refused)
-		require.Zero(t, time.Since(began))
+		start := time.Now()
+		requireNotRun(t, f.serve(t.Context(), resumableTerms).refused)
+		require.Zero(t, time.Since(start))
 		cancel()
 		<-done
 	})
 }
 
-// Callers that are turned away together come back spread over time: told the same
-// moment, they would crowd each other out again.
+// Callers that are refused at the same time must get different retry times. With the same
+// one they would overload the replicas again.
 func TestRefusedCallersComeBackSpread(t *testing.T) {
-	full := newWorld(t, 0, ab[:1], replicas{"a": fails(shed)})
+	full := newFixture(t, 0, ab[:1], handlers{"a": failWith(errFull)})
 	seen := map[time.Duration]bool{}
 	for range 20 {
-		got := full.serve(t.Context(), unsafeCall)
+		got := full.serve(t.Context(), unsafeTerms)
 		requireNotRun(t, got.refused)
 		seen[got.refused.RetryAfter.Round(time.Millisecond)] = true
 		require.LessOrEqual(t, got.refused.RetryAfter, 3*time.Second)
@@ -230,37 +231,37 @@
 	require.Greater(t, len(seen), 10)
 }
 
-// Less time is left than an attempt takes: there is none.
+// No retry is made when less time is left than an attempt takes.
 func TestNoAttemptWithoutTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(ctx context.Context, a relay.Attempt) (*relay.Reply, error) {
 			time.Sleep(980 * time.Millisecond)
-			return nil, broken
+			return nil, errReset
 		}
-		w := newWorld(t, 10, ab, replicas{"a": slow, "b": answers(200)})
-		terms := safe
+		f := newFixture(t, 10, ab, handlers{"a": slow, "b": respondWith(200)})
+		terms := safeTerms
 		terms.Timeout = time.Second
-		got := w.serve(t.Context(), terms)
-		require.Len(t, w.backend.sent(), 1)
+		got := f.serve(t.Context(), terms)
+		require.Len(t, f.backend.sent(), 1)
 		require.Equal(t, fennelerr.Unknown, got.refused.Run)
 	})
 }
 
-// The only attempt that a lookup is allowed is slow to answer. Ended early, it
-// would leave the caller with nothing, while the answer is on its way.
+// The last attempt that a call is allowed must not be canceled for being slow: the caller
+// would get no answer although one is on its way.
 func TestLastAttemptIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(ctx context.Context, a relay.Attempt) (*relay.Reply, error) {
 			select {
 			case <-time.After(900 * time.Millisecond):
-				return answers(200)(ctx, a)
+				return respondWith(200)(ctx, a)
 			case <-ctx.Done():
 				return nil, &relay.BrokenError{Reason: "ended", Err: ctx.Err()}
 			}
 		}
-		w := newWorld(t, 10, ab, replicas{"a": slow, "b": answers(200)})
-		terms := safe
+		f := newFixture(t, 10, ab, handlers{"a": slow, "b": respondWith(200)})
+		terms := safeTerms
 		terms.MaxAttempts, terms.Timeout = 1, time.Second
-		require.True(t, w.serve(t.Context(), terms).ended)
+		require.True(t, f.serve(t.Context(), terms).ended)
 	})
 }
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -17,8 +17,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// session is one call on its way, a recovery.Call. Whatever ends it is told to the
-// caller through the sink at once.
+// session is a call in progress. It implements recovery.Call and reports the final
+// result to the caller through the sink.
 type session struct {
 	r       *Relay
 	call    *call.Call
@@ -27,35 +27,37 @@
 	group   cluster.GroupName
 	end     time.Time
 
-	// sent counts the backend servers that got the call.
+	// sent counts the backend servers that received the call.
 	sent int
-	// mayHaveRun is true once an attempt ended without proof that it did not run.
+	// mayHaveRun is true once an attempt failed without certainty that the call did not run.
 	mayHaveRun bool
-	// started is true once a part of the answer went to the caller.
+	// started is true once part of the answer was sent to the caller.
 	started bool
-	// left is the time to the call's end, as of the last look.
-	left time.Duration
-	// choice and peer are where the attempt under way goes.
+	// remaining is the time to the call's deadline, as of the last check.
+	remaining time.Duration
+	// choice and peer are the destination of the current attempt.
 	choice  routing.Choice
 	peer    conns.Peer
 	exclude []cluster.ReplicaID
 	lastID  string
-	// kept is a server's own failure that is passed on if no attempt does better.
-	kept     *keptAnswer
-	attempts int
-	// pieceAt is when the caller last got a piece, pause the longest time that it was
-	// without one since the first.
-	pieceAt time.Time
-	pause   time.Duration
+	// failedAnswer is a server's error response, returned to the caller if no attempt
+	// succeeds.
+	failedAnswer *storedAnswer
+	attempts     int
+	// lastPieceAt is when the caller was last sent a piece, and maxGap the longest time
+	// between two pieces.
+	lastPieceAt time.Time
+	maxGap      time.Duration
 }
 
-// keptAnswer is a whole answer that says the server failed.
-type keptAnswer struct {
+// storedAnswer is a complete answer held back while other attempts are made.
+type storedAnswer struct {
 	head call.Head
 	body []byte
 }
 
-// Serve takes the call to its end. ctx ends when the caller has gone.
+// Serve handles the call until it is answered or given up. ctx ends when the caller
+// disconnects.
 func (r *Relay) Serve(ctx context.Context, c *call.Call, sink call.Sink) {
 	s := &session{r: r, call: c, sink: sink, end: c.End(), lastID: c.ResumeAfter}
 	s.service = c.Route.Terms.Pick(xxhash.Sum64String(c.ID))
@@ -66,11 +68,11 @@
 		ctx, cancel = context.WithDeadline(ctx, s.end)
 		defer cancel()
 	}
-	_ = recovery.Run(ctx, s) // the caller was told, and the log, where the error arose
+	_ = recovery.Run(ctx, s) // the error has been logged and reported to the caller
 }
 
-// GroupOf names the replicas that a call may go to: those of a model, or the
-// servers of a plain service.
+// GroupOf returns the group of replicas that can serve a call: the replicas of a model, or
+// the servers of a plain service.
 func GroupOf(service cluster.Service, model string) cluster.GroupName {
 	if model != "" {
 		return cluster.GroupName(model)
@@ -81,15 +83,15 @@
 // Choose implements recovery.Call.
 func (s *session) Choose(context.Context) error {
 	s.attempts++
-	s.left = time.Until(s.end)
+	s.remaining = time.Until(s.end)
 	for {
-		choice, err := s.pick()
+		choice, err := s.chooseReplica()
 		if err != nil {
-			s.noReplica(err)
+			s.failNoReplica(err)
 			return err
 		}
-		peer, known := s.r.opts.Peer(choice)
-		if known {
+		peer, listed := s.r.opts.Peer(choice)
+		if listed {
 			s.choice, s.peer = choice, peer
 			return nil
 		}
@@ -103,27 +105,28 @@
 	a := newAttempt(ctx, s, s.choice, s.peer)
 	result, err := a.run()
 	if result.OK {
-		s.r.returns.ended(s.group, time.Now())
+		s.r.advisor.recordCompleted(s.group, time.Now())
 	}
 	s.r.opts.Router.End(s.choice, result)
-	s.log(a, result, err)
+	s.logAttempt(a, result, err)
 	return err
 }
 
-// notePiece notes that the caller gets a piece now.
-func (s *session) notePiece(now time.Time) {
-	if !s.pieceAt.IsZero() {
-		s.pause = max(s.pause, now.Sub(s.pieceAt))
+// recordPiece records that a piece is sent to the caller.
+func (s *session) recordPiece(now time.Time) {
+	if !s.lastPieceAt.IsZero() {
+		s.maxGap = max(s.maxGap, now.Sub(s.lastPieceAt))
 	}
-	s.pieceAt = now
+	s.lastPieceAt = now
 }
 
-// pick takes a replica that has room and does not stand still. Where all seem to
-// stand still it is more likely this node that hears nothing, and any will do.
-func (s *session) pick() (routing.Choice, error) {
+// chooseReplica chooses a replica that has room and is not stalled. If no such replica is
+// left, stalled ones are allowed: when all seem stalled, this node itself is more likely
+// cut off.
+func (s *session) chooseReplica() (routing.Choice, error) {
 	req := routing.Request{Group: s.group, Prefer: s.call.Route.Prefer, Limit: s.limit()}
-	if still := s.r.stalls.stalled(time.Now()); len(still) > 0 {
-		req.Exclude = append(still, s.exclude...)
+	if stalled := s.r.stalls.stalled(time.Now()); len(stalled) > 0 {
+		req.Exclude = append(stalled, s.exclude...)
 		if choice, err := s.r.opts.Router.Choose(req); err == nil {
 			return choice, nil
 		}
@@ -132,79 +135,80 @@
 	return s.r.opts.Router.Choose(req)
 }
 
-// limit is how many requests a replica may hold with this one.
+// limit returns the largest number of requests that a replica may hold, this one included.
 func (s *session) limit() routing.Limit {
 	if s.call.Model == "" {
-		return routing.Limit{PerSlot: plainPerSlot}
+		return routing.Limit{PerSlot: requestsPerPlainSlot}
 	}
-	return routing.Limit{PerSlot: 1, Extra: s.extra()}
+	return routing.Limit{PerSlot: 1, Extra: s.extraRequests()}
 }
 
-// extra is how many requests beyond its slots a replica may hold with this one.
-func (s *session) extra() float64 {
+// extraRequests returns how many requests beyond its slots a replica may hold, this one
+// included.
+func (s *session) extraRequests() float64 {
 	if s.attempts == 1 && s.call.Returning() {
-		return returnExtra
+		return extraForReturning
 	}
-	return firstExtra
+	return extraRequests
 }
 
 // Abandoned implements recovery.Call.
 func (s *session) Abandoned(ctx context.Context, _ error) error {
-	if !gone(ctx) {
+	if !callerLeft(ctx) {
 		return nil
 	}
-	left := fennelerr.Wrap(context.Cause(ctx), fennelerr.Canceled, "the caller has gone")
-	s.sink.Abort(left)
-	return left
+	canceled := fennelerr.Wrap(context.Cause(ctx), fennelerr.Canceled, "the caller disconnected")
+	s.sink.Abort(canceled)
+	return canceled
 }
 
 // Classify implements recovery.Call.
 func (s *session) Classify(_ context.Context, err error) recovery.Failure {
-	notRun, proved := errors.Into[*NotRunError](err)
-	charged := !proved || notRun.Received
-	if charged && !errors.Is(err, errReplicaLost) {
-		s.sent++ // a replica that ended meanwhile does not count
+	notRun, isNotRun := errors.Into[*NotRunError](err)
+	delivered := !isNotRun || notRun.Received
+	if delivered && !errors.Is(err, errReplicaLost) {
+		s.sent++ // an attempt on a replica that lost a member does not count
 	}
-	s.mayHaveRun = s.mayHaveRun || !proved
+	s.mayHaveRun = s.mayHaveRun || !isNotRun
 	s.exclude = append(s.exclude, s.choice.Replica.ID)
-	s.left = time.Until(s.end)
+	s.remaining = time.Until(s.end)
 	f := recovery.Failure{
 		MayHaveRun: s.mayHaveRun, Repeatable: s.call.Route.Terms.Idempotent(),
-		// A stream goes on after the id of its last piece on any replica.
+		// Any replica can continue a stream after the id of its last piece.
 		ResponseStarted: s.started, CanContinue: true,
-		Attempts: s.sent, MaxAttempts: s.call.Route.Terms.MaxAttempts, OutOfTime: s.left < minAttempt,
-		TakeRetry: func() bool { return !charged || s.r.opts.Budget.TryRetry(s.service, time.Now()) },
+		Attempts: s.sent, MaxAttempts: s.call.Route.Terms.MaxAttempts, OutOfTime: s.remaining < minAttemptTime,
+		TakeRetry: func() bool { return !delivered || s.r.opts.Budget.TryRetry(s.service, time.Now()) },
 	}
-	if proved {
+	if isNotRun {
 		f.Outcome = recovery.NotRun
 	}
 	return f
 }
 
-// minAttempt is the least time in which another attempt can be of use: a round
-// trip and a short answer.
-const minAttempt = 40 * time.Millisecond
+// minAttemptTime is the shortest time in which another attempt can succeed: a round trip
+// and a short answer.
+const minAttemptTime = 40 * time.Millisecond
 
 // Apply implements recovery.Call.
 func (s *session) Apply(_ context.Context, d recovery.Decision, err error) error {
-	s.r.opts.Log.Info("after attempt", "request", s.call.ID, "next", d.Step, "reason", d.Reason, "sent", s.sent, "held", time.Since(s.call.ReceivedAt), "left", s.left)
+	s.r.opts.Log.Info("after attempt", "request", s.call.ID, "next", d.Step, "reason", d.Reason, "sent", s.sent, "held", time.Since(s.call.ReceivedAt), "left", s.remaining)
 	if d.Step != recovery.GiveUp {
 		return nil
 	}
 	s.finish(err, func() *fennelerr.Error {
-		return fennelerr.Wrap(err, fennelerr.Overloaded, "%s", d.Reason).WithRetryAfter(s.r.returns.turnAway(s.group, time.Now()))
+		return fennelerr.Wrap(err, fennelerr.Overloaded, "%s", d.Reason).WithRetryAfter(s.r.advisor.refuse(s.group, time.Now()))
 	})
 	return err
 }
 
-// finish gives the call the final answer that its progress allows. Only a call that
-// certainly did not run gets the refusal, which says so and when to come back.
+// finish reports the final result to the caller, depending on how far the call got. Only
+// a call that certainly did not run is refused with NotRun and a time after which to retry.
 func (s *session) finish(cause error, refusal func() *fennelerr.Error) {
 	switch {
 	case s.started:
 		s.sink.Abort(s.failure(cause))
-	case s.kept != nil:
-		_ = s.sink.Whole(s.kept.head, s.kept.body) // the caller may be gone
+	case s.failedAnswer != nil:
+		_ = s.sink.Whole(s.failedAnswer.head, s.failedAnswer.body) // the caller may have disconnected
 	case s.mayHaveRun:
 		s.sink.Refuse(s.failure(cause))
 	default:
@@ -212,46 +216,46 @@
 	}
 }
 
-// failure is the final answer of a call that may have run.
+// failure returns the error reported for a call that may have run.
 func (s *session) failure(cause error) *fennelerr.Error {
-	if s.left <= 0 {
+	if s.remaining <= 0 {
 		return fennelerr.Wrap(cause, fennelerr.Timeout, "no answer within the route's timeout").WithRun(fennelerr.Unknown)
 	}
 	return fennelerr.Wrap(cause, fennelerr.BackendFailed, "the backend server gave no whole answer").WithRun(fennelerr.Unknown)
 }
 
-// noReplica ends a call for which no replica is left.
-func (s *session) noReplica(err error) {
+// failNoReplica ends a call for which no replica is left.
+func (s *session) failNoReplica(err error) {
 	s.r.opts.Log.Info("no replica", "request", s.call.ID, "route", s.call.Route.Terms.Name, "group", s.group, "excluded", len(s.exclude),
 		"held", time.Since(s.call.ReceivedAt), "err", err.Error())
 	s.finish(err, func() *fennelerr.Error {
 		if _, full := errors.Into[*routing.FullError](err); full {
-			return fennelerr.Wrap(err, fennelerr.Overloaded, "no room for the call").WithRetryAfter(s.r.returns.turnAway(s.group, time.Now()))
+			return fennelerr.Wrap(err, fennelerr.Overloaded, "no room for the call").WithRetryAfter(s.r.advisor.refuse(s.group, time.Now()))
 		}
 		return fennelerr.Wrap(err, fennelerr.NoReplica, "no replica of %s may take the call", s.group).WithRetryAfter(retryAfterNoReplica)
 	})
 }
 
-// retryAfterNoReplica is when a caller may find a replica again that was formed
-// anew: joining takes 0.2 to 1.6 s and opening 0.3 s.
+// retryAfterNoReplica is the retry time when a group has no replica. Forming a new one
+// takes 0.2 to 1.6 s for joining and 0.3 s for opening.
 const retryAfterNoReplica = time.Second
 
-// gone reports whether the caller itself has left, and not merely run out of time.
-func gone(ctx context.Context) bool {
+// callerLeft reports whether the caller disconnected, as opposed to its deadline passing.
+func callerLeft(ctx context.Context) bool {
 	return ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
 var (
-	callSeconds  = metrics.NewHistogram("fennel_relay_attempt_seconds")
-	firstSeconds = metrics.NewHistogram("fennel_relay_first_piece_seconds")
+	attemptSeconds    = metrics.NewHistogram("fennel_relay_attempt_seconds")
+	firstPieceSeconds = metrics.NewHistogram("fennel_relay_first_piece_seconds")
 )
 
-// log writes the line of an attempt that has ended: what was chosen and why, what the
-// server said of its load, and how the caller fares against the route's targets.
-func (s *session) log(a *attempt, result routing.Result, err error) {
-	callSeconds.Update(result.Duration.Seconds())
+// logAttempt logs a finished attempt: the replica chosen and why, the load that the server
+// reported, and the latencies beside the route's targets.
+func (s *session) logAttempt(a *attempt, result routing.Result, err error) {
+	attemptSeconds.Update(result.Duration.Seconds())
 	if result.FirstToken > 0 {
-		firstSeconds.Update(result.FirstToken.Seconds())
+		firstPieceSeconds.Update(result.FirstToken.Seconds())
 	}
 	outcome := "answered"
 	if err != nil {
@@ -263,7 +267,7 @@
 		"reason", choice.Reason, "considered", choice.Considered, "waited", a.started.Sub(s.call.ReceivedAt),
 		"first", result.FirstToken, "target", terms.Target, "took", result.Duration}
 	if s.streams() {
-		fields = append(fields, "prompt", s.call.PromptTokens, "expected", s.call.ExpectedAnswer(), "work", s.call.Work, "pieces", result.Tokens, "pause", s.pause, "pause_target", terms.TargetGap)
+		fields = append(fields, "prompt", s.call.PromptTokens, "expected", s.call.ExpectedAnswer(), "work", s.call.Work, "pieces", result.Tokens, "pause", s.maxGap, "pause_target", terms.TargetGap)
 	}
 	if a.load != nil {
 		fields = append(fields, "running", a.load.Running, "waiting", a.load.Waiting, "slots", a.load.Slots)
@@ -271,5 +275,5 @@
 	s.r.opts.Log.Info("attempt", append(fields, "outcome", outcome)...)
 }
 
-// Kinds with pieces.
+// streams reports whether the answer is a stream of pieces.
 func (s *session) streams() bool { return s.call.Route.Terms.Kind == rules.CallStream }
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -10,187 +10,188 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// Times by which a replica that stands still is told from one that works.
+// Timeouts for the detection of stalled replicas.
 //
-// A replica that lost a member goes on accepting requests, and nothing moves on it
-// until the engines give up after seconds. The list of servers shows the loss only
-// after some heartbeats. What a node's own streams show comes first: a working
-// replica writes a piece for every running request in each pass, which takes 50 to
-// 150 ms with a full batch.
+// A replica that lost a member keeps accepting requests but makes no progress until the
+// engines give up after seconds. The list of servers shows the loss only after several
+// heartbeats. A node's own streams show it first: a working replica sends a piece for
+// every running request in each pass, which takes 50 to 150 ms with a full batch.
 const (
-	// stallAfter is how long a replica with several streams may bring nothing.
-	stallAfter = 400 * time.Millisecond
-	// stallAfterAlone is the same for a few streams that have brought nothing yet: their
-	// prompts may be the largest, on a slow replica, or behind those of other nodes.
-	stallAfterAlone = 800 * time.Millisecond
-	// stallHolds is how long a replica that stood still gets no new requests, unless
-	// something comes from it: about as long as the list takes to show a loss.
-	stallHolds = 2500 * time.Millisecond
-	// stallRhythm and stallMost: a replica that lately brought something only so often
-	// may be silent for so many times as long, up to a bound. One with a slow member
-	// reads and writes several times slower than the others, and still works.
-	stallRhythm = 3
-	stallMost   = 2 * time.Second
-	// rhythmLife is the time in which a remembered pause shrinks to a third.
-	rhythmLife = 2 * time.Second
-	// stallCheck is how often it is looked at.
-	stallCheck = 50 * time.Millisecond
-	// reportLife is how long another node's report counts.
-	reportLife = time.Second
-	// vouchedFor is how long a replica whose members all answer may take its time: it is
-	// overloaded, and its callers would only have to wait anew elsewhere.
-	vouchedFor = 2 * time.Second
-	// fewStreams are too few to tell a replica that stands still from one that reads many
-	// prompts, before any of them has brought something.
+	// stallTimeout is the longest time without a piece from a replica with several streams.
+	stallTimeout = 400 * time.Millisecond
+	// stallTimeoutFirst is the same for a few streams that have received nothing yet. Their
+	// prompts may be the largest allowed, on a slow replica, or queued behind those of
+	// other nodes.
+	stallTimeoutFirst = 800 * time.Millisecond
+	// stallQuarantine is how long a stalled replica gets no new requests unless something
+	// arrives from it. It is about the time that the list takes to show a loss.
+	stallQuarantine = 2500 * time.Millisecond
+	// A replica may be silent for stallGapFactor times its longest recent gap, up to
+	// maxStallTimeout. A replica with a slow member reads and generates several times
+	// slower than the others and still works.
+	stallGapFactor  = 3
+	maxStallTimeout = 2 * time.Second
+	// gapDecay is the time constant with which the longest gap decays.
+	gapDecay = 2 * time.Second
+	// stallCheckInterval is the time between two checks.
+	stallCheckInterval = 50 * time.Millisecond
+	// reportLifetime is how long another node's report is valid.
+	reportLifetime = time.Second
+	// healthyLifetime is how long a replica whose members all respond is allowed the
+	// longest timeout. It is overloaded, and its callers would only have to queue again
+	// elsewhere.
+	healthyLifetime = 2 * time.Second
+	// fewStreams is the largest number of streams that cannot tell a stalled replica from
+	// one that processes many prompts, before any of them has received a piece.
 	fewStreams = 3
 )
 
 var stallsTotal = metrics.NewCounter("fennel_relay_replica_stalls_total")
 
-// stallDetector notes when each replica last brought anything to this node.
+// stallDetector tracks when each replica last sent anything to this node.
 type stallDetector struct {
-	mu sync.Mutex
-	by map[cluster.ReplicaID]*activity
+	mu       sync.Mutex
+	replicas map[cluster.ReplicaID]*activity
 }
 
 type activity struct {
-	// running are the streams under way here; lastSign is when anything came from
-	// the replica, or the first of them was sent.
-	running  int
-	lastSign time.Time
-	// fresh is true while nothing came since the first of them was sent.
-	fresh        bool
-	stalledSince time.Time
-	// rhythm is the longest pause between two signs lately.
-	rhythm time.Duration
-	// reportedBy is the last other node that found the replica to stand still.
+	// running is the number of this node's streams on the replica. lastActivity is when
+	// anything last arrived, or when the first of the streams was sent.
+	running      int
+	lastActivity time.Time
+	// waitingForFirst is true while nothing has arrived since the first stream was sent.
+	waitingForFirst bool
+	stalledSince    time.Time
+	// longestGap is the longest recent time between two pieces.
+	longestGap time.Duration
+	// reportedBy is the last other node that reported the replica as stalled.
 	reportedBy cluster.NodeID
 	reportedAt time.Time
-	// vouchedUntil is until when it is known to work.
-	vouchedUntil time.Time
+	// healthyUntil is when the last confirmation that the replica works expires.
+	healthyUntil time.Time
 }
 
-// timeout is how long the replica may bring nothing.
-func (o *activity) timeout(now time.Time) time.Duration {
-	if now.Before(o.vouchedUntil) {
-		return stallMost
+// timeout returns how long the replica may send nothing.
+func (a *activity) timeout(now time.Time) time.Duration {
+	if now.Before(a.healthyUntil) {
+		return maxStallTimeout
 	}
-	if o.fresh && o.running <= fewStreams {
-		return stallAfterAlone
+	if a.waitingForFirst && a.running <= fewStreams {
+		return stallTimeoutFirst
 	}
-	return min(max(stallAfter, stallRhythm*o.rhythm), stallMost)
+	return min(max(stallTimeout, stallGapFactor*a.longestGap), maxStallTimeout)
 }
 
-// note takes a sign of the replica.
-func (o *activity) note(now time.Time) {
-	pause := now.Sub(o.lastSign)
-	o.rhythm = time.Duration(float64(o.rhythm) * math.Exp(-float64(pause)/float64(rhythmLife)))
-	if !o.fresh {
-		o.rhythm = max(o.rhythm, pause)
+// record records that something arrived from the replica.
+func (a *activity) record(now time.Time) {
+	gap := now.Sub(a.lastActivity)
+	a.longestGap = time.Duration(float64(a.longestGap) * math.Exp(-float64(gap)/float64(gapDecay)))
+	if !a.waitingForFirst {
+		a.longestGap = max(a.longestGap, gap)
 	}
-	o.lastSign, o.fresh, o.stalledSince = now, false, time.Time{}
+	a.lastActivity, a.waitingForFirst, a.stalledSince = now, false, time.Time{}
 }
 
 func newStallDetector() *stallDetector {
-	return &stallDetector{by: make(map[cluster.ReplicaID]*activity)}
+	return &stallDetector{replicas: make(map[cluster.ReplicaID]*activity)}
 }
 
 func (d *stallDetector) begin(id cluster.ReplicaID, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	one := d.of(id)
-	if one.running == 0 {
-		one.lastSign, one.fresh = now, true
+	a := d.activity(id)
+	if a.running == 0 {
+		a.lastActivity, a.waitingForFirst = now, true
 	}
-	one.running++
+	a.running++
 }
 
 func (d *stallDetector) end(id cluster.ReplicaID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if one := d.by[id]; one != nil {
-		one.running--
+	if a := d.replicas[id]; a != nil {
+		a.running--
 	}
 }
 
-// sign notes that something came from the replica.
-func (d *stallDetector) sign(id cluster.ReplicaID, now time.Time) {
+// recordActivity records that something arrived from the replica.
+func (d *stallDetector) recordActivity(id cluster.ReplicaID, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if one := d.by[id]; one != nil {
-		one.note(now)
+	if a := d.replicas[id]; a != nil {
+		a.record(now)
 	}
 }
 
-// stalled lists the replicas that stand still.
+// stalled returns the replicas that are stalled.
 func (d *stallDetector) stalled(now time.Time) (ids []cluster.ReplicaID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, one := range d.by {
-		if !one.stalledSince.IsZero() && now.Sub(one.stalledSince) < stallHolds {
+	for id, a := range d.replicas {
+		if !a.stalledSince.IsZero() && now.Sub(a.stalledSince) < stallQuarantine {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// review finds the replicas that have come to stand still since the last look. It
-// reports whether as many others work: if not, this node is more likely cut off.
-func (d *stallDetector) review(now time.Time) (found []cluster.ReplicaID, othersWork bool) {
+// check returns the replicas that stalled since the last check, and whether at least as
+// many others work. If not, this node itself is more likely cut off.
+func (d *stallDetector) check(now time.Time) (found []cluster.ReplicaID, othersWork bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	working := 0
-	for id, one := range d.by {
-		held := !one.stalledSince.IsZero() && now.Sub(one.stalledSince) < stallHolds
+	for id, a := range d.replicas {
+		quarantined := !a.stalledSince.IsZero() && now.Sub(a.stalledSince) < stallQuarantine
 		switch {
-		case one.running == 0 && !held && now.Sub(one.reportedAt) >= reportLife && now.After(one.vouchedUntil):
-			delete(d.by, id)
-		case one.running > 0 && !held && now.Sub(one.lastSign) > one.timeout(now):
-			one.stalledSince = now
+		case a.running == 0 && !quarantined && now.Sub(a.reportedAt) >= reportLifetime && now.After(a.healthyUntil):
+			delete(d.replicas, id)
+		case a.running > 0 && !quarantined && now.Sub(a.lastActivity) > a.timeout(now):
+			a.stalledSince = now
 			found = append(found, id)
 			stallsTotal.Inc()
-		case one.running > 0 && !one.fresh && now.Sub(one.lastSign) < stallAfter:
+		case a.running > 0 && !a.waitingForFirst && now.Sub(a.lastActivity) < stallTimeout:
 			working++
 		}
 	}
 	return found, working >= len(found)
 }
 
-// of is the replica's activity; the caller holds d.mu.
-func (d *stallDetector) of(id cluster.ReplicaID) *activity {
-	one := d.by[id]
-	if one == nil {
-		one = &activity{}
-		d.by[id] = one
+// activity returns the replica's activity, adding it if needed. The caller holds d.mu.
+func (d *stallDetector) activity(id cluster.ReplicaID) *activity {
+	a := d.replicas[id]
+	if a == nil {
+		a = &activity{}
+		d.replicas[id] = a
 	}
-	return one
+	return a
 }
 
-// report takes another node's word that a replica stands still. One node may be cut off,
-// or on a bad link, and a replica that is overloaded seems to stand still to some: where
-// this node has requests of its own these decide, and where it has none it takes two
-// others. It reports whether the replica now counts as standing still.
+// report records another node's report that a replica is stalled, and returns whether the
+// replica is now considered stalled. A single node may be cut off or have a bad link, and
+// an overloaded replica looks stalled to some nodes. If this node has requests of its own
+// on the replica, only those count; otherwise reports from two other nodes are needed.
 func (d *stallDetector) report(id cluster.ReplicaID, by cluster.NodeID, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	one := d.of(id)
-	known := !one.stalledSince.IsZero() && now.Sub(one.stalledSince) < stallHolds
-	if known || one.running > 0 || now.Before(one.vouchedUntil) {
+	a := d.activity(id)
+	quarantined := !a.stalledSince.IsZero() && now.Sub(a.stalledSince) < stallQuarantine
+	if quarantined || a.running > 0 || now.Before(a.healthyUntil) {
 		return false
 	}
-	confirmed := one.reportedBy != "" && one.reportedBy != by && now.Sub(one.reportedAt) < reportLife
-	one.reportedBy, one.reportedAt = by, now
+	confirmed := a.reportedBy != "" && a.reportedBy != by && now.Sub(a.reportedAt) < reportLifetime
+	a.reportedBy, a.reportedAt = by, now
 	if confirmed {
-		one.stalledSince = now
+		a.stalledSince = now
 	}
 	return confirmed
 }
 
-// vouch takes the word that all members of a replica answer.
-func (d *stallDetector) vouch(id cluster.ReplicaID, now time.Time) {
+// markHealthy records that all members of a replica responded.
+func (d *stallDetector) markHealthy(id cluster.ReplicaID, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	one := d.of(id)
-	one.vouchedUntil = now.Add(vouchedFor)
-	one.stalledSince, one.reportedBy = time.Time{}, ""
+	a := d.activity(id)
+	a.healthyUntil = now.Add(healthyLifetime)
+	a.stalledSince, a.reportedBy = time.Time{}, ""
 }
