--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// BenchmarkChoose gives the cost of one decision (choose and end) by the size
-// of the group, with three zones, load reports and prefix hashes.
+// BenchmarkChoose measures Choose and End by group size, with three zones, load reports and
+// prefix hashes.
 func BenchmarkChoose(b *testing.B) {
 	hashes := engine.PrefixHashes(string(make([]byte, 8*engine.PrefixBlock)))
 	for _, n := range []int{50, 265, 4500} {
@@ -33,8 +33,8 @@
 	}
 }
 
-// BenchmarkTableMemory gives the heap bytes of one replica's entry and of one
-// entry of a full prefix index, for docs/CAPACITY.md.
+// BenchmarkTableMemory measures the heap bytes per replica and per entry of a full prefix
+// index, for docs/CAPACITY.md.
 func BenchmarkTableMemory(b *testing.B) {
 	const n = 4500
 	for b.Loop() {
--- a/internal/routing/cachepoll.go
+++ b/internal/routing/cachepoll.go
@@ -13,47 +13,47 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// CacheSource answers an engine's cache events; engine.Client is one.
+// CacheSource fetches an engine's cache events. It is implemented by engine.Client.
 type CacheSource interface {
 	CacheEvents(ctx context.Context, addr string, after int64) (engine.CacheEvents, error)
 }
 
-// CachePoller brings the cache events of the own zone's whole replicas to the
-// table, one replica after the other, within a budget of bytes: the more
-// replicas and events there are, the later they come.
+// CachePoller polls the healthy replicas of the own zone for cache events, one after the
+// other, and adds the events to the table. Its traffic is limited: with more replicas and
+// events, each replica is polled less often.
 type CachePoller struct {
 	Table  *Table
 	Source CacheSource
 	Log    *slog.Logger
-	// BytesPerSecond bounds the traffic of the polls; default DefaultCacheBytes.
+	// BytesPerSecond limits the traffic of the polls; default DefaultCacheBytesPerSecond.
 	BytesPerSecond int
 }
 
 const (
-	// DefaultCacheBytesPerSecond is a quarter of what a node may spend on control.
+	// DefaultCacheBytesPerSecond is a quarter of a node's budget for control traffic.
 	DefaultCacheBytesPerSecond = 1500
-	// pollBytes and eventBytes are the traffic of one poll and of one event in it.
+	// pollBytes is the traffic of a poll without events, and eventBytes that of an event.
 	pollBytes  = 400
 	eventBytes = 50
-	// cacheCycle is the shortest time between two polls of the same replica.
-	cacheCycle  = time.Second
-	pollTimeout = 2 * time.Second
+	// minPollInterval is the shortest time between two polls of the same replica.
+	minPollInterval = time.Second
+	pollTimeout     = 2 * time.Second
 )
 
 var (
-	cachePolls      = metrics.NewCounter("fennel_routing_cache_polls_total")
-	cachePollsLost  = metrics.NewCounter("fennel_routing_cache_polls_failed_total")
-	cacheEventsSeen = metrics.NewCounter("fennel_routing_cache_events_total")
+	cachePollsTotal  = metrics.NewCounter("fennel_routing_cache_polls_total")
+	cachePollsFailed = metrics.NewCounter("fennel_routing_cache_polls_failed_total")
+	cacheEventsTotal = metrics.NewCounter("fennel_routing_cache_events_total")
 )
 
-// Run polls until ctx ends.
+// Run polls until ctx is done.
 func (p *CachePoller) Run(ctx context.Context) {
 	budget := p.BytesPerSecond
 	if budget == 0 {
 		budget = DefaultCacheBytesPerSecond
 	}
 	for ctx.Err() == nil {
-		cycle := time.Now()
+		cycleStart := time.Now()
 		for _, e := range p.Table.localReplicas() {
 			if ctx.Err() != nil {
 				return
@@ -61,27 +61,27 @@
 			bytes := p.poll(ctx, e)
 			clock.Pause(ctx, time.Duration(bytes)*time.Second/time.Duration(budget))
 		}
-		clock.Pause(ctx, cacheCycle-time.Since(cycle))
+		clock.Pause(ctx, minPollInterval-time.Since(cycleStart))
 	}
 }
 
-// poll asks one replica and returns the traffic it made.
+// poll polls one replica and returns the estimated traffic in bytes.
 func (p *CachePoller) poll(ctx context.Context, e Entry) (bytes int) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	cachePolls.Inc()
+	cachePollsTotal.Inc()
 	events, err := p.Source.CacheEvents(ctx, e.Addr, p.Table.CacheSeq(e.Replica.ID))
 	if err != nil {
-		cachePollsLost.Inc()
+		cachePollsFailed.Inc()
 		p.Log.Debug("cache poll failed", "replica", e.Replica.ID, "addr", e.Addr, "err", err.Error())
 		return pollBytes
 	}
-	cacheEventsSeen.Add(len(events.Events))
+	cacheEventsTotal.Add(len(events.Events))
 	p.Table.CacheEvents(e.Replica.ID, events, p.Table.opts.Now())
 	return pollBytes + eventBytes*len(events.Events)
 }
 
-// localReplicas lists the whole replicas of the own zone.
+// localReplicas returns the eligible replicas of the own zone.
 func (t *Table) localReplicas() []Entry {
 	var out []Entry
 	groups := *t.groups.Load()
--- a/internal/routing/cachepoll_test.go
+++ b/internal/routing/cachepoll_test.go
@@ -13,16 +13,16 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// busyEngines publish news at every poll; the one at down never answers well.
+// busyEngines returns new events at every poll, and an error for the address down.
 type busyEngines struct {
 	events int
 	down   string
-	asked  map[string]int
+	polls  map[string]int
 	after  map[string]int64
 }
 
 func (b *busyEngines) CacheEvents(_ context.Context, addr string, after int64) (engine.CacheEvents, error) {
-	b.asked[addr]++
+	b.polls[addr]++
 	b.after[addr] = after
 	if addr == b.down {
 		return engine.CacheEvents{}, fennelerr.New(fennelerr.Timeout, "no answer")
@@ -34,26 +34,26 @@
 	return out, nil
 }
 
-// Engines with long prompts publish thousands of events. Without a budget the
-// polls alone would use up what a node may spend on control.
+// Engines with long prompts publish thousands of events. Without a limit the polls alone
+// would exhaust a node's budget for control traffic.
 func TestCachePollsKeepToTheirBudget(t *testing.T) {
 	for _, events := range []int{0, 3, 200} {
 		synctest.Test(t, func(t *testing.T) {
 			table := newFleet(12, nil, "a", "b", "c")
 			table.opts.Now = time.Now
-			source := &busyEngines{events: events, down: "addr-r3", asked: map[string]int{}, after: map[string]int64{}}
+			source := &busyEngines{events: events, down: "addr-r3", polls: map[string]int{}, after: map[string]int64{}}
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 			defer cancel()
 			(&CachePoller{Table: table, Source: source, Log: slog.New(slog.DiscardHandler)}).Run(ctx)
 			bytes := 0
-			for _, n := range source.asked {
+			for _, n := range source.polls {
 				bytes += n * (pollBytes + events*eventBytes)
 			}
-			require.LessOrEqual(t, bytes, 2*60*DefaultCacheBytesPerSecond+pollBytes+events*eventBytes+source.asked["addr-r3"]*events*eventBytes)
-			require.Len(t, source.asked, 4, "the own zone's replicas only")
-			require.GreaterOrEqual(t, source.asked["addr-r0"], 3)
+			require.LessOrEqual(t, bytes, 2*60*DefaultCacheBytesPerSecond+pollBytes+events*eventBytes+source.polls["addr-r3"]*events*eventBytes)
+			require.Len(t, source.polls, 4, "the own zone's replicas only")
+			require.GreaterOrEqual(t, source.polls["addr-r0"], 3)
 			require.Zero(t, source.after["addr-r3"])
-			require.EqualValues(t, events*(source.asked["addr-r0"]-1), source.after["addr-r0"], "each poll goes on after the last")
+			require.EqualValues(t, events*(source.polls["addr-r0"]-1), source.after["addr-r0"], "each poll starts after the last event")
 		})
 	}
 }
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -6,18 +6,18 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// Choose picks a replica and counts the request on it until End.
+// Choose picks a replica and counts the request on it until End is called.
 func (t *Table) Choose(req Request) (Choice, error) { return t.ChooseAt(t.opts.Now(), req) }
 
-// chooseAttempts bounds how often a pick is repeated when the picked replica
-// stopped being whole in between.
-const chooseAttempts = 4
+// maxPicks is the number of picks made for a request when picked replicas become ineligible
+// before the request is counted on them.
+const maxPicks = 4
 
 // ChooseAt is Choose at a given time.
 func (t *Table) ChooseAt(now time.Time, req Request) (Choice, error) {
-	rnd := NewRandom(t.opts.Seed, t.draws.Add(1))
-	for range chooseAttempts {
-		pick := t.peek(now, req, rnd)
+	rnd := NewRandom(t.opts.Seed, t.picks.Add(1))
+	for range maxPicks {
+		pick := t.pick(now, req, rnd)
 		if pick.Full {
 			fullTotal.Inc()
 			return Choice{}, &FullError{Group: req.Group, Considered: pick.Considered}
@@ -32,17 +32,17 @@
 	}
 	refusedTotal.Inc()
 	return Choice{}, fennelerr.New(fennelerr.NoReplica, "no whole replica of group %s may take the request", req.Group).
-		WithOp("routing.choose").WithRun(fennelerr.NotRun).WithRetryAfter(noReplicaRetry)
+		WithOp("routing.choose").WithRun(fennelerr.NotRun).WithRetryAfter(noReplicaRetryAfter)
 }
 
-// noReplicaRetry is when a caller may find a replica again: a member that is
-// replaced takes at least this long to be confirmed.
-const noReplicaRetry = 2 * time.Second
+// noReplicaRetryAfter is the retry time when a group has no eligible replica. A replaced
+// member takes at least this long to be confirmed.
+const noReplicaRetryAfter = 2 * time.Second
 
-// Peek returns the decision for the request without counting anything.
+// Peek returns the replica that would be picked, without counting a request on it.
 func (t *Table) Peek(req Request) (Choice, bool) {
 	rnd := NewRandom(t.opts.Seed, 0)
-	p := t.peek(t.opts.Now(), req, rnd)
+	p := t.pick(t.opts.Now(), req, rnd)
 	if !p.Found {
 		return Choice{Considered: p.Considered}, false
 	}
@@ -52,7 +52,7 @@
 	return Choice{Replica: e.replica, Addr: e.addr, Reason: p.Reason, Considered: p.Considered}, true
 }
 
-func (t *Table) peek(now time.Time, req Request, rnd *Random) Pick {
+func (t *Table) pick(now time.Time, req Request, rnd *Random) Pick {
 	g := (*t.groups.Load())[req.Group]
 	if g == nil {
 		return Pick{}
@@ -61,7 +61,8 @@
 	return t.opts.Policy.Pick(v, req, rnd)
 }
 
-// begin counts the request on the picked replica, if that is still whole.
+// begin counts the request on the picked replica. It returns false if the replica is no
+// longer eligible.
 func (t *Table) begin(now time.Time, req Request, pick Pick) (Choice, bool) {
 	e := pick.Candidate.entry
 	choice, epoch, ok := e.begin(now, req, pick)
@@ -80,7 +81,7 @@
 	if !e.eligible() || (req.Isolated && e.suspects > 0) {
 		return Choice{}, 0, false
 	}
-	e.history.note(now, e.outstanding)
+	e.history.record(now, e.outstanding)
 	e.outstanding++
 	trial := e.speed.onTrial && !e.speed.avoided(now)
 	if trial {
@@ -95,7 +96,7 @@
 	}, e.cacheEpoch, true
 }
 
-// End counts the request back and learns from how it ended.
+// End removes the request from the replica's count and records its result.
 func (t *Table) End(choice Choice, res Result) { t.EndAt(t.opts.Now(), choice, res) }
 
 // EndAt is End at a given time.
@@ -106,7 +107,7 @@
 	}
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.history.note(now, e.outstanding)
+	e.history.record(now, e.outstanding)
 	e.outstanding--
 	if choice.trial {
 		e.speed.trials = max(e.speed.trials-1, 0)
@@ -115,6 +116,6 @@
 		e.suspects--
 	}
 	if e.replica.Serving == choice.Replica.Serving {
-		e.speed.note(res, now)
+		e.speed.record(res, now)
 	}
 }
--- a/internal/routing/entry.go
+++ b/internal/routing/entry.go
@@ -8,37 +8,38 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// entry is the state of one replica. All fields but lock are guarded by lock,
-// the lock of the shard that the replica falls into.
+// entry is the state of one replica. All fields are guarded by lock, which is the lock of
+// the replica's shard.
 type entry struct {
 	lock *sync.Mutex
 
 	replica cluster.Replica
 	addr    string
-	// slots is how many requests it batches, as listed; 0 where only reports tell.
+	// slots is the batch size as listed; 0 if only load reports give it.
 	slots   int
 	removed bool
-	// wholeGeneration is the generation that the health check confirmed; 0 for none.
-	wholeGeneration int64
+	// healthyGeneration is the generation confirmed by the health check; 0 for none.
+	healthyGeneration int64
 
 	outstanding int
 	suspects    int
 	history     history
-	report      report
+	report      loadReport
 	peers       []peerCount
 	speed       speed
 
-	// cacheBoot and cacheEpoch make prefix entries of an earlier engine process void.
+	// cacheBoot and cacheEpoch invalidate prefix entries of an earlier engine process.
 	cacheBoot  string
 	cacheEpoch uint32
 	cacheSeq   int64
 }
 
-// report is the last load report and what this node had in flight when it was taken.
-type report struct {
-	load       engine.Load
-	receivedAt time.Time
-	ownThen    int
+// loadReport is the last load report and the number of this node's requests in flight at
+// the time it describes.
+type loadReport struct {
+	load        engine.Load
+	receivedAt  time.Time
+	ownAtReport int
 }
 
 // peerCount is another node's outstanding requests on the replica.
@@ -48,49 +49,47 @@
 	at   time.Time
 }
 
-// eligible reports whether the replica may take new work.
+// eligible reports whether the replica may receive new requests.
 func (e *entry) eligible() bool {
 	return !e.removed && !e.replica.Leaving && e.addr != "" &&
-		e.wholeGeneration != 0 && e.wholeGeneration == e.replica.Generation
+		e.healthyGeneration != 0 && e.healthyGeneration == e.replica.Generation
 }
 
-// inFlight estimates what runs and waits on the replica, with usual as the
-// group's mean of what others run on one unit of capacity.
+// inFlight estimates the requests running and waiting on the replica. meanRemote is the
+// group's mean remote load per unit of capacity.
 //
-// What others run is known late, and all nodes act on the same news: the replica
-// that looked emptiest would get everybody's next requests and be the fullest
-// before anyone hears of it, while others idle. One would notice replicas that
-// swing between empty and full once a gossip round. Therefore only a part of
-// a replica's difference from the usual counts. Own requests are known exactly
-// and count whole.
-func (e *entry) inFlight(now time.Time, o Options, capacity, usual float64) float64 {
-	expected := usual * capacity
-	return float64(e.outstanding) + expected + o.RemoteLoadWeight*(e.others(now, o)-expected)
+// Remote load is known with a delay, and all nodes act on the same data: the replica that
+// looked least loaded would receive the next requests of every node and be the most loaded
+// one before any node learns of it, while others idle. Replicas would alternate between
+// empty and full with each gossip round. Therefore a replica's deviation from the mean only
+// counts with the weight RemoteLoadWeight. Own requests are known exactly and count fully.
+func (e *entry) inFlight(now time.Time, o Options, capacity, meanRemote float64) float64 {
+	expected := meanRemote * capacity
+	return float64(e.outstanding) + expected + o.RemoteLoadWeight*(e.remoteLoad(now, o)-expected)
 }
 
-// claimed is how many requests the replica batches by its own report, or as listed.
-func (e *entry) claimed() int {
+// capacity returns the batch size by the replica's own report, or as listed.
+func (e *entry) capacity() int {
 	if e.report.load.MaxRunning > 0 {
 		return e.report.load.MaxRunning
 	}
 	return e.slots
 }
 
-// others is what others run on the replica as far as it is known.
+// remoteLoad returns the known number of requests of other nodes on the replica.
 //
-// A report lags and may stop or lie. What peers say of themselves is the floor:
-// an engine that always reports zero still fills up in this estimate and cannot
-// absorb everything. What a report says beyond that fades out as the report
-// ages, for an old report says nothing about now.
-func (e *entry) others(now time.Time, o Options) float64 {
+// A report lags, and it may stop or be wrong. The counts that peers report are the lower
+// bound: an engine that always reports zero still fills up in this estimate and cannot
+// attract all requests. Load reported beyond that is weighted down as the report ages.
+func (e *entry) remoteLoad(now time.Time, o Options) float64 {
 	known := float64(e.peerTotal(now, o.PeerExpiry))
 	age := now.Sub(e.report.receivedAt)
 	if e.report.receivedAt.IsZero() || age >= o.ReportExpiry {
 		return known
 	}
-	reported := float64(e.report.load.Running + e.report.load.Waiting - e.report.ownThen)
-	fresh := 1 - float64(age)/float64(o.ReportExpiry)
-	return known + max(reported-known, 0)*fresh
+	reported := float64(e.report.load.Running + e.report.load.Waiting - e.report.ownAtReport)
+	freshness := 1 - float64(age)/float64(o.ReportExpiry)
+	return known + max(reported-known, 0)*freshness
 }
 
 func (e *entry) peerTotal(now time.Time, expiry time.Duration) (total int) {
@@ -115,30 +114,30 @@
 	e.peers = kept
 }
 
-// believedCapacity bounds what a replica claims to batch by twice the group's
-// median: one that claims any number would look empty whatever runs on it. A
-// replica that claims nothing counts as a median one.
-func believedCapacity(claimed int, median float64) float64 {
+// boundedCapacity limits a replica's reported capacity to twice the group's median: a
+// replica that reports an arbitrary number would look idle under any load. A replica that
+// reports none counts with the median.
+func boundedCapacity(reported int, median float64) float64 {
 	switch {
-	case claimed < 1 && median > 0:
+	case reported < 1 && median > 0:
 		return median
-	case claimed < 1:
-		return assumedCapacity
+	case reported < 1:
+		return defaultCapacity
 	case median > 0:
-		return min(float64(claimed), 2*median)
+		return min(float64(reported), 2*median)
 	}
-	return float64(claimed)
+	return float64(reported)
 }
 
-// assumedCapacity stands in while no replica of the group has reported.
-const assumedCapacity = 8
+// defaultCapacity is used while no replica of the group has reported its capacity.
+const defaultCapacity = 8
 
-// history remembers the own outstanding count of the last moments, so that a
-// lagged report is compared with what was in flight when it was taken.
+// history is a ring buffer of recent own outstanding counts. A load report that lags is
+// compared with the count at the time it describes.
 type history struct {
-	at [historyLen]time.Time
-	n  [historyLen]int
-	w  int
+	times  [historyLen]time.Time
+	counts [historyLen]int
+	next   int
 }
 
 const (
@@ -146,25 +145,25 @@
 	historyStep = 50 * time.Millisecond
 )
 
-func (h *history) note(now time.Time, n int) {
-	last := (h.w + historyLen - 1) % historyLen
-	if now.Sub(h.at[last]) < historyStep {
+func (h *history) record(now time.Time, count int) {
+	last := (h.next + historyLen - 1) % historyLen
+	if now.Sub(h.times[last]) < historyStep {
 		return
 	}
-	h.at[h.w], h.n[h.w] = now, n
-	h.w = (h.w + 1) % historyLen
+	h.times[h.next], h.counts[h.next] = now, count
+	h.next = (h.next + 1) % historyLen
 }
 
-// countAt returns the count noted last before the moment, or else the present one.
-func (h *history) countAt(moment time.Time, present int) int {
+// countAt returns the last count recorded at or before t, or current if there is none.
+func (h *history) countAt(t time.Time, current int) int {
 	for i := range historyLen {
-		k := (h.w - 1 - i + 2*historyLen) % historyLen
-		if h.at[k].IsZero() {
-			return present
+		k := (h.next - 1 - i + 2*historyLen) % historyLen
+		if h.times[k].IsZero() {
+			return current
 		}
-		if !h.at[k].After(moment) {
-			return h.n[k]
+		if !h.times[k].After(t) {
+			return h.counts[k]
 		}
 	}
-	return present
+	return current
 }
--- a/internal/routing/group.go
+++ b/internal/routing/group.go
@@ -9,23 +9,23 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// group is the replicas of one group. Choosing reads an immutable snapshot of
-// the whole ones; it is rebuilt when one changes and at each review.
+// group holds the replicas of one group. Picks read an immutable snapshot of the healthy
+// ones, which is rebuilt when a replica changes and at each review.
 type group struct {
-	members  atomic.Pointer[[]*entry] // ordered by replica id, so that picks repeat
+	members  atomic.Pointer[[]*entry] // ordered by replica id, so that picks are reproducible
 	snapshot atomic.Pointer[snapshot]
 	dirty    atomic.Bool
 	building atomic.Bool
 }
 
-// snapshot lists the whole replicas, those of the own zone first.
+// snapshot lists the eligible replicas, those of the own zone first.
 type snapshot struct {
 	entries  []*entry
 	local    int
-	capacity float64 // median of the claimed capacities
-	// usual is the mean of what others run on one unit of capacity.
-	usual   float64
-	takenAt time.Time
+	capacity float64 // median of the reported capacities
+	// meanRemote is the mean remote load per unit of capacity.
+	meanRemote float64
+	takenAt    time.Time
 }
 
 func (g *group) setMembers(list []*entry) {
@@ -34,9 +34,9 @@
 	g.dirty.Store(true)
 }
 
-// current returns the snapshot, renewed when it is due. While one goroutine
-// renews it the others go on with the old one: whether a replica is still whole
-// is checked again under its lock.
+// current returns the snapshot and rebuilds it when due. While one goroutine rebuilds it,
+// the others use the old one: whether a replica is still eligible is checked again under
+// its lock.
 func (g *group) current(o Options, now time.Time) *snapshot {
 	old := g.snapshot.Load()
 	due := old == nil || g.dirty.Load() || now.Sub(old.takenAt) >= o.ReviewInterval
@@ -47,40 +47,41 @@
 		return old
 	}
 	g.dirty.Store(false)
-	next := g.review(o, now)
+	next := g.buildSnapshot(o, now)
 	g.snapshot.Store(next)
 	g.building.Store(false)
 	return next
 }
 
-// memberView is one replica's part of a review.
+// memberView is a copy of a replica's state, taken for a review.
 type memberView struct {
 	entry    *entry
 	zone     cluster.ZoneID
 	capacity int
-	others   float64
+	remote   float64
 	speed    speed
 	eligible bool
 }
 
-// review takes the group's medians, judges the stragglers and lists the whole replicas.
-func (g *group) review(o Options, now time.Time) *snapshot {
+// buildSnapshot computes the group's medians, detects its stragglers and lists its eligible
+// replicas.
+func (g *group) buildSnapshot(o Options, now time.Time) *snapshot {
 	members := *g.members.Load()
 	views := make([]memberView, 0, len(members))
 	for _, e := range members {
 		e.lock.Lock()
 		v := memberView{
-			entry: e, zone: e.replica.Zone, capacity: e.claimed(),
-			others: e.others(now, o), speed: e.speed, eligible: e.eligible(),
+			entry: e, zone: e.replica.Zone, capacity: e.capacity(),
+			remote: e.remoteLoad(now, o), speed: e.speed, eligible: e.eligible(),
 		}
 		e.lock.Unlock()
 		if v.eligible {
 			views = append(views, v)
 		}
 	}
-	judgeStragglers(views, now)
+	detectStragglers(views, now)
 	out := &snapshot{takenAt: now, entries: make([]*entry, 0, len(views)), capacity: medianCapacity(views)}
-	out.usual = usualOthers(views, out.capacity)
+	out.meanRemote = meanRemoteLoad(views, out.capacity)
 	for _, v := range views {
 		if v.zone == o.Zone {
 			out.entries = append(out.entries, v.entry)
@@ -95,10 +96,11 @@
 	return out
 }
 
-// avoidedShare is the largest part of a group that is avoided as stragglers.
-const avoidedShare = 3
+// maxAvoidedDivisor limits the stragglers avoided at a time to this part of their group,
+// one in three.
+const maxAvoidedDivisor = 3
 
-func judgeStragglers(views []memberView, now time.Time) {
+func detectStragglers(views []memberView, now time.Time) {
 	speeds := medianSpeed(views)
 	avoided := 0
 	for _, v := range views {
@@ -112,7 +114,7 @@
 		}
 		e := v.entry
 		e.lock.Lock()
-		e.speed.judge(speeds, (avoided+1)*avoidedShare <= len(views), now)
+		e.speed.evaluate(speeds, (avoided+1)*maxAvoidedDivisor <= len(views), now)
 		if e.speed.avoided(now) && !v.speed.avoided(now) {
 			avoided++
 			avoidedTotal.Inc()
@@ -121,50 +123,52 @@
 	}
 }
 
-// medianSpeed needs three judged replicas: of two, neither is the straggler.
+// medianSpeed returns the medians over the replicas with enough samples. It needs three of
+// them: of two replicas, neither can be called the straggler.
 func medianSpeed(views []memberView) groupSpeed {
-	var first, per []time.Duration
+	var firstToken, perToken []time.Duration
 	for _, v := range views {
-		if v.speed.samples >= speedSamples {
-			first = append(first, v.speed.firstToken)
-			per = append(per, v.speed.perToken)
+		if v.speed.samples >= minSamples {
+			firstToken = append(firstToken, v.speed.firstToken)
+			perToken = append(perToken, v.speed.perToken)
 		}
 	}
-	if len(per) < 3 {
+	if len(perToken) < 3 {
 		return groupSpeed{}
 	}
-	slices.Sort(first)
-	slices.Sort(per)
-	return groupSpeed{firstToken: first[len(first)/2], perToken: per[len(per)/2]}
+	slices.Sort(firstToken)
+	slices.Sort(perToken)
+	return groupSpeed{firstToken: firstToken[len(firstToken)/2], perToken: perToken[len(perToken)/2]}
 }
 
 func medianCapacity(views []memberView) float64 {
-	var claims []int
+	var capacities []int
 	for _, v := range views {
 		if v.capacity > 0 {
-			claims = append(claims, v.capacity)
+			capacities = append(capacities, v.capacity)
 		}
 	}
-	if len(claims) == 0 {
+	if len(capacities) == 0 {
 		return 0
 	}
-	slices.Sort(claims)
-	return float64(claims[len(claims)/2])
+	slices.Sort(capacities)
+	return float64(capacities[len(capacities)/2])
 }
 
-func usualOthers(views []memberView, median float64) float64 {
-	others, capacity := 0.0, 0.0
+// meanRemoteLoad returns the mean remote load per unit of capacity.
+func meanRemoteLoad(views []memberView, median float64) float64 {
+	remote, capacity := 0.0, 0.0
 	for _, v := range views {
-		others += v.others
-		capacity += believedCapacity(v.capacity, median)
+		remote += v.remote
+		capacity += boundedCapacity(v.capacity, median)
 	}
 	if capacity == 0 {
 		return 0
 	}
-	return others / capacity
+	return remote / capacity
 }
 
-// view is one decision's View of the table.
+// view is the View of the table for one pick.
 type view struct {
 	table *Table
 	snap  *snapshot
@@ -182,15 +186,15 @@
 	return v.candidate(e)
 }
 
-// candidate reads the entry under its lock, which the caller holds.
+// candidate returns the entry as a Candidate. The caller holds the entry's lock.
 func (v view) candidate(e *entry) Candidate {
 	o := v.table.opts
-	capacity := believedCapacity(e.claimed(), v.snap.capacity)
+	capacity := boundedCapacity(e.capacity(), v.snap.capacity)
 	return Candidate{
 		ID: e.replica.ID, Local: e.replica.Zone == o.Zone, Healthy: e.eligible(),
-		InFlight: e.inFlight(v.now, o, capacity, v.snap.usual), Capacity: capacity,
-		Load:    float64(e.outstanding) + e.others(v.now, o),
-		Avoided: e.speed.avoided(v.now) || e.speed.closedForTrial(),
+		InFlight: e.inFlight(v.now, o, capacity, v.snap.meanRemote), Capacity: capacity,
+		Load:    float64(e.outstanding) + e.remoteLoad(v.now, o),
+		Avoided: e.speed.avoided(v.now) || e.speed.trialRunning(),
 		Trial:   e.speed.onTrial, Suspects: e.suspects, entry: e,
 	}
 }
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -8,63 +8,65 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// Candidate is what a policy sees of one replica at one moment.
+// Candidate is the state of one replica as seen by a policy.
 type Candidate struct {
 	ID cluster.ReplicaID
 	// Local is true for a replica in this node's availability zone.
 	Local bool
-	// Healthy is false for a replica that stopped being whole since the view was made.
+	// Healthy is false for a replica that became ineligible since the view was made.
 	Healthy bool
-	// InFlight estimates the requests running and waiting on the replica.
+	// InFlight estimates the requests running and waiting on the replica. The replica's
+	// deviation from the group's mean remote load is weighted down, because all nodes act
+	// on the same data (see entry.inFlight).
 	InFlight float64
-	// Load is the same with all that is known of what others run on it, where InFlight
-	// takes a part of that for news that everybody acts on.
+	// Load is the same estimate with the known remote load counted in full.
 	Load float64
-	// Capacity is how many requests the replica batches, at least 1.
+	// Capacity is the replica's batch size, at least 1.
 	Capacity float64
-	// Avoided is set for a straggler or a replica whose last requests failed.
+	// Avoided is true for a straggler and for a replica whose last requests failed.
 	Avoided bool
-	// Trial is set when the next request tests whether an avoided replica recovered.
+	// Trial is true if the next request tests whether an avoided replica has recovered.
 	Trial bool
-	// Suspects is how many suspect requests of this node run on it.
+	// Suspects is the number of this node's suspect requests running on the replica.
 	Suspects int
 
 	entry *entry
 }
 
-// View is a group's whole replicas; those of the own zone come first.
+// View lists a group's healthy replicas, those of the own zone first.
 type View interface {
-	// Len is the number of replicas; indexes below LocalLen are of the own zone.
+	// Len returns the number of replicas. Those with an index below LocalLen are in the own
+	// zone.
 	Len() int
 	LocalLen() int
 	At(i int) Candidate
-	// Holders returns a few replicas that probably cache the prefix.
+	// Holders returns some of the replicas that probably cache the prefix.
 	Holders(prefixHash uint64) []Candidate
 }
 
-// Random is the randomness passed to a policy.
+// Random is the random generator passed to a policy.
 type Random = rand.Rand
 
-// NewRandom returns a generator that depends on the seed and the draw alone.
-func NewRandom(seed, draw uint64) *Random { return rand.New(rand.NewPCG(seed, draw)) }
+// NewRandom returns a generator that is determined by the seed and the number of the pick.
+func NewRandom(seed, pick uint64) *Random { return rand.New(rand.NewPCG(seed, pick)) }
 
-// Pick is a policy's decision; Found is false when no replica may serve.
+// Pick is a policy's decision. Found is false if no replica can serve the request.
 type Pick struct {
 	Candidate Candidate
 	Found     bool
-	// Full is true when none was found, and one that has no room would have been.
+	// Full is true if no replica was found and at least one was ruled out only by Limit.
 	Full       bool
 	Reason     string
 	Considered int
 }
 
-// Policy picks the replica for a request. It is pure: the same view, request
-// and randomness give the same pick.
+// Policy picks the replica for a request. It is deterministic: the same view, request and
+// random generator give the same pick.
 type Policy interface {
 	Pick(v View, req Request, rnd *Random) Pick
 }
 
-// Reasons of picks, as they appear in the decision log.
+// Reasons for picks, as they appear in logs.
 const (
 	ReasonRandom   = "random"
 	ReasonLoad     = "least-loaded"
@@ -75,8 +77,8 @@
 	ReasonNoOther  = "no-better-replica"
 )
 
-// Naive picks any whole replica at random. It is the yardstick of the
-// differential tests and of the measurements.
+// Naive picks a healthy replica at random. It is the baseline of the differential tests and
+// benchmarks.
 type Naive struct{}
 
 // Pick implements Policy.
@@ -95,28 +97,27 @@
 	return Pick{Considered: n}
 }
 
-// Weighted compares a few replicas by load, zone and cached prefix. Its cost
-// does not grow with the group: it looks at SampleLocal + SampleOther replicas
-// and at the holders of the longest known prefix, and reads the whole list only
-// when none of these may serve.
+// Weighted compares a few replicas by load, zone and cached prefix. Its cost does not depend
+// on the size of the group: it considers SampleLocal + SampleOther replicas and the holders
+// of the longest cached prefix, and all replicas only if none of these can serve.
 type Weighted struct {
-	// SampleLocal and SampleOther are how many replicas of the own zone and of
-	// the whole group are compared.
+	// SampleLocal and SampleOther are the numbers of replicas compared in the own zone and
+	// in the other zones.
 	SampleLocal, SampleOther int
-	// ZonePenalty is the difference in load, as a share of a replica's capacity,
-	// that is accepted to stay in the own zone.
+	// ZonePenalty is the additional load, as a fraction of capacity, that is accepted to
+	// stay in the own zone.
 	ZonePenalty float64
-	// PrefixBonus is the difference in load that is accepted to find the whole
-	// prompt cached; a part of the prompt counts for a part of it.
+	// PrefixBonus is the additional load, as a fraction of capacity, that is accepted if
+	// the entire prompt is cached, and in proportion if part of it is.
 	PrefixBonus float64
 }
 
-// DefaultPolicy is the policy that fenneld runs.
+// DefaultPolicy returns the policy used by fenneld.
 func DefaultPolicy() Weighted {
 	return Weighted{SampleLocal: 4, SampleOther: 2, ZonePenalty: 0.25, PrefixBonus: 0.4}
 }
 
-// suspectPenalty keeps other requests off a replica that a suspect may crash.
+// suspectPenalty keeps other requests away from a replica that a suspect request may crash.
 const suspectPenalty = 1.0
 
 // Pick implements Policy.
@@ -125,29 +126,29 @@
 		return Pick{}
 	}
 	if req.Isolated {
-		return pickAlone(v, req)
+		return pickIsolated(v, req)
 	}
-	b := best{policy: p, req: req}
-	p.considerHolders(v, req, &b)
+	sel := selection{policy: p, req: req}
+	p.considerHolders(v, req, &sel)
 	if req.Prefer != rules.PreferAny {
-		sample(v, 0, v.LocalLen(), p.SampleLocal, rnd, &b)
-		sample(v, v.LocalLen(), v.Len(), p.SampleOther, rnd, &b)
+		sample(v, 0, v.LocalLen(), p.SampleLocal, rnd, &sel)
+		sample(v, v.LocalLen(), v.Len(), p.SampleOther, rnd, &sel)
 	} else {
-		sample(v, 0, v.Len(), p.SampleLocal+p.SampleOther, rnd, &b)
+		sample(v, 0, v.Len(), p.SampleLocal+p.SampleOther, rnd, &sel)
 	}
-	if !b.found {
-		sample(v, 0, v.Len(), v.Len(), rnd, &b)
+	if !sel.found {
+		sample(v, 0, v.Len(), v.Len(), rnd, &sel)
 	}
-	return b.pick()
+	return sel.pick()
 }
 
-// considerHolders offers the holders of the longest prefix that any replica holds.
-func (p Weighted) considerHolders(v View, req Request, b *best) {
+// considerHolders offers the holders of the longest prefix that any replica caches.
+func (p Weighted) considerHolders(v View, req Request, sel *selection) {
 	n := len(req.PrefixHashes)
 	for i, h := range req.PrefixHashes {
 		holders := v.Holders(h)
 		for _, c := range holders {
-			b.offer(c, float64(n-i)/float64(n))
+			sel.offer(c, float64(n-i)/float64(n))
 		}
 		if len(holders) > 0 {
 			return
@@ -155,10 +156,10 @@
 	}
 }
 
-// sample offers up to k random replicas with indexes in [from, to), without
-// repetition. A range that is offered whole begins at a random place: the first
-// of equals is picked, and all nodes would pick the same one otherwise.
-func sample(v View, from, to, k int, rnd *Random, b *best) {
+// sample offers up to k distinct random replicas with indexes in [from, to). If all of them
+// are offered, the first one is random: of equal replicas the first is picked, and all nodes
+// would pick the same one otherwise.
+func sample(v View, from, to, k int, rnd *Random, sel *selection) {
 	n := to - from
 	if n <= 0 || k <= 0 {
 		return
@@ -166,7 +167,7 @@
 	if k >= n {
 		start := rnd.IntN(n)
 		for i := range n {
-			b.offer(v.At(from+(start+i)%n), 0)
+			sel.offer(v.At(from+(start+i)%n), 0)
 		}
 		return
 	}
@@ -177,50 +178,50 @@
 			continue
 		}
 		taken = append(taken, i)
-		b.offer(v.At(i), 0)
+		sel.offer(v.At(i), 0)
 	}
 }
 
-// best keeps the best candidate offered so far, and the best of those that are
-// avoided, which serve only when there is no other.
-type best struct {
+// selection keeps the best candidate offered so far, and the best avoided one as a fallback
+// if there is no other.
+type selection struct {
 	policy     Weighted
 	req        Request
 	considered int
 
-	found  bool
-	top    Candidate
-	score  float64
-	match  float64
-	avoid  Candidate
-	ascore float64
-	have   bool
-	full   bool
+	found         bool
+	best          Candidate
+	score         float64
+	match         float64
+	fallback      Candidate
+	fallbackScore float64
+	hasFallback   bool
+	full          bool
 }
 
-func (b *best) offer(c Candidate, match float64) {
-	b.considered++
-	if !c.Healthy || slices.Contains(b.req.Exclude, c.ID) {
+func (sel *selection) offer(c Candidate, match float64) {
+	sel.considered++
+	if !c.Healthy || slices.Contains(sel.req.Exclude, c.ID) {
 		return
 	}
-	if b.req.Limit.exceeded(c) {
-		b.full = true
+	if sel.req.Limit.exceeded(c) {
+		sel.full = true
 		return
 	}
-	score := b.policy.score(c, b.req, match)
+	score := sel.policy.score(c, sel.req, match)
 	if c.Avoided {
-		if !b.have || score < b.ascore {
-			b.avoid, b.ascore, b.have = c, score, true
+		if !sel.hasFallback || score < sel.fallbackScore {
+			sel.fallback, sel.fallbackScore, sel.hasFallback = c, score, true
 		}
 		return
 	}
-	if !b.found || score < b.score {
-		b.top, b.score, b.match, b.found = c, score, match, true
+	if !sel.found || score < sel.score {
+		sel.best, sel.score, sel.match, sel.found = c, score, match, true
 	}
 }
 
-// score is the replica's load as a share of its capacity, with the penalties and
-// the bonus on the same scale; lower is better.
+// score returns the replica's load as a fraction of its capacity, plus penalties and minus
+// the bonus on the same scale. Lower is better.
 func (p Weighted) score(c Candidate, req Request, match float64) float64 {
 	score := (c.InFlight + 1) / c.Capacity
 	if !c.Local && req.Prefer != rules.PreferAny {
@@ -232,32 +233,32 @@
 	return score - p.PrefixBonus*match
 }
 
-func (b *best) pick() Pick {
+func (sel *selection) pick() Pick {
 	switch {
-	case b.found:
-		return Pick{Candidate: b.top, Found: true, Reason: b.reason(), Considered: b.considered}
-	case b.have:
-		return Pick{Candidate: b.avoid, Found: true, Reason: ReasonNoOther, Considered: b.considered}
+	case sel.found:
+		return Pick{Candidate: sel.best, Found: true, Reason: sel.reason(), Considered: sel.considered}
+	case sel.hasFallback:
+		return Pick{Candidate: sel.fallback, Found: true, Reason: ReasonNoOther, Considered: sel.considered}
 	}
-	return Pick{Considered: b.considered, Full: b.full}
+	return Pick{Considered: sel.considered, Full: sel.full}
 }
 
-func (b *best) reason() string {
+func (sel *selection) reason() string {
 	switch {
-	case b.top.Trial:
+	case sel.best.Trial:
 		return ReasonTrial
-	case b.match > 0:
+	case sel.match > 0:
 		return ReasonPrefix
-	case b.top.Local && b.req.Prefer != rules.PreferAny:
+	case sel.best.Local && sel.req.Prefer != rules.PreferAny:
 		return ReasonZone
 	}
 	return ReasonLoad
 }
 
-// pickAlone finds the replica with the fewest requests and no suspect: if the
-// suspect crashes it, the fewest others are hurt. Suspects are rare, so the whole
-// list is read.
-func pickAlone(v View, req Request) Pick {
+// pickIsolated picks the replica with the fewest requests and no suspect request, so that a
+// crash affects the fewest other requests. Suspect requests are rare, so all replicas are
+// considered.
+func pickIsolated(v View, req Request) Pick {
 	out := Pick{Reason: ReasonIsolated, Considered: v.Len()}
 	for i := range v.Len() {
 		c := v.At(i)
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// prefixIndex maps prompt prefixes to the replicas that probably cache them. It
-// is fed by the engines' cache events, which come late and with gaps, and by this
-// node's own choices, which foretell what an engine will cache. It is a hint: a
-// wrong entry costs a cache miss, nothing else. Its size is bounded.
+// prefixIndex maps prompt prefixes to the replicas that probably cache them. It is updated
+// from the engines' cache events, which arrive late and with gaps, and from this node's own
+// picks, which predict what an engine will cache. A wrong entry only costs a cache miss. The
+// size of the index is bounded.
 type prefixIndex struct {
 	shards [prefixShards]prefixShard
 	expiry time.Duration
@@ -16,15 +16,16 @@
 
 const (
 	prefixShards = 32
-	// maxHolders is how many replicas are remembered for one prefix.
+	// maxHolders is the largest number of replicas recorded per prefix.
 	maxHolders = 4
 )
 
+// prefixShard evicts entries with the second-chance (clock) algorithm.
 type prefixShard struct {
-	mu   sync.Mutex
-	m    map[uint64]*prefixEntry
-	ring []uint64 // insertion order, with a second chance for those used since
-	hand int
+	mu      sync.Mutex
+	entries map[uint64]*prefixEntry
+	ring    []uint64 // hashes in order of insertion
+	hand    int      // index in ring of the next candidate for eviction
 }
 
 type prefixEntry struct {
@@ -32,8 +33,8 @@
 	used    bool
 }
 
-// holder is one replica that caches the prefix. An entry that nothing renewed
-// for the index's expiry is void, for its eviction may have been lost in a gap.
+// holder is a replica that probably caches the prefix. A holder that has not been renewed
+// within the index's expiry is ignored, because its eviction may have been lost in a gap.
 type holder struct {
 	entry *entry
 	epoch uint32
@@ -44,7 +45,7 @@
 	x := &prefixIndex{expiry: expiry}
 	perShard := max(size/prefixShards, 1)
 	for i := range x.shards {
-		x.shards[i].m = make(map[uint64]*prefixEntry)
+		x.shards[i].entries = make(map[uint64]*prefixEntry)
 		x.shards[i].ring = make([]uint64, 0, perShard)
 	}
 	return x
@@ -52,12 +53,12 @@
 
 func (x *prefixIndex) shard(hash uint64) *prefixShard { return &x.shards[hash%prefixShards] }
 
-// add remembers the holder, in place of the same replica's or the oldest one.
+// add records the replica as a holder, replacing its previous record or the oldest one.
 func (x *prefixIndex) add(hash uint64, e *entry, epoch uint32, now time.Time) {
 	s := x.shard(hash)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.m[hash]
+	p := s.entries[hash]
 	if p == nil {
 		p = &prefixEntry{}
 		s.insert(hash, p)
@@ -78,28 +79,28 @@
 func (s *prefixShard) insert(hash uint64, p *prefixEntry) {
 	if len(s.ring) < cap(s.ring) {
 		s.ring = append(s.ring, hash)
-		s.m[hash] = p
+		s.entries[hash] = p
 		return
 	}
 	for {
-		old := s.m[s.ring[s.hand]]
+		old := s.entries[s.ring[s.hand]]
 		if old == nil || !old.used {
 			break
 		}
 		old.used = false
 		s.hand = (s.hand + 1) % len(s.ring)
 	}
-	delete(s.m, s.ring[s.hand])
+	delete(s.entries, s.ring[s.hand])
 	s.ring[s.hand] = hash
 	s.hand = (s.hand + 1) % len(s.ring)
-	s.m[hash] = p
+	s.entries[hash] = p
 }
 
 func (x *prefixIndex) remove(hash uint64, e *entry) {
 	s := x.shard(hash)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.m[hash]
+	p := s.entries[hash]
 	if p == nil {
 		return
 	}
@@ -110,12 +111,13 @@
 	}
 }
 
-// holders returns the live holders of the prefix; unused slots have a nil entry.
+// holders returns the holders of the prefix that have not expired. Unused slots have a nil
+// entry.
 func (x *prefixIndex) holders(hash uint64, now time.Time) (out [maxHolders]holder) {
 	s := x.shard(hash)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.m[hash]
+	p := s.entries[hash]
 	if p == nil {
 		return out
 	}
--- a/internal/routing/speed.go
+++ b/internal/routing/speed.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// speed tracks how fast a replica answers, to find stragglers: replicas that
-// answer whole but much slower than their group, as a VM with a throttled
-// accelerator does. Callers notice them as single slow answers that no load
-// explains.
+// speed tracks the latency of a replica to detect stragglers: replicas that complete their
+// answers but much more slowly than the rest of their group, such as a VM with a throttled
+// accelerator. Callers see them as occasional slow answers that the load does not explain.
 type speed struct {
 	firstToken time.Duration // moving averages
 	perToken   time.Duration
 	samples    int
-	// avoidUntil ends the present avoidance; backoff is the next one's length.
+	// avoidUntil is the end of the current avoidance. backoff is the length of the last
+	// one for slowness, which the next one doubles.
 	avoidUntil time.Time
 	backoff    time.Duration
-	// onTrial is set from the end of an avoidance until the replica has shown
-	// itself sound; one request at a time tests it.
-	onTrial   bool
-	trials    int // running now
-	trialGood int // answered whole since the trial began
-	failures  int
+	// onTrial is true from the start of an avoidance until the replica is found to have
+	// recovered. After the avoidance, one request at a time tests it.
+	onTrial        bool
+	trials         int // trial requests running
+	trialSuccesses int // requests answered since the avoidance started
+	failures       int // failed requests in a row
 }
 
 const (
-	// speedAlpha is the weight of a new sample in the moving averages.
-	speedAlpha = 0.3
-	// speedSamples is how many answers are needed to judge a replica.
-	speedSamples = 4
-	// trialSamples is how many good answers end a trial.
-	trialSamples = 3
-	// A straggler is slower than the group's median by these factors and by
-	// more than slowFloor, which keeps noise on fast replicas out.
-	slowTokens    = 2.0
-	slowFirst     = 4.0
-	slowFloor     = 2 * time.Millisecond
-	slowFirstTime = 250 * time.Millisecond
-	firstBackoff  = 5 * time.Second
-	maxBackoff    = 160 * time.Second
-	// failureBackoff is the avoidance after failuresToAvoid failed requests in a row.
+	// sampleWeight is the weight of a new sample in the moving averages.
+	sampleWeight = 0.3
+	// minSamples is the number of answers needed to evaluate a replica.
+	minSamples = 4
+	// minTrialSuccesses is the number of answers needed to evaluate a replica on trial.
+	minTrialSuccesses = 3
+	// A straggler exceeds the group's median by one of these factors and by more than the
+	// corresponding difference, which excludes noise on fast replicas.
+	slowPerTokenFactor   = 2.0
+	slowFirstTokenFactor = 4.0
+	slowPerTokenMin      = 2 * time.Millisecond
+	slowFirstTokenMin    = 250 * time.Millisecond
+	initialBackoff       = 5 * time.Second
+	maxBackoff           = 160 * time.Second
+	// failureBackoff is the length of the avoidance after failuresToAvoid failed requests
+	// in a row.
 	failureBackoff  = time.Second
 	failuresToAvoid = 2
 )
 
-// groupSpeed is the median of a group's replicas.
+// groupSpeed holds the medians over a group's replicas.
 type groupSpeed struct {
 	firstToken, perToken time.Duration
 }
 
-// note counts one ended request.
-func (s *speed) note(res Result, now time.Time) {
+// record records the result of a request.
+func (s *speed) record(res Result, now time.Time) {
 	if res.Canceled {
 		return
 	}
@@ -59,7 +60,7 @@
 		return
 	}
 	s.failures = 0
-	s.trialGood++
+	s.trialSuccesses++
 	if res.Tokens < 2 || res.FirstToken <= 0 {
 		return
 	}
@@ -67,36 +68,37 @@
 	if s.samples == 0 {
 		s.firstToken, s.perToken = res.FirstToken, perToken
 	} else {
-		s.firstToken = blend(s.firstToken, res.FirstToken)
-		s.perToken = blend(s.perToken, perToken)
+		s.firstToken = average(s.firstToken, res.FirstToken)
+		s.perToken = average(s.perToken, perToken)
 	}
 	s.samples++
 }
 
-func blend(old, sample time.Duration) time.Duration {
-	return old + time.Duration(speedAlpha*float64(sample-old))
+// average adds a sample to a moving average.
+func average(old, sample time.Duration) time.Duration {
+	return old + time.Duration(sampleWeight*float64(sample-old))
 }
 
-// slow reports whether the replica is a straggler beside its group.
+// slow reports whether the replica is a straggler compared with its group.
 func (s *speed) slow(g groupSpeed) bool {
 	if s.samples == 0 {
 		return false
 	}
-	if g.perToken > 0 && s.perToken > g.perToken+slowFloor &&
-		float64(s.perToken) > slowTokens*float64(g.perToken) {
+	if g.perToken > 0 && s.perToken > g.perToken+slowPerTokenMin &&
+		float64(s.perToken) > slowPerTokenFactor*float64(g.perToken) {
 		return true
 	}
-	return g.firstToken > 0 && s.firstToken > g.firstToken+slowFirstTime &&
-		float64(s.firstToken) > slowFirst*float64(g.firstToken)
+	return g.firstToken > 0 && s.firstToken > g.firstToken+slowFirstTokenMin &&
+		float64(s.firstToken) > slowFirstTokenFactor*float64(g.firstToken)
 }
 
-// judge decides about avoidance; mayAvoid is false when too much of the group
-// is avoided already, for then the median is not to be trusted.
-func (s *speed) judge(g groupSpeed, mayAvoid bool, now time.Time) {
+// evaluate starts or ends the avoidance of the replica. mayAvoid is false if too many
+// replicas of the group are avoided already: the median is not reliable then.
+func (s *speed) evaluate(g groupSpeed, mayAvoid bool, now time.Time) {
 	if s.avoided(now) {
 		return
 	}
-	if s.onTrial && s.trialGood < trialSamples || !s.onTrial && s.samples < speedSamples {
+	if s.onTrial && s.trialSuccesses < minTrialSuccesses || !s.onTrial && s.samples < minSamples {
 		return
 	}
 	if !s.slow(g) {
@@ -106,17 +108,17 @@
 	if !mayAvoid {
 		return
 	}
-	s.backoff = min(max(2*s.backoff, firstBackoff), maxBackoff)
+	s.backoff = min(max(2*s.backoff, initialBackoff), maxBackoff)
 	s.avoid(now, s.backoff)
 }
 
-// avoid keeps requests away for d; what is learnt afterwards decides anew.
+// avoid keeps requests away for d and resets the samples for the next evaluation.
 func (s *speed) avoid(now time.Time, d time.Duration) {
 	s.avoidUntil = now.Add(d)
-	s.onTrial, s.trialGood, s.samples = true, 0, 0
+	s.onTrial, s.trialSuccesses, s.samples = true, 0, 0
 }
 
 func (s *speed) avoided(now time.Time) bool { return now.Before(s.avoidUntil) }
 
-// closedForTrial reports whether a trial runs already, so that no second request joins it.
-func (s *speed) closedForTrial() bool { return s.onTrial && s.trials > 0 }
+// trialRunning reports whether a trial request is running, so that no second one is sent.
+func (s *speed) trialRunning() bool { return s.onTrial && s.trials > 0 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -12,27 +12,29 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// Options shape a Table. Zero fields take the defaults below.
+// Options configure a Table. Zero fields take the defaults below.
 type Options struct {
 	// Zone is this node's availability zone.
 	Zone cluster.ZoneID
-	// Policy picks among replicas; default DefaultPolicy.
+	// Policy picks the replica; default DefaultPolicy.
 	Policy Policy
-	// Seed makes the picks repeatable.
+	// Seed seeds the random generator of the policy.
 	Seed uint64
-	// ReportExpiry is the age at which a load report says nothing any more.
+	// ReportExpiry is the age from which a load report is ignored.
 	ReportExpiry time.Duration
-	// PeerExpiry is the age at which a peer's outstanding count is dropped.
+	// PeerExpiry is the age from which a peer's outstanding count is ignored.
 	PeerExpiry time.Duration
-	// RemoteLoadWeight is the part that counts of a replica's difference from the
-	// group in what others run on it, above 0 and up to 1.
+	// RemoteLoadWeight is the weight, above 0 and up to 1, of a replica's deviation from
+	// the mean remote load of its group (see entry.inFlight).
 	RemoteLoadWeight float64
-	// MaxReportLag bounds how late a report is believed to be.
+	// MaxReportLag limits the lag assumed for a load report.
 	MaxReportLag time.Duration
-	// PrefixEntries bounds the prefix index; PrefixExpiry ends an entry nobody renews.
+	// PrefixEntries is the size of the prefix index. Entries that are not renewed expire
+	// after PrefixExpiry.
 	PrefixEntries int
 	PrefixExpiry  time.Duration
-	// ReviewInterval is how often a group's medians are taken and stragglers judged.
+	// ReviewInterval is the time between two reviews of a group, which compute its medians
+	// and detect its stragglers.
 	ReviewInterval time.Duration
 	// Now is the clock of Choose and End; default time.Now.
 	Now func() time.Time
@@ -77,22 +79,22 @@
 	Replica cluster.Replica
 	// Addr is empty while the serving VM is not in the VM list.
 	Addr string
-	// Slots is how many requests the replica batches, as listed; 0 where it is not.
+	// Slots is the batch size of the replica as listed; 0 if it is not listed.
 	Slots int
 }
 
-// Table knows the replicas of all groups and what runs on them. All methods are
-// safe for concurrent use.
+// Table holds the replicas of all groups and their load. All methods are safe for
+// concurrent use.
 type Table struct {
 	opts   Options
 	shards [tableShards]tableShard
 	prefix *prefixIndex
-	draws  atomic.Uint64
+	picks  atomic.Uint64 // number of picks so far, for the seed of the next one
 
-	// feed serializes SetReplicas; groups is replaced, never changed.
-	feed   sync.Mutex
-	zones  map[cluster.ZoneID]map[cluster.ReplicaID]bool
-	groups atomic.Pointer[map[cluster.GroupName]*group]
+	// updateMu serializes SetReplicas. The map in groups is replaced, never modified.
+	updateMu sync.Mutex
+	zones    map[cluster.ZoneID]map[cluster.ReplicaID]bool
+	groups   atomic.Pointer[map[cluster.GroupName]*group]
 }
 
 const tableShards = 64
@@ -120,8 +122,9 @@
 	return &t.shards[xxhash.Sum64String(string(id))%tableShards]
 }
 
-// with runs f on the replica's entry under its shard's lock; false when unknown.
-func (t *Table) with(id cluster.ReplicaID, f func(*entry)) bool {
+// withEntry calls f with the replica's entry under its shard's lock. It returns false if the
+// replica is unknown.
+func (t *Table) withEntry(id cluster.ReplicaID, f func(*entry)) bool {
 	s := t.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,26 +136,26 @@
 	return true
 }
 
-// SetReplicas replaces the committed replicas of one availability zone. Counts
-// of requests in flight survive a new generation of the same replica.
+// SetReplicas replaces the committed replicas of one availability zone. The counts of
+// requests in flight are kept across generations of the same replica.
 func (t *Table) SetReplicas(zone cluster.ZoneID, entries []Entry) {
-	t.feed.Lock()
-	defer t.feed.Unlock()
-	now := make(map[cluster.ReplicaID]bool, len(entries))
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
+	current := make(map[cluster.ReplicaID]bool, len(entries))
 	for _, in := range entries {
-		now[in.Replica.ID] = true
-		t.put(in)
+		current[in.Replica.ID] = true
+		t.upsert(in)
 	}
 	for id := range t.zones[zone] {
-		if !now[id] {
-			t.drop(id)
+		if !current[id] {
+			t.remove(id)
 		}
 	}
-	t.zones[zone] = now
-	t.regroup()
+	t.zones[zone] = current
+	t.rebuildGroups()
 }
 
-func (t *Table) put(in Entry) {
+func (t *Table) upsert(in Entry) {
 	s := t.shard(in.Replica.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,15 +165,16 @@
 		s.entries[in.Replica.ID] = e
 	}
 	if e.addr != in.Addr || e.replica.Serving != in.Replica.Serving {
-		// Another engine process serves now: what was learnt of the old one is void.
+		// Another engine process now serves the replica, so the data about the old one
+		// is discarded.
 		e.cacheEpoch++
 		e.speed = speed{}
-		e.report = report{}
+		e.report = loadReport{}
 	}
 	e.replica, e.addr, e.slots = in.Replica, in.Addr, in.Slots
 }
 
-func (t *Table) drop(id cluster.ReplicaID) {
+func (t *Table) remove(id cluster.ReplicaID) {
 	s := t.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,8 +184,8 @@
 	}
 }
 
-// regroup rebuilds the lists of members; the caller holds t.feed.
-func (t *Table) regroup() {
+// rebuildGroups rebuilds the member lists of all groups. The caller holds t.updateMu.
+func (t *Table) rebuildGroups() {
 	members := map[cluster.GroupName][]*entry{}
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -204,17 +208,17 @@
 	t.groups.Store(&next)
 }
 
-// SetHealthy says whether the health check confirms every member of the replica's
-// generation. Only the committed generation counts.
-func (t *Table) SetHealthy(id cluster.ReplicaID, generation int64, whole bool) {
+// SetHealthy records whether the health check confirms every member of the replica's
+// generation. The replica is eligible only if its committed generation is healthy.
+func (t *Table) SetHealthy(id cluster.ReplicaID, generation int64, healthy bool) {
 	var changed cluster.GroupName
-	t.with(id, func(e *entry) {
+	t.withEntry(id, func(e *entry) {
 		before := e.eligible()
 		switch {
-		case whole:
-			e.wholeGeneration = generation
-		case e.wholeGeneration == generation || e.replica.Generation == generation:
-			e.wholeGeneration = 0
+		case healthy:
+			e.healthyGeneration = generation
+		case e.healthyGeneration == generation || e.replica.Generation == generation:
+			e.healthyGeneration = 0
 		}
 		if e.eligible() != before {
 			changed = e.replica.Group
@@ -225,32 +229,32 @@
 	}
 }
 
-// ReportLoad takes an engine's load report, which lags by receivedAt - load.AsOf.
+// ReportLoad records an engine's load report, which lags by receivedAt - load.AsOf.
 func (t *Table) ReportLoad(id cluster.ReplicaID, load engine.Load, receivedAt time.Time) {
-	t.with(id, func(e *entry) {
+	t.withEntry(id, func(e *entry) {
 		last := e.report
 		expired := receivedAt.Sub(last.receivedAt) >= t.opts.ReportExpiry
-		setBack := expired && load.AsOf.Before(last.load.AsOf)
-		if !load.AsOf.After(last.load.AsOf) && !setBack {
-			// Overtaken by a newer report, or the engine repeats an old one, which
-			// must go on ageing. An earlier time after a long silence is a clock
-			// that was set back.
+		clockSetBack := expired && load.AsOf.Before(last.load.AsOf)
+		if !load.AsOf.After(last.load.AsOf) && !clockSetBack {
+			// The report is older than the last one, or the engine repeats an old report,
+			// which must keep ageing. An earlier time after the last report has expired
+			// means that the engine's clock was set back.
 			return
 		}
 		lag := min(max(receivedAt.Sub(load.AsOf), 0), t.opts.MaxReportLag)
-		e.report = report{
+		e.report = loadReport{
 			load: load, receivedAt: receivedAt,
-			ownThen: e.history.countAt(receivedAt.Add(-lag), e.outstanding),
+			ownAtReport: e.history.countAt(receivedAt.Add(-lag), e.outstanding),
 		}
 	})
 }
 
-// ObservePeerOutstanding takes another node's count of its requests on the replica.
+// ObservePeerOutstanding records another node's count of its requests on the replica.
 func (t *Table) ObservePeerOutstanding(node cluster.NodeID, id cluster.ReplicaID, n int, now time.Time) {
-	t.with(id, func(e *entry) { e.setPeer(node, n, now, t.opts.PeerExpiry) })
+	t.withEntry(id, func(e *entry) { e.setPeer(node, n, now, t.opts.PeerExpiry) })
 }
 
-// Outstanding is this node's own requests by replica, without those that have none.
+// Outstanding returns the number of this node's own requests on each replica that has any.
 func (t *Table) Outstanding() map[cluster.ReplicaID]int {
 	out := make(map[cluster.ReplicaID]int)
 	for i := range t.shards {
@@ -266,21 +270,21 @@
 	return out
 }
 
-// CacheEvents takes an engine's cache events. A new Boot voids all that was
-// known of the replica's cache; a gap in Seq may hide evictions, which is why
-// entries also expire.
+// CacheEvents records an engine's cache events. A new Boot invalidates all data about the
+// replica's cache. A gap in Seq may hide evictions, which is why entries also expire.
 func (t *Table) CacheEvents(id cluster.ReplicaID, events engine.CacheEvents, now time.Time) {
 	var target *entry
 	var epoch uint32
-	t.with(id, func(e *entry) {
+	t.withEntry(id, func(e *entry) {
 		switch e.cacheBoot {
 		case events.Boot:
 			e.cacheSeq = max(e.cacheSeq, events.Next)
 		case "":
 			e.cacheBoot, e.cacheSeq = events.Boot, events.Next
 		default:
-			// The poll went on after the old process's last event, so what the
-			// new one published up to that number is asked for once more.
+			// The poll asked for events after the old process's last one. Resetting the
+			// number makes the next poll ask for the events of the new process that were
+			// skipped.
 			e.cacheEpoch++
 			e.cacheBoot, e.cacheSeq = events.Boot, 0
 		}
@@ -298,9 +302,9 @@
 	}
 }
 
-// CacheSeq is the number of the last cache event taken, for the next poll.
+// CacheSeq returns the number of the last recorded cache event, for the next poll.
 func (t *Table) CacheSeq(id cluster.ReplicaID) (seq int64) {
-	t.with(id, func(e *entry) { seq = e.cacheSeq })
+	t.withEntry(id, func(e *entry) { seq = e.cacheSeq })
 	return seq
 }
 
@@ -311,8 +315,8 @@
 	avoidedTotal = metrics.NewCounter("fennel_routing_straggler_avoided_total")
 )
 
-// Capacities returns how many requests the whole replicas of each group batch.
-// A group without a whole replica has none.
+// Capacities returns the total batch size of each group's healthy replicas, 0 if it has
+// none.
 func (t *Table) Capacities(now time.Time) map[cluster.GroupName]int {
 	groups := *t.groups.Load()
 	out := make(map[cluster.GroupName]int, len(groups))
@@ -322,7 +326,7 @@
 		for _, e := range snap.entries {
 			e.lock.Lock()
 			if e.eligible() {
-				total += believedCapacity(e.claimed(), snap.capacity)
+				total += boundedCapacity(e.capacity(), snap.capacity)
 			}
 			e.lock.Unlock()
 		}
@@ -331,14 +335,14 @@
 	return out
 }
 
-// Status is what the table knows of one replica, for operators and for gossip.
+// Status is the state of one replica, for operators and for gossip.
 type Status struct {
 	Replica     cluster.Replica
 	Healthy     bool
 	Load        engine.Load
-	LoadAt      time.Time // zero when no report came
+	LoadAt      time.Time // zero if there was no report
 	Outstanding int
-	// InFlight is the own and all known other requests on it.
+	// InFlight is the number of all known requests on the replica, own and remote.
 	InFlight float64
 	Avoided  bool
 }
@@ -352,7 +356,7 @@
 		for _, e := range s.entries {
 			out = append(out, Status{
 				Replica: e.replica, Healthy: e.eligible(), Load: e.report.load, LoadAt: e.report.receivedAt,
-				Outstanding: e.outstanding, InFlight: float64(e.outstanding) + e.others(now, t.opts), Avoided: e.speed.avoided(now),
+				Outstanding: e.outstanding, InFlight: float64(e.outstanding) + e.remoteLoad(now, t.opts), Avoided: e.speed.avoided(now),
 			})
 		}
 		s.mu.Unlock()
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -18,8 +18,8 @@
 
 const testCapacity = 8
 
-// newFleet returns a table with n whole replicas r0.. of group g, spread over
-// the zones in turn; the node is in the first zone.
+// newFleet returns a table with n healthy replicas r0, r1, ... of group g, distributed over
+// the zones in turn. The node is in the first zone.
 func newFleet(n int, policy Policy, zones ...cluster.ZoneID) *Table {
 	if len(zones) == 0 {
 		zones = []cluster.ZoneID{"a"}
@@ -58,8 +58,9 @@
 	return c
 }
 
-// counts chooses n times without ending and returns the requests per replica.
-func counts(t require.TestingT, table *Table, n int, now time.Time) map[cluster.ReplicaID]int {
+// chooseMany chooses n times without ending the requests and returns the number of requests
+// per replica.
+func chooseMany(t require.TestingT, table *Table, n int, now time.Time) map[cluster.ReplicaID]int {
 	out := map[cluster.ReplicaID]int{}
 	for range n {
 		out[choose(t, table, now, Request{}).Replica.ID]++
@@ -67,38 +68,37 @@
 	return out
 }
 
-func extremes(per map[cluster.ReplicaID]int, n int) (least, most int) {
+func extremes(counts map[cluster.ReplicaID]int, n int) (least, most int) {
 	least = 1 << 30
 	for i := range n {
-		c := per[cluster.ReplicaID(fmt.Sprintf("r%d", i))]
+		c := counts[cluster.ReplicaID(fmt.Sprintf("r%d", i))]
 		least, most = min(least, c), max(most, c)
 	}
 	return least, most
 }
 
-// The engines' load reports stop, for instance because the path that carries
-// them is cut, while requests go on. A router that trusts the last reports sends
-// everything to whatever looked empty then, and callers there wait.
-func TestReportsStop(t *testing.T) {
+// When load reports stop while requests continue, for example because of a network failure,
+// a router that trusts the last reports sends every request to the replicas that were idle
+// then.
+func TestStaleLoadReports(t *testing.T) {
 	const n = 10
 	table := newFleet(n, nil)
 	reportAll(table, n, 7, start)
 	table.ReportLoad("r3", engine.Load{AsOf: start.Add(1), Running: 0, MaxRunning: testCapacity}, start.Add(1))
-	per := counts(t, table, 200, start.Add(4*time.Second))
+	per := chooseMany(t, table, 200, start.Add(4*time.Second))
 	least, most := extremes(per, n)
 	require.LessOrEqual(t, most-least, 8, "%v", per)
-	// Long after, nothing is left of the reports and requests spread evenly.
-	per = counts(t, table, 200, start.Add(time.Hour))
+	// Once the reports have expired, requests are distributed evenly.
+	per = chooseMany(t, table, 200, start.Add(time.Hour))
 	total := table.Statuses(start.Add(time.Hour))
 	for _, s := range total {
 		require.InDelta(t, 40, s.Outstanding, 4, "%v", per)
 	}
 }
 
-// One engine reports an empty batch and a huge capacity for ever, whatever runs
-// on it. It must not draw all requests: its callers would wait in its queue
-// while the others idle.
-func TestReportsLie(t *testing.T) {
+// An engine that always reports an empty batch and a huge capacity must not attract all
+// requests: they would queue there while the other replicas idle.
+func TestFalseLoadReports(t *testing.T) {
 	const n = 10
 	table := newFleet(n, nil)
 	reportAll(table, n, 0, start)
@@ -111,11 +111,10 @@
 	require.LessOrEqual(t, total["r3"], 400/n*2+testCapacity, "%v", total)
 }
 
-// Other nodes' requests are not in this node's counts, and are heard of late.
-// Nodes that ignore each other leave some replicas full and others idle; nodes
-// that take the news at its full weight all run to the replica that looked
-// emptiest. In both cases callers wait beside idle replicas.
-func TestNodesSpreadTheirRequestsTogether(t *testing.T) {
+// Nodes learn of each other's requests with a delay. Nodes that ignore each other leave some
+// replicas full and others idle. Nodes that count remote load in full all choose the replica
+// that looked least loaded. In both cases requests wait while replicas are idle.
+func TestNodesBalanceLoadTogether(t *testing.T) {
 	const n, nodes, rounds, each, draws = 10, 6, 60, 4, 40
 	swing := func(weight float64, draw int) (worst int) {
 		var tables []*Table
@@ -146,27 +145,28 @@
 		}
 		return worst
 	}
-	// The worst swing of one series of draws is a matter of luck; its mean is not.
+	// The worst swing of a single series is random, so the test compares means.
 	damped, full := 0.0, 0.0
 	for draw := range draws {
 		damped += float64(swing(DefaultRemoteLoadWeight, draw)) / draws
 		full += float64(swing(1, draw)) / draws
 	}
 	t.Logf("worst swing, mean over %d series: %.1f damped, %.1f at full weight", draws, damped, full)
-	// Each replica has 9.6 on average. Ignoring the others swings by 13 as well.
+	// Each replica has 9.6 requests on average. Ignoring the other nodes also gives a swing
+	// of 13.
 	require.LessOrEqual(t, damped, 14.0)
-	require.Greater(t, full, damped+2, "the failure this guards against")
-	// A replica that others keep busy is left to them in part.
+	require.Greater(t, full, damped+2, "full weight must show the failure")
+	// A replica that runs requests of other nodes gets fewer requests.
 	table := newFleet(2, nil)
 	table.ObservePeerOutstanding("n2", "r0", 20, start)
-	per := counts(t, table, 20, start)
+	per := chooseMany(t, table, 20, start)
 	require.GreaterOrEqual(t, per["r1"]-per["r0"], 4)
 	table.ObservePeerOutstanding("n2", "r0", 0, start)
 	table.ObservePeerOutstanding("n3", "r0", 0, start)
 	require.InDelta(t, 20, table.Statuses(start)[0].InFlight+table.Statuses(start)[1].InFlight, 0.01)
 }
 
-// exchange tells each table the others' outstanding requests.
+// exchange reports each table's outstanding requests to the other tables.
 func exchange(tables []*Table, now time.Time) {
 	for i, from := range tables {
 		for _, s := range from.Statuses(now) {
@@ -189,16 +189,16 @@
 	return out
 }
 
-// A peer that is lost says nothing any more; its old counts must age out.
-func TestLostPeersCountsAgeOut(t *testing.T) {
+// The last counts of a peer that stopped reporting must expire.
+func TestPeerCountsExpire(t *testing.T) {
 	table := newFleet(2, nil)
 	table.ObservePeerOutstanding("n2", "r0", 20, start)
 	later := start.Add(DefaultPeerExpiry)
-	least, most := extremes(counts(t, table, 1000, later), 2)
+	least, most := extremes(chooseMany(t, table, 1000, later), 2)
 	require.LessOrEqual(t, most-least, 2)
 }
 
-// A report taken before this node's own newest requests must not count them twice.
+// Own requests that are included in a lagging load report must not be counted twice.
 func TestOwnRequestsAreNotCountedTwice(t *testing.T) {
 	table := newFleet(1, nil)
 	for i := range 10 {
@@ -206,11 +206,11 @@
 	}
 	at := start.Add(time.Second)
 	table.ReportLoad("r0", engine.Load{AsOf: at.Add(-500 * time.Millisecond), Running: 9, MaxRunning: testCapacity}, at)
-	// Half a second ago 5 or 6 of its 9 were ours; now 10 are.
+	// Half a second ago 5 or 6 of the 9 requests were own ones, and now 10 are.
 	require.InDelta(t, 13.5, table.Statuses(at)[0].InFlight, 1)
 }
 
-func TestZonePrefixExclusionAndAlone(t *testing.T) {
+func TestZonePrefixExclusionAndIsolation(t *testing.T) {
 	table := newFleet(9, nil, "a", "b", "c")
 	require.Equal(t, cluster.ZoneID("a"), choose(t, table, start, Request{}).Replica.Zone)
 	for range 30 {
@@ -225,14 +225,14 @@
 	require.Equal(t, ReasonPrefix, c.Reason)
 	require.EqualValues(t, 1, table.CacheSeq("r4"))
 	table.CacheEvents("r4", engine.CacheEvents{Boot: "y", Next: 1}, start)
-	require.Zero(t, table.CacheSeq("r4"), "a new boot counts from the start")
+	require.Zero(t, table.CacheSeq("r4"), "event numbers restart with a new boot")
 	require.NotEqual(t, ReasonPrefix, choose(t, table, start, Request{PrefixHashes: hashes}).Reason, "a new boot has an empty cache")
 
 	first := choose(t, table, start, Request{Isolated: true})
 	second := choose(t, table, start, Request{Isolated: true})
 	require.NotEqual(t, first.Replica.ID, second.Replica.ID)
 	for range 30 {
-		require.NotEqual(t, first.Replica.ID, choose(t, table, start, Request{}).Replica.ID, "no innocent joins a suspect")
+		require.NotEqual(t, first.Replica.ID, choose(t, table, start, Request{}).Replica.ID, "other requests avoid the replica of a suspect")
 	}
 	one := newFleet(1, nil)
 	kept := choose(t, one, start, Request{Isolated: true})
@@ -242,11 +242,10 @@
 	choose(t, one, start, Request{Isolated: true})
 }
 
-// One replica's accelerator is throttled: it answers whole, but four times
-// slower. Callers who land there wait for no reason they can see. It is avoided
-// after a few answers, tried again with single requests, and taken back once it
+// A replica with a throttled accelerator completes its answers four times more slowly. It
+// must be avoided after a few answers, tested with single requests, and used again once it
 // has recovered.
-func TestStragglerIsAvoidedAndTriedAgain(t *testing.T) {
+func TestStragglerIsAvoidedAndRetried(t *testing.T) {
 	const n = 6
 	table := newFleet(n, nil)
 	slow := true
@@ -266,16 +265,16 @@
 		}
 		return onStraggler
 	}
-	require.Positive(t, round(60), "until it is noticed")
-	require.LessOrEqual(t, round(600), 15, "60 s of trials only")
+	require.Positive(t, round(60), "used until it is detected")
+	require.LessOrEqual(t, round(600), 15, "only trial requests for 60 s")
 	slow = false
 	round(2000)
 	require.Greater(t, round(600), 50, "recovered and used again")
 }
 
-// A slow group is not a group of stragglers: when most are slow at once, the
-// cause is elsewhere, and avoiding them would leave nobody.
-func TestStragglersNeverTakeMostOfAGroup(t *testing.T) {
+// When most of a group is slow, the cause is elsewhere, and avoiding the slow replicas would
+// leave too few. At most a third of a group may be avoided.
+func TestAtMostAThirdOfAGroupIsAvoided(t *testing.T) {
 	table := newFleet(6, nil)
 	now := start
 	for range 600 {
@@ -296,13 +295,13 @@
 	require.LessOrEqual(t, avoided, 2)
 }
 
-// Replicas come, go, lose members and change generation while requests run. A
-// request must never reach a replica that is not whole, and the counts must be
-// exact in the end, or a replica would look busy for ever.
+// Random changes of health, load and time while requests run. A request must never be sent to
+// a replica that is not healthy, and the counts must be zero in the end: a replica would look
+// busy forever otherwise.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := newFleet(5, nil, "a", "b")
-		whole := map[cluster.ReplicaID]bool{"r0": true, "r1": true, "r2": true, "r3": true, "r4": true}
+		healthy := map[cluster.ReplicaID]bool{"r0": true, "r1": true, "r2": true, "r3": true, "r4": true}
 		var open []Choice
 		now := start
 		id := rapid.SampledFrom([]cluster.ReplicaID{"r0", "r1", "r2", "r3", "r4"})
@@ -313,12 +312,12 @@
 				c, err := table.ChooseAt(now, req)
 				if err != nil {
 					require.True(rt, fennelerr.Is(err, fennelerr.NoReplica))
-					for r, ok := range whole {
+					for r, ok := range healthy {
 						require.False(rt, ok && r != req.Exclude[0] && !req.Isolated, "%s could serve", r)
 					}
 					return
 				}
-				require.True(rt, whole[c.Replica.ID])
+				require.True(rt, healthy[c.Replica.ID])
 				require.NotEqual(rt, req.Exclude[0], c.Replica.ID)
 				open = append(open, c)
 			},
@@ -330,12 +329,12 @@
 				table.EndAt(now, open[i], Result{OK: rapid.Bool().Draw(rt, "ok"), FirstToken: time.Millisecond, Tokens: 5, Duration: time.Second})
 				open = append(open[:i], open[i+1:]...)
 			},
-			"whole": func(rt *rapid.T) {
-				r, ok := id.Draw(rt, "replica"), rapid.Bool().Draw(rt, "whole")
+			"health": func(rt *rapid.T) {
+				r, ok := id.Draw(rt, "replica"), rapid.Bool().Draw(rt, "healthy")
 				table.SetHealthy(r, 1, ok)
 				table.SetHealthy(r, 2, true) // a generation that was never committed
 				table.SetHealthy(r, 1, ok)
-				whole[r] = ok
+				healthy[r] = ok
 			},
 			"time": func(rt *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 10_000).Draw(rt, "ms")) * time.Millisecond)
@@ -353,15 +352,15 @@
 	})
 }
 
-func TestCapacitiesCountWholeReplicas(t *testing.T) {
+func TestCapacitiesCountHealthyReplicas(t *testing.T) {
 	table := newFleet(3, nil)
 	reportAll(table, 2, 0, start)
-	require.Equal(t, map[cluster.GroupName]int{"g": 3 * testCapacity}, table.Capacities(start), "a silent one counts as a median one")
+	require.Equal(t, map[cluster.GroupName]int{"g": 3 * testCapacity}, table.Capacities(start), "a replica without a report counts with the median")
 	table.SetHealthy("r0", 1, false)
 	require.Equal(t, map[cluster.GroupName]int{"g": 2 * testCapacity}, table.Capacities(start))
 }
 
-func TestRemovedReplicaTakesNothing(t *testing.T) {
+func TestRemovedReplicaIsNotChosen(t *testing.T) {
 	table := newFleet(2, nil)
 	held := choose(t, table, start, Request{})
 	table.SetReplicas("a", []Entry{{Replica: cluster.Replica{ID: "r1", Group: "g", Zone: "a", Generation: 2}, Addr: "x"}})
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -1,8 +1,9 @@
 // Package routing chooses the replica that serves a request.
 //
-// The Table holds one entry per committed replica and is fed by the health check
-// (whole or not), by load reports and by the gateway (begin and end of each
-// request). A Policy picks among candidates; policies are interchangeable.
+// The Table holds one entry per committed replica. It is updated by the health check, by
+// load reports and by the start and end of each request. A replica is healthy while the
+// health check confirms every member of its committed generation. A Policy picks one of
+// the healthy replicas; policies are interchangeable.
 package routing
 
 import (
@@ -13,69 +14,70 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// Request is what a replica is chosen for.
+// Request describes the request that a replica is chosen for.
 type Request struct {
 	Group  cluster.GroupName
 	Prefer rules.Prefer
-	// PrefixHashes are the hashes of the prompt's prefixes, longest first, as in
+	// PrefixHashes are the hashes of the prompt's prefixes, longest first, computed as for
 	// engine.CacheEvent; may be empty.
 	PrefixHashes []uint64
-	// Exclude lists replicas that failed this request already.
+	// Exclude lists the replicas that already failed this request.
 	Exclude []cluster.ReplicaID
-	// Isolated asks for a replica on which no other suspect runs (see package suspect).
+	// Isolated requires a replica that runs no other suspect request (see package suspect).
 	Isolated bool
-	// MayRetryOn narrows the replicas for Alone; nil means all.
+	// MayRetryOn restricts the replicas of an isolated request; nil allows all.
 	MayRetryOn func(cluster.ReplicaID) bool
-	// Limit is what a replica may hold with the request; the zero value is no bound.
+	// Limit limits the requests on the chosen replica, this one included. The zero value
+	// means no limit.
 	Limit Limit
 }
 
-// Limit bounds the requests running and waiting on a replica: so many for each of its
-// slots, and some more.
+// Limit is the largest number of requests running and waiting on a replica: PerSlot for
+// each of its slots, plus Extra.
 type Limit struct{ PerSlot, Extra float64 }
 
-// exceeded reports whether the replica would hold too many with one more.
+// exceeded reports whether one more request would exceed the limit.
 func (l Limit) exceeded(c Candidate) bool {
 	return l.PerSlot > 0 && c.Load+1 > l.PerSlot*c.Capacity+l.Extra
 }
 
-// FullError says that there are whole replicas and none has room for the request.
+// FullError reports that the group has healthy replicas but none has room for the request.
 type FullError struct {
 	Group cluster.GroupName
-	// Considered is how many replicas were looked at.
+	// Considered is the number of replicas considered.
 	Considered int
 }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("every replica of group %s is full, of %d looked at", e.Group, e.Considered)
+	return fmt.Sprintf("every replica of group %s is full, %d considered", e.Group, e.Considered)
 }
 
-// Choice is the decision and why it fell.
+// Choice is a chosen replica and the reason for the choice.
 type Choice struct {
 	Replica cluster.Replica
 	// Addr is the ip:port of the serving VM.
 	Addr string
-	// Reason is one word or short phrase for the decision log.
+	// Reason is one of the Reason constants, for logs.
 	Reason string
-	// Considered is how many candidates were compared.
+	// Considered is the number of candidates compared.
 	Considered int
-	// Isolated repeats Request.Isolated.
+	// Isolated is copied from the request.
 	Isolated bool
 
-	// entry is where the table counted the request; End counts it back.
+	// entry is the table entry on which the request is counted until End.
 	entry *entry
-	// trial marks a request that tests whether a straggler recovered.
+	// trial marks a request that tests whether an avoided replica has recovered.
 	trial bool
 }
 
-// Result is how a dispatched request ended, for straggler detection and counts.
+// Result describes a finished request, for straggler detection.
 type Result struct {
-	// OK is true for a whole answer.
+	// OK is true for a complete answer.
 	OK bool
-	// Canceled is true when the caller went away; it says nothing about the replica.
+	// Canceled is true when the caller disconnected, which says nothing about the replica.
 	Canceled bool
-	// FirstToken is the time to the first event; zero when none came.
+	// FirstToken is the time to the first event; zero if there was none.
 	FirstToken time.Duration
 	Tokens     int
 	Duration   time.Duration
