--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -140,12 +140,12 @@
 	if s.call.Model == "" {
 		return routing.Limit{PerSlot: requestsPerPlainSlot}
 	}
-	return routing.Limit{PerSlot: 1, Extra: s.extraRequests()}
+	return routing.Limit{PerSlot: 1, Extra: s.allowedExtra()}
 }
 
-// extraRequests returns how many requests beyond its slots a replica may hold, this one
+// allowedExtra returns how many requests beyond its slots a replica may hold, this one
 // included.
-func (s *session) extraRequests() float64 {
+func (s *session) allowedExtra() float64 {
 	if s.attempts == 1 && s.call.Returning() {
 		return extraForReturning
 	}
