--- a/internal/routing/entry.go
+++ b/internal/routing/entry.go
@@ -8,7 +8,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// entry is the state of one replica. All fields are guarded by lock, which is the lock of
+// entry is the state of one replica. All other fields are guarded by lock, which is the lock of
 // the replica's shard.
 type entry struct {
 	lock *sync.Mutex
