--- a/internal/admission/virtual_test.go
+++ b/internal/admission/virtual_test.go
@@ -169,7 +169,7 @@
 		m := &simNode{queue: newQueue(30 * time.Second), table: routing.NewTable(routing.Options{Zone: "a", Policy: s.policy, Seed: s.seed + uint64(i)})}
 		m.table.SetReplicas("a", entries)
 		for _, e := range entries {
-			m.table.SetWhole(e.Replica.ID, 1, true)
+			m.table.SetHealthy(e.Replica.ID, 1, true)
 		}
 		m.queue.setSlots(simStart, int(DefaultOvercommit*float64(s.replicas*batch)/float64(s.nodes)))
 		s.simNodes = append(s.simNodes, m)
--- a/internal/gateway/plaincall.go
+++ b/internal/gateway/plaincall.go
@@ -74,24 +74,24 @@
 	return err
 }
 
-// Gone implements recovery.Call: a call without time is judged like any failed one.
-func (p *plainCall) Gone(context.Context, error) error { return nil }
+// Abandoned implements recovery.Call: a call without time is judged like any failed one.
+func (p *plainCall) Abandoned(context.Context, error) error { return nil }
 
-// Judge implements recovery.Call.
-func (p *plainCall) Judge(ctx context.Context, err error) recovery.Failure {
+// Classify implements recovery.Call.
+func (p *plainCall) Classify(ctx context.Context, err error) recovery.Failure {
 	f := recovery.Failure{
 		MayHaveRun: p.run != fennelerr.NotRun, Repeatable: p.repeatable,
 		Attempts: p.tried, MaxAttempts: len(p.addrs), OutOfTime: ctx.Err() != nil,
-		Budget: func() bool { return p.g.opts.Admitter.AllowRetry(p.c.team.Name) },
+		TakeRetry: func() bool { return p.g.opts.Admitter.AllowRetry(p.c.team.Name) },
 	}
 	if _, notStarted := errors.Into[*engine.NotStartedError](err); notStarted {
-		f.Proof = recovery.NotRun
+		f.Outcome = recovery.NotRun
 	}
 	return f
 }
 
-// After implements recovery.Call.
-func (p *plainCall) After(ctx context.Context, d recovery.Decision, err error) error {
+// Apply implements recovery.Call.
+func (p *plainCall) Apply(ctx context.Context, d recovery.Decision, err error) error {
 	p.g.opts.Log.Warn("attempt failed", "request", p.c.id, "addr", p.addr(), "run", p.run, "next", d.Step, "reason", d.Reason,
 		"err", err.Error())
 	if d.Step == recovery.GiveUp {
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -23,37 +23,37 @@
 	forgot bool
 }
 
-// Judge implements recovery.Call. It asks the replica over a new connection where that
+// Classify implements recovery.Call. It asks the replica over a new connection where that
 // matters.
-func (s *session) Judge(ctx context.Context, err error) recovery.Failure {
+func (s *session) Classify(ctx context.Context, err error) recovery.Failure {
 	f := recovery.Failure{
-		Proof: recovery.Interrupted, MayHaveRun: s.run != fennelerr.NotRun, Repeatable: s.route.Once != rules.OnceRequired,
-		Begun: s.exchange.Begun(), CanContinue: s.info.CanContinue && s.exchange.CanGoOn(),
+		Outcome: recovery.Interrupted, MayHaveRun: s.run != fennelerr.NotRun, Repeatable: s.route.Once != rules.OnceRequired,
+		ResponseStarted: s.exchange.Begun(), CanContinue: s.info.CanContinue && s.exchange.CanGoOn(),
 		Attempts: s.fruitless, MaxAttempts: s.g.opts.MaxAttempts,
-		Budget: func() bool { return s.g.opts.Admitter.AllowRetry(s.c.team.Name) },
+		TakeRetry: func() bool { return s.g.opts.Admitter.AllowRetry(s.c.team.Name) },
 	}
 	s.verdict = verdict{}
 	_, notStarted := errors.Into[*engine.NotStartedError](err)
 	_, rejected := errors.Into[*engine.RejectedError](err)
 	switch {
 	case notStarted:
-		f.Proof = recovery.NotRun
+		f.Outcome = recovery.NotRun
 		s.verdict.unreachable = true
 		s.verdict.crashed = s.resume // it had the request and cannot be reached any more
 	case rejected && (s.resume || s.carryOn):
 		s.verdict.forgot = true
 	case rejected:
-		f.Proof = recovery.Rejected
+		f.Outcome = recovery.Rejected
 	default:
 		countInterruption(err)
-		f.Alive = s.probe(ctx)
-		s.verdict.crashed = !f.Alive
+		f.CanResume = s.probe(ctx)
+		s.verdict.crashed = !f.CanResume
 	}
 	return f
 }
 
-// After implements recovery.Call.
-func (s *session) After(_ context.Context, d recovery.Decision, err error) error {
+// Apply implements recovery.Call.
+func (s *session) Apply(_ context.Context, d recovery.Decision, err error) error {
 	t := s.target.choice
 	s.g.opts.Log.Warn("attempt failed", "request", s.c.id, "replica", t.Replica.ID, "addr", t.Addr,
 		"after_event", s.exchange.LastID(), "next", d.Step, "reason", d.Reason, "err", err.Error())
@@ -121,11 +121,11 @@
 
 // giveUpCodes are the codes of a request that is given up, by reason.
 var giveUpCodes = map[recovery.Reason]fennelerr.Code{
-	recovery.RejectedByServer: fennelerr.InvalidRequest,
-	recovery.AttemptsUsed:     fennelerr.BackendFailed,
-	recovery.MayHaveRun:       fennelerr.OutcomeUnknown,
-	recovery.NotContinuable:   fennelerr.StreamTruncated,
-	recovery.BudgetUsed:       fennelerr.Overloaded,
+	recovery.RejectedByServer:  fennelerr.InvalidRequest,
+	recovery.AttemptsExhausted: fennelerr.BackendFailed,
+	recovery.MayHaveRun:        fennelerr.OutcomeUnknown,
+	recovery.NotContinuable:    fennelerr.StreamTruncated,
+	recovery.BudgetExhausted:   fennelerr.Overloaded,
 }
 
 // giveUp turns the last failure into the caller's final answer.
@@ -134,7 +134,7 @@
 		return s.rejected(r)
 	}
 	wait := time.Second
-	if reason == recovery.BudgetUsed {
+	if reason == recovery.BudgetExhausted {
 		wait = retryBudgetWait
 	}
 	return fennelerr.Wrap(err, giveUpCodes[reason], "%s", reason).WithRun(s.run).WithRetryAfter(wait)
--- a/internal/player/backend.go
+++ b/internal/player/backend.go
@@ -55,7 +55,7 @@
 
 func (b *backend) reach(ctx context.Context, a relay.Attempt) (*vm, error) {
 	b.w.mu.Lock()
-	v := b.w.vms[a.To.Server]
+	v := b.w.vms[a.Peer.Server]
 	up := v != nil && !v.dead && b.w.reaches(b.zone, v.entry.Zone)
 	b.w.mu.Unlock()
 	if up {
@@ -80,10 +80,10 @@
 		load.Running, load.Waiting = h.replica.Running(), h.replica.Waiting()
 	}
 	if !open || v.model != a.Call.Model {
-		return nil, nil, load, &relay.NotRunError{Reason: "not the head of a replica of the model", Arrived: true, Load: &load, Err: errors.New(string(v.entry.ID))}
+		return nil, nil, load, &relay.NotRunError{Reason: "not the head of a replica of the model", Received: true, Load: &load, Err: errors.New(string(v.entry.ID))}
 	}
 	if load.Waiting >= w.scenario.Engine.Queue {
-		return nil, nil, load, &relay.NotRunError{Reason: "full", Arrived: true, Load: &load, Err: errors.New(string(v.entry.ID))}
+		return nil, nil, load, &relay.NotRunError{Reason: "full", Received: true, Load: &load, Err: errors.New(string(v.entry.ID))}
 	}
 	tokens := max(b.truth(a.Call.ID)-resumed(a.ResumeAfter)*w.scenario.Engine.Stride, 1)
 	job := &enginemodel.Job{Prompt: max(a.Call.PromptTokens, 1), Answer: tokens, Urgency: a.Call.Urgency}
@@ -157,8 +157,8 @@
 	return []byte{}, strconv.Itoa(r.last), nil
 }
 
-// All implements relay.Body.
-func (r *reading) All(int64) ([]byte, error) { return nil, errors.New("streams only") }
+// ReadAll implements relay.Body.
+func (r *reading) ReadAll(int64) ([]byte, error) { return nil, errors.New("streams only") }
 
 // Close implements relay.Body.
 func (r *reading) Close() {
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -1,107 +1,109 @@
 package recovery
 
-// Proof is what a failed attempt shows of the call's run.
-type Proof int
+// Outcome says what a failed attempt reveals about the execution of the call.
+type Outcome int
 
 const (
-	// Interrupted: the attempt broke off, went silent or brought another call's
-	// answer. The call may have run.
-	Interrupted Proof = iota
-	// NotRun: the attempt certainly did not run the call and never will.
+	// Interrupted means that the connection broke, timed out or returned the answer
+	// to another call. The call may have run.
+	Interrupted Outcome = iota
+	// NotRun means that the attempt did not run the call and never will.
 	NotRun
-	// Rejected: the backend server's final word on the call itself.
+	// Rejected means that the backend server rejected the call itself.
 	Rejected
 )
 
-// Failure is all that the next step after a failed attempt depends on.
+// Failure describes a failed attempt and the state of its call, as input to Decide.
 type Failure struct {
-	Proof Proof
+	Outcome Outcome
 	// MayHaveRun is true when this attempt or an earlier one may have run the call. A
-	// resume whose dial fails did not run it, but the attempt that it resumes may have.
+	// resume that fails to dial did not run the call, but the attempt it resumes may have.
 	MayHaveRun bool
 	// Repeatable is true for a call that may run more than once.
 	Repeatable bool
-	// Begun is true once the caller has a part of the answer.
-	Begun bool
-	// CanContinue is true when another backend server can go on after that part.
+	// ResponseStarted is true once the caller has received part of the answer.
+	ResponseStarted bool
+	// CanContinue is true when another backend server can continue after that part.
 	CanContinue bool
-	// Alive is true when the backend server still has the call, so that a new
-	// connection can resume it.
-	Alive bool
-	// Attempts counts the attempts that used up the call's allowance.
+	// CanResume is true when the backend server still holds the call, so that it can be
+	// resumed over a new connection.
+	CanResume bool
+	// Attempts is the number of attempts that count against MaxAttempts.
 	Attempts, MaxAttempts int
-	// OutOfTime is true when another attempt could bring nothing in time.
+	// OutOfTime is true when another attempt could not finish before the deadline.
 	OutOfTime bool
-	// Budget spends one repeat, or reports false. It is asked only when all else
-	// allows another attempt.
-	Budget func() bool
+	// TakeRetry takes one retry from the retry budget and returns false if the budget is
+	// exhausted. It is called only if everything else allows another attempt.
+	TakeRetry func() bool
 }
 
-// Step is how a call goes on.
+// Step is the next action for a call after a failed attempt.
 type Step int
 
 const (
 	// GiveUp ends the call.
 	GiveUp Step = iota
-	// Resume goes to the same backend server again, after the part that came.
+	// Resume reconnects to the same backend server and continues after the last piece
+	// received.
 	Resume
-	// Continue goes to another one, after the part that the caller has.
+	// Continue sends the call to another backend server, which continues after the part
+	// the caller already has.
 	Continue
-	// Restart goes to another one, from the start.
+	// Restart sends the call to another backend server from the beginning.
 	Restart
 )
 
-// Reason tells why a step was chosen.
+// Reason explains why a step was chosen.
 type Reason string
 
-// Reasons of Decide. The first ones are those of giving up.
+// Reasons returned by Decide. Those of the first group accompany GiveUp.
 const (
-	RejectedByServer Reason = "rejected"
-	AttemptsUsed     Reason = "attempts used"
-	NoTimeLeft       Reason = "no time left"
-	MayHaveRun       Reason = "may have run"
-	NotContinuable   Reason = "the answer cannot be continued elsewhere"
-	BudgetUsed       Reason = "retry budget used"
+	RejectedByServer  Reason = "rejected"
+	AttemptsExhausted Reason = "attempts used"
+	NoTimeLeft        Reason = "no time left"
+	MayHaveRun        Reason = "may have run"
+	NotContinuable    Reason = "the answer cannot be continued elsewhere"
+	BudgetExhausted   Reason = "retry budget used"
 
-	ServerAlive  Reason = "the connection failed, the server still has the call"
-	AnswerBegun  Reason = "another server can go on"
-	NothingBegun Reason = "nothing has reached the caller"
+	ConnectionLost     Reason = "the connection failed, the server still has the call"
+	ResponseStarted    Reason = "another server can go on"
+	ResponseNotStarted Reason = "nothing has reached the caller"
 )
 
-// Decision is a step with its reason.
+// Decision is a step and the reason for it.
 type Decision struct {
 	Step   Step
 	Reason Reason
 }
 
-// Decide says how a call goes on after a failed attempt. A call that must not run
-// twice goes on elsewhere only when no attempt can have run it. Once the caller has
-// a part of the answer, only a resume or a continuation may follow: parts of two
-// runs that differ would make up an answer that nobody gave.
+// Decide returns the next step after a failed attempt. A call that must not run twice
+// is sent to another server only if no earlier attempt can have run it. Once the caller
+// has received part of the answer, only Resume and Continue are allowed: a restart could
+// mix parts of two different answers.
 func Decide(f Failure) Decision {
 	switch {
-	case f.Proof == Rejected:
+	case f.Outcome == Rejected:
 		return Decision{GiveUp, RejectedByServer}
 	case f.Attempts >= f.MaxAttempts:
-		return Decision{GiveUp, AttemptsUsed}
+		return Decision{GiveUp, AttemptsExhausted}
 	case f.OutOfTime:
 		return Decision{GiveUp, NoTimeLeft}
-	case f.Proof == Interrupted && f.Alive:
-		return Decision{Resume, ServerAlive}
-	case !f.Repeatable && (f.MayHaveRun || f.Proof == Interrupted):
+	case f.Outcome == Interrupted && f.CanResume:
+		return Decision{Resume, ConnectionLost}
+	case !f.Repeatable && (f.MayHaveRun || f.Outcome == Interrupted):
 		return Decision{GiveUp, MayHaveRun}
-	case f.Begun && !f.CanContinue:
+	case f.ResponseStarted && !f.CanContinue:
 		return Decision{GiveUp, NotContinuable}
-	case !f.Budget():
-		return Decision{GiveUp, BudgetUsed}
-	case f.Begun:
-		return Decision{Continue, AnswerBegun}
+	case !f.TakeRetry():
+		return Decision{GiveUp, BudgetExhausted}
+	case f.ResponseStarted:
+		return Decision{Continue, ResponseStarted}
 	default:
-		return Decision{Restart, NothingBegun}
+		return Decision{Restart, ResponseNotStarted}
 	}
 }
 
-// String names the step for logs.
+// String returns the name of the step as it appears in logs.
 func (s Step) String() string {
 	switch s {
 	case Resume:
