--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -61,8 +61,8 @@
 	Membership *Membership
 }
 
-// Same reports whether two entries say the same of one server.
-func (s Server) Same(o Server) bool {
+// Equal reports whether two entries say the same of one server.
+func (s Server) Equal(o Server) bool {
 	if s.ID != o.ID || s.Service != o.Service || s.Addr != o.Addr || s.Zone != o.Zone || s.Domain != o.Domain || s.Slots != o.Slots {
 		return false
 	}
@@ -92,7 +92,7 @@
 }
 
 // Same reports whether two lists say the same, whatever their revisions.
-func (l List) Same(o List) bool { return slices.EqualFunc(l.Servers, o.Servers, Server.Same) }
+func (l List) Same(o List) bool { return slices.EqualFunc(l.Servers, o.Servers, Server.Equal) }
 
 // Find returns the server with the id, or nil.
 func (l List) Find(id cluster.VMID) *Server {
