--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -278,7 +278,7 @@
 	list := n.platform.Servers(entries, revision)
 	list.Changed = revision
 	before := n.list.Load()
-	same := before != nil && before.Same(list)
+	same := before != nil && before.SameServers(list)
 	if same {
 		list.Changed = before.Changed
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -91,8 +91,8 @@
 	Servers []Server
 }
 
-// Same reports whether two lists say the same, whatever their revisions.
-func (l List) Same(o List) bool { return slices.EqualFunc(l.Servers, o.Servers, Server.Equal) }
+// SameServers reports whether two lists say the same, whatever their revisions.
+func (l List) SameServers(o List) bool { return slices.EqualFunc(l.Servers, o.Servers, Server.Equal) }
 
 // Find returns the server with the id, or nil.
 func (l List) Find(id cluster.VMID) *Server {
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -166,7 +166,7 @@
 	if w.stale {
 		return false
 	}
-	changed := !list.Same(w.list)
+	changed := !list.SameServers(w.list)
 	list.Changed = w.list.Changed
 	if changed || list.Changed == 0 {
 		list.Changed++
