--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -75,8 +75,8 @@
 	return *s.Membership == *o.Membership
 }
 
-// In reports whether the server says that it is a member of the replica.
-func (s Server) In(id cluster.ReplicaID) bool {
+// IsMemberOf reports whether the server says that it is a member of the replica.
+func (s Server) IsMemberOf(id cluster.ReplicaID) bool {
 	return s.Membership != nil && ReplicaID(s.Membership.Replica, s.Membership.Epoch) == id
 }
 
--- a/internal/lifecycle/ending.go
+++ b/internal/lifecycle/ending.go
@@ -93,7 +93,7 @@
 	if s == nil {
 		return evidence{}, false
 	}
-	stopped := !s.In(id) || s.Membership.State == fleet.Broken
+	stopped := !s.IsMemberOf(id) || s.Membership.State == fleet.Broken
 	return evidence{kind: headStopped, vm: s.ID, born: s.Born, at: list.ReadAt}, stopped
 }
 
@@ -143,7 +143,7 @@
 func (m *Machine) membersOf(list fleet.List, id cluster.ReplicaID) (head cluster.VMID, members []cluster.VMID) {
 	for i := range list.Servers {
 		s := &list.Servers[i]
-		if !s.In(id) {
+		if !s.IsMemberOf(id) {
 			continue
 		}
 		members = append(members, s.ID)
@@ -152,7 +152,7 @@
 		}
 	}
 	for vm, s := range m.seen {
-		if head == "" && s.In(id) && s.Membership.Rank == 0 {
+		if head == "" && s.IsMemberOf(id) && s.Membership.Rank == 0 {
 			head = vm
 		}
 	}
@@ -174,7 +174,7 @@
 		if vm == e.head || s == nil || now.Sub(e.sentAt[vm]) < resendAfter {
 			continue
 		}
-		if !s.In(id) {
+		if !s.IsMemberOf(id) {
 			m.release(id, e, vm, evidence{kind: memberElsewhere, vm: vm, born: s.Born, at: list.ReadAt}, now)
 			continue
 		}
@@ -191,7 +191,7 @@
 // stopHead sends the head what ends its part.
 func (m *Machine) stopHead(list fleet.List, id cluster.ReplicaID, e *ending, now time.Time) {
 	head, known := m.seen[e.head]
-	if !known || !head.In(id) || now.Sub(e.sentAt[e.head]) < resendAfter {
+	if !known || !head.IsMemberOf(id) || now.Sub(e.sentAt[e.head]) < resendAfter {
 		return
 	}
 	order := m.leaveOrder(head.Membership)
--- a/internal/lifecycle/forming.go
+++ b/internal/lifecycle/forming.go
@@ -171,7 +171,7 @@
 // noteJoined takes a membership in the list for the answer that did not come.
 func (m *Machine) noteJoined(list fleet.List, f *forming) {
 	for _, id := range f.replica.Members {
-		if s := list.Find(id); s != nil && s.In(f.replica.ID) {
+		if s := list.Find(id); s != nil && s.IsMemberOf(f.replica.ID) {
 			f.joined[id] = true
 		}
 	}
--- a/internal/lifecycle/liveness.go
+++ b/internal/lifecycle/liveness.go
@@ -62,7 +62,7 @@
 		}
 		for _, vm := range slices.Sorted(maps.Keys(m.seen)) {
 			s := m.seen[vm]
-			if list.Find(vm) == nil && s.In(r.ID()) {
+			if list.Find(vm) == nil && s.IsMemberOf(r.ID()) {
 				m.probePresence(s, now)
 			}
 		}
@@ -105,7 +105,7 @@
 	for _, vm := range slices.Sorted(maps.Keys(m.present)) {
 		p := m.present[vm]
 		waits := p.answeredAt.IsZero() && now.Sub(p.firstProbed) < 2*ProbeTimeout
-		if p.server.In(id) && (waits || now.Sub(p.answeredAt) < presentFor) {
+		if p.server.IsMemberOf(id) && (waits || now.Sub(p.answeredAt) < presentFor) {
 			out = append(out, p.server)
 		}
 	}
--- a/internal/lifecycle/vm_test.go
+++ b/internal/lifecycle/vm_test.go
@@ -57,7 +57,7 @@
 func (v *modelVM) runs() bool { return v.alive && !v.frozen }
 
 // in reports whether the VM is a member of the replica.
-func (v *modelVM) in(id cluster.ReplicaID) bool { return v.entry().In(id) }
+func (v *modelVM) in(id cluster.ReplicaID) bool { return v.entry().IsMemberOf(id) }
 
 // entry is what the VM says of itself.
 func (v *modelVM) entry() fleet.Server {
