--- a/internal/entry/derive.go
+++ b/internal/entry/derive.go
@@ -138,7 +138,7 @@
 			continue
 		}
 		out = append(out, routing.Entry{Addr: s.Addr, Slots: s.Slots, Replica: cluster.Replica{
-			ID: cluster.ReplicaID(s.ID), Group: relay.GroupOf(s.Service, ""), Zone: s.Zone, Generation: s.Born.UnixMilli(), Serving: s.ID}})
+			ID: cluster.ReplicaID(s.ID), Group: relay.GroupOf(s.Service, ""), Zone: s.Zone, Generation: s.StartedAt.UnixMilli(), Serving: s.ID}})
 	}
 	return out
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -51,8 +51,8 @@
 	Slots int
 	// Draining servers take no new work and leave soon.
 	Draining bool
-	// Born is the start of the process; an id may come again with another one.
-	Born time.Time
+	// StartedAt is the start of the process; an id may come again with another one.
+	StartedAt time.Time
 	// Staged are the models whose weights the VM's host keeps.
 	Staged []string
 	// Model is what it has loaded; empty if nothing.
@@ -66,7 +66,7 @@
 	if s.ID != o.ID || s.Service != o.Service || s.Addr != o.Addr || s.Zone != o.Zone || s.Domain != o.Domain || s.Slots != o.Slots {
 		return false
 	}
-	if s.Draining != o.Draining || !s.Born.Equal(o.Born) || s.Model != o.Model || !slices.Equal(s.Staged, o.Staged) {
+	if s.Draining != o.Draining || !s.StartedAt.Equal(o.StartedAt) || s.Model != o.Model || !slices.Equal(s.Staged, o.Staged) {
 		return false
 	}
 	if s.Membership == nil || o.Membership == nil {
--- a/internal/formation/holder_test.go
+++ b/internal/formation/holder_test.go
@@ -69,7 +69,7 @@
 	set := rules.Assemble(rules.Set{Groups: []rules.Group{{Name: "m", Model: "m", VMs: 8, Servers: "models", ColdLoad: time.Second, WarmLoad: time.Second}}})
 	list := fleet.List{Revision: 1 << 40, ReadAt: time.Now()}
 	for i := range vms {
-		list.Servers = append(list.Servers, fleet.Server{ID: cluster.VMID(fmt.Sprintf("vm-%05d", i)), Service: "models", Domain: cluster.DomainID(fmt.Sprint("rack-", i/64)), Slots: 1, Born: time.Unix(1, 0)})
+		list.Servers = append(list.Servers, fleet.Server{ID: cluster.VMID(fmt.Sprintf("vm-%05d", i)), Service: "models", Domain: cluster.DomainID(fmt.Sprint("rack-", i/64)), Slots: 1, StartedAt: time.Unix(1, 0)})
 	}
 	c := NewController(Options{Scope: "here", Node: "node", Store: s, List: func() (fleet.List, bool) { return list, true }, Rules: func() *rules.Set { return set },
 		Refresh: func(context.Context) error { return nil }, LeaseHeld: func() bool { return false }, FreeLoads: func() bool { return true },
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -56,7 +56,7 @@
 	}
 	silent = t.silentOf(ctx, serversOf(silent))
 	for _, s := range silent {
-		t.opts.Log.Info("probe", "replica", p.Replica, "vm", s.vm.ID, "born", s.vm.Born, "outcome", "down", "err", s.err.Error())
+		t.opts.Log.Info("probe", "replica", p.Replica, "vm", s.vm.ID, "born", s.vm.StartedAt, "outcome", "down", "err", s.err.Error())
 	}
 	t.report(func(in *lifecycle.Input) { in.Silent = append(in.Silent, serversOf(silent)...) })
 }
@@ -64,7 +64,7 @@
 // probeMissing asks a VM that the list lacks.
 func (t *term) probeMissing(ctx context.Context, vm fleet.Server) {
 	if silent := t.silentOf(ctx, []fleet.Server{vm}); len(silent) > 0 {
-		t.opts.Log.Info("probe", "vm", vm.ID, "born", vm.Born, "outcome", "unlisted VM does not answer", "err", silent[0].err.Error())
+		t.opts.Log.Info("probe", "vm", vm.ID, "born", vm.StartedAt, "outcome", "unlisted VM does not answer", "err", silent[0].err.Error())
 		return
 	}
 	t.report(func(in *lifecycle.Input) { in.Answering = append(in.Answering, vm.ID) })
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -54,7 +54,7 @@
 
 func servers(ids ...cluster.VMID) (out []fleet.Server) {
 	for _, id := range ids {
-		out = append(out, fleet.Server{ID: id, Service: "models", Slots: 1, Born: time.Unix(1, 0)})
+		out = append(out, fleet.Server{ID: id, Service: "models", Slots: 1, StartedAt: time.Unix(1, 0)})
 	}
 	return out
 }
--- a/internal/lifecycle/bench_test.go
+++ b/internal/lifecycle/bench_test.go
@@ -26,7 +26,7 @@
 	for i := range vms {
 		domain := i / fabricDomain
 		list.Servers = append(list.Servers, fleet.Server{ID: cluster.VMID(fmt.Sprintf("vm-%06d", i)), Service: "models", Addr: "192.0.2.1:1",
-			Zone: cluster.ZoneID(fmt.Sprintf("zone-%d", domain%5)), Domain: cluster.DomainID(fmt.Sprintf("domain-%03d", domain)), Slots: 22, Born: now})
+			Zone: cluster.ZoneID(fmt.Sprintf("zone-%d", domain%5)), Domain: cluster.DomainID(fmt.Sprintf("domain-%03d", domain)), Slots: 22, StartedAt: now})
 	}
 	return list
 }
--- a/internal/lifecycle/ending.go
+++ b/internal/lifecycle/ending.go
@@ -48,7 +48,7 @@
 
 // settle frees the members of a replica that serves no more.
 func (m *Machine) settle(id cluster.ReplicaID, e *ending, why evidence, now time.Time) {
-	m.opts.Log.Info("replica ended", "replica", id, "head", e.head, "head_born", m.seen[e.head].Born, "reason", e.reason, "held", e.held(),
+	m.opts.Log.Info("replica ended", "replica", id, "head", e.head, "head_born", m.seen[e.head].StartedAt, "reason", e.reason, "held", e.held(),
 		why.attrs(now), "took", now.Sub(e.since))
 	m.move(id, record{phase: phaseEnded, ended: &ended{why: why}})
 }
@@ -74,7 +74,7 @@
 		return
 	}
 	if e.shown {
-		m.opts.Log.Warn("replica serves again", "replica", id, "head", r.Head().ID, "head_born", r.Head().Born, e.why.attrs(now))
+		m.opts.Log.Warn("replica serves again", "replica", id, "head", r.Head().ID, "head_born", r.Head().StartedAt, e.why.attrs(now))
 		m.move(id, record{phase: phaseListed})
 	}
 }
@@ -94,7 +94,7 @@
 		return evidence{}, false
 	}
 	stopped := !s.IsMemberOf(id) || s.Membership.State == fleet.Broken
-	return evidence{kind: headStopped, vm: s.ID, born: s.Born, at: list.ReadAt}, stopped
+	return evidence{kind: headStopped, vm: s.ID, born: s.StartedAt, at: list.ReadAt}, stopped
 }
 
 // reviewEnding settles a replica whose head has stopped, and forgets one without a
@@ -135,7 +135,7 @@
 	}
 	m.move(a.Replica, record{phase: phaseEnding, ending: newEnding(a.Reason, head, members, now)})
 	m.opts.Log.Info("placement", "action", a.Kind, "group", a.Group, "replica", a.Replica, "head", head,
-		"head_listed", list.Find(head) != nil, "head_born", m.seen[head].Born, "members", members, "fence", m.opts.Fence, "list_revision", list.Revision, "reason", a.Reason)
+		"head_listed", list.Find(head) != nil, "head_born", m.seen[head].StartedAt, "members", members, "fence", m.opts.Fence, "list_revision", list.Revision, "reason", a.Reason)
 }
 
 // membersOf finds the members of a replica among the listed VMs, and its serving
@@ -175,7 +175,7 @@
 			continue
 		}
 		if !s.IsMemberOf(id) {
-			m.release(id, e, vm, evidence{kind: memberElsewhere, vm: vm, born: s.Born, at: list.ReadAt}, now)
+			m.release(id, e, vm, evidence{kind: memberElsewhere, vm: vm, born: s.StartedAt, at: list.ReadAt}, now)
 			continue
 		}
 		if m.send(*s, m.leaveOrder(s.Membership)) {
@@ -221,7 +221,7 @@
 		e.headSilent = e.headSilent || a.To.ID == e.head
 		return
 	}
-	why := evidence{kind: memberLeft, vm: a.To.ID, born: a.To.Born, at: a.At}
+	why := evidence{kind: memberLeft, vm: a.To.ID, born: a.To.StartedAt, at: a.At}
 	if a.To.ID == e.head {
 		why.kind = headLeft
 		m.settle(id, e, why, now)
--- a/internal/lifecycle/forming.go
+++ b/internal/lifecycle/forming.go
@@ -75,7 +75,7 @@
 func (m *Machine) lostMember(list fleet.List, f *forming) bool {
 	for _, id := range f.replica.Members {
 		s := list.Find(id)
-		if s == nil || s.Draining || !s.Born.Equal(f.born[id]) {
+		if s == nil || s.Draining || !s.StartedAt.Equal(f.born[id]) {
 			return true
 		}
 	}
@@ -112,7 +112,7 @@
 		if s == nil || m.inFlight[id] {
 			return
 		}
-		born[id] = s.Born
+		born[id] = s.StartedAt
 		if s.Model != g.Model && !slices.Contains(s.Staged, g.Model) {
 			cold = append(cold, id)
 			usual = g.ColdLoad
@@ -200,7 +200,7 @@
 func (m *Machine) adopt(r *fleet.Replica, now time.Time) {
 	f := newForming(r.Name, r.Epoch, placementReplica(r, nil, m.opts.Scope), now.Add(joinGrace))
 	for _, member := range r.Members {
-		f.born[member.ID] = member.Born
+		f.born[member.ID] = member.StartedAt
 		f.joined[member.ID] = true
 	}
 	m.move(r.ID(), record{phase: phaseOpening, forming: f})
--- a/internal/lifecycle/liveness.go
+++ b/internal/lifecycle/liveness.go
@@ -90,7 +90,7 @@
 // takeProbes notes what probes have found.
 func (m *Machine) takeProbes(in Input) {
 	for _, s := range in.Silent {
-		m.down[s.ID] = silence{born: s.Born, since: in.Now}
+		m.down[s.ID] = silence{born: s.StartedAt, since: in.Now}
 	}
 	for _, vm := range in.Answering {
 		if p := m.present[vm]; p != nil {
@@ -118,7 +118,7 @@
 	if !found {
 		return time.Time{}
 	}
-	if !d.born.Equal(s.Born) || now.Sub(d.since) > downFor {
+	if !d.born.Equal(s.StartedAt) || now.Sub(d.since) > downFor {
 		delete(m.down, s.ID)
 		return time.Time{}
 	}
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -238,7 +238,7 @@
 
 func (m *Machine) takeAnswer(a Answered, now time.Time) {
 	id := fleet.ReplicaID(a.Order.Replica, a.Order.Epoch)
-	log := m.opts.Log.With("order", a.Order.Kind, "vm", a.To.ID, "born", a.To.Born, "replica", id)
+	log := m.opts.Log.With("order", a.Order.Kind, "vm", a.To.ID, "born", a.To.StartedAt, "replica", id)
 	if a.NotSent {
 		log.Warn("order", "outcome", "not sent", "err", a.Err.Error())
 		return
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -81,7 +81,7 @@
 	s := &scene{t: t, orders: &recorder{answer: Begun, dead: make(map[cluster.VMID]bool), refusing: make(map[cluster.VMID]bool)}, now: time.Now()}
 	s.machine = NewMachine(Options{Scope: "here", Fence: 2, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler), Seen: make(map[cluster.VMID]fleet.Server)})
 	for i := range vms {
-		s.servers = append(s.servers, fleet.Server{ID: cluster.VMID(fmt.Sprintf("vm-%d", i)), Service: "models", Domain: "rack", Slots: 8, Born: s.now})
+		s.servers = append(s.servers, fleet.Server{ID: cluster.VMID(fmt.Sprintf("vm-%d", i)), Service: "models", Domain: "rack", Slots: 8, StartedAt: s.now})
 	}
 	return s
 }
@@ -373,7 +373,7 @@
 
 	s.show(head, order, 0, fleet.Open)
 	s.orders.dead[head] = true
-	s.restore(fleet.Server{ID: "vm-9", Service: "models", Domain: "rack", Slots: 8, Born: s.now, Staged: []string{"m"}})
+	s.restore(fleet.Server{ID: "vm-9", Service: "models", Domain: "rack", Slots: 8, StartedAt: s.now, Staged: []string{"m"}})
 	s.step()
 	s.step()
 	require.Empty(t, s.orders.take(Join), "the head serves again")
--- a/internal/lifecycle/print_test.go
+++ b/internal/lifecycle/print_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, vm := range slices.Sorted(maps.Keys(m.seen)) {
 		s := m.seen[vm]
-		fmt.Fprint(out, "s", vm, member(s.Membership), age(s.Born))
+		fmt.Fprint(out, "s", vm, member(s.Membership), age(s.StartedAt))
 	}
 	for _, vm := range slices.Sorted(maps.Keys(m.present)) {
 		p := m.present[vm]
--- a/internal/lifecycle/sightings.go
+++ b/internal/lifecycle/sightings.go
@@ -28,14 +28,14 @@
 		switch {
 		case !known && m.sightingsAt.IsZero():
 		case !known:
-			m.logSighting("listed", s.ID, s.Born, s.Membership, list, "draining", s.Draining)
+			m.logSighting("listed", s.ID, s.StartedAt, s.Membership, list, "draining", s.Draining)
 		case !before.unlistedAt.IsZero():
-			m.logSighting("listed-again", s.ID, s.Born, s.Membership, list, "born_before", before.born,
-				"same_process", s.Born.Equal(before.born), "away", now.Sub(before.unlistedAt))
-		case !s.Born.Equal(before.born):
-			m.logSighting("started-anew", s.ID, s.Born, s.Membership, list, "born_before", before.born)
+			m.logSighting("listed-again", s.ID, s.StartedAt, s.Membership, list, "born_before", before.born,
+				"same_process", s.StartedAt.Equal(before.born), "away", now.Sub(before.unlistedAt))
+		case !s.StartedAt.Equal(before.born):
+			m.logSighting("started-anew", s.ID, s.StartedAt, s.Membership, list, "born_before", before.born)
 		}
-		m.sightings[s.ID] = sighting{born: s.Born, membership: s.Membership, look: m.looks}
+		m.sightings[s.ID] = sighting{born: s.StartedAt, membership: s.Membership, look: m.looks}
 	}
 	for vm, s := range m.sightings {
 		switch {
--- a/internal/lifecycle/vm_test.go
+++ b/internal/lifecycle/vm_test.go
@@ -61,7 +61,7 @@
 
 // entry is what the VM says of itself.
 func (v *modelVM) entry() fleet.Server {
-	s := fleet.Server{ID: v.id, Service: "models", Domain: v.domain, Slots: 8, Born: v.born, Draining: !v.drainedAt.IsZero(),
+	s := fleet.Server{ID: v.id, Service: "models", Domain: v.domain, Slots: 8, StartedAt: v.born, Draining: !v.drainedAt.IsZero(),
 		Staged: slices.Clone(v.staged), Model: v.lastModel}
 	if v.member != nil {
 		m := *v.member
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -421,7 +421,7 @@
 	}
 	fmt.Fprint(h, "|", w.stale)
 	for _, s := range w.list.Servers {
-		fmt.Fprint(h, s.ID, age(s.Born), s.Draining, member(s.Membership), s.Staged, s.Model)
+		fmt.Fprint(h, s.ID, age(s.StartedAt), s.Draining, member(s.Membership), s.Staged, s.Model)
 	}
 	for _, p := range w.pending {
 		fmt.Fprint(h, "p", age(p.at), p.outcome.To.ID, order(p.outcome.Order))
--- a/internal/player/world.go
+++ b/internal/player/world.go
@@ -73,7 +73,7 @@
 	defer w.mu.Unlock()
 	w.added++
 	id := cluster.VMID(fmt.Sprintf("vm-%03d", w.added))
-	v := &vm{w: w, entry: fleet.Server{ID: id, Service: engines, Addr: string(id), Zone: zone, Domain: domain, Slots: w.scenario.Engine.Slots, Born: time.Now()}}
+	v := &vm{w: w, entry: fleet.Server{ID: id, Service: engines, Addr: string(id), Zone: zone, Domain: domain, Slots: w.scenario.Engine.Slots, StartedAt: time.Now()}}
 	w.vms[id] = v
 	v.publish()
 	w.beating.Go(func() { v.beat(w.live) })
@@ -197,7 +197,7 @@
 // revive starts a VM that was silent anew; it remembers what its host has staged.
 func (w *world) revive(v *vm) {
 	v.dead, v.head, v.members, v.model, v.loaded = false, nil, nil, "", ""
-	v.entry.Membership, v.entry.Model, v.entry.Born = nil, "", time.Now()
+	v.entry.Membership, v.entry.Model, v.entry.StartedAt = nil, "", time.Now()
 	v.epoch = 0
 	v.order++
 	v.publish()
