--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -276,11 +276,11 @@
 
 func (n *Core) serversChanged(entries map[string]store.KV, revision int64) {
 	list := n.platform.Servers(entries, revision)
-	list.Changed = revision
+	list.ChangedRevision = revision
 	before := n.list.Load()
 	same := before != nil && before.SameServers(list)
 	if same {
-		list.Changed = before.Changed
+		list.ChangedRevision = before.ChangedRevision
 	}
 	n.list.Store(&list)
 	if !same { // else a server wrote its entry again: nothing follows from it
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -83,9 +83,9 @@
 // List is all servers, ordered by id, as of a revision of the store.
 type List struct {
 	Revision int64
-	// Changed is the revision at which Servers last became another list; zero where that
+	// ChangedRevision is the revision at which Servers last became another list; zero where that
 	// is not known. Lists of one process with the same one say the same.
-	Changed int64
+	ChangedRevision int64
 	// ReadAt is when the list was last confirmed, by this process's clock.
 	ReadAt  time.Time
 	Servers []Server
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -148,10 +148,10 @@
 // note remembers the servers as last listed, also while another node holds the
 // lease: a new holder must know the heads of replicas that are not listed any more.
 func (c *Controller) note(list fleet.List) {
-	if list.Changed != 0 && list.Changed == c.noted {
+	if list.ChangedRevision != 0 && list.ChangedRevision == c.noted {
 		return
 	}
-	c.noted = list.Changed
+	c.noted = list.ChangedRevision
 	for _, s := range list.Servers {
 		c.seen[s.ID] = s
 	}
--- a/internal/lifecycle/bench_test.go
+++ b/internal/lifecycle/bench_test.go
@@ -95,11 +95,11 @@
 				var answered []Answered
 				for range 100 {
 					now = now.Add(100 * time.Millisecond)
-					list.Changed++
+					list.ChangedRevision++
 					answered = carryOut(&list, m.Step(benchInput(list, now, answered)), now)
 				}
 				for b.Loop() {
-					list.Changed += change
+					list.ChangedRevision += change
 					m.Step(benchInput(list, now, nil))
 				}
 			})
--- a/internal/lifecycle/quiescence_test.go
+++ b/internal/lifecycle/quiescence_test.go
@@ -34,7 +34,7 @@
 	var answered []Answered
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
-		list.Changed++
+		list.ChangedRevision++
 		answered = carryOut(&list, m.Step(benchInput(list, now, answered)), now)
 	}
 	require.Empty(t, answered)
@@ -57,7 +57,7 @@
 // A holder that settled must still act on whatever comes.
 func TestAnythingNewIsPlannedFor(t *testing.T) {
 	for name, change := range map[string]func(in *Input){
-		"list":      func(in *Input) { in.List.Changed++ },
+		"list":      func(in *Input) { in.List.ChangedRevision++ },
 		"rules":     func(in *Input) { in.Rules = rules.Assemble(rules.Set{Groups: twoModels.Groups}) },
 		"loads":     func(in *Input) { in.FreeLoads = false },
 		"silent":    func(in *Input) { in.Silent = in.List.Servers[:1] },
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -167,9 +167,9 @@
 		return false
 	}
 	changed := !list.SameServers(w.list)
-	list.Changed = w.list.Changed
-	if changed || list.Changed == 0 {
-		list.Changed++
+	list.ChangedRevision = w.list.ChangedRevision
+	if changed || list.ChangedRevision == 0 {
+		list.ChangedRevision++
 	}
 	w.list = list
 	return changed
