--- a/internal/entry/derive.go
+++ b/internal/entry/derive.go
@@ -122,7 +122,7 @@
 	var out []routing.Entry
 	for i := range replicas {
 		r := &replicas[i]
-		if !r.Serves() && !(before[r.ID()] && r.MayGoOn()) {
+		if !r.Serves() && !(before[r.ID()] && r.MayKeepServing()) {
 			continue
 		}
 		head := r.Head()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -167,11 +167,11 @@
 // Serves reports whether the replica may take requests.
 func (r *Replica) Serves() bool { return r.State() == Open && r.Formed() }
 
-// MayGoOn reports whether a replica that served complete may go on taking
+// MayKeepServing reports whether a replica that served complete may go on taking
 // requests. A member that is not listed any more may be cut off from the store
 // alone, and work on; if it is lost, the replica stands still, which shows sooner
 // than the list does. A head that is not listed takes no more requests.
-func (r *Replica) MayGoOn() bool {
+func (r *Replica) MayKeepServing() bool {
 	if r.State() != Open {
 		return false
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -50,13 +50,13 @@
 // head, or with a member that leaves, it may not.
 func TestReplicaMayGoOn(t *testing.T) {
 	r := one(t, member("a", 0, fleet.Open), member("b", 1, fleet.Ready))
-	require.True(t, r.MayGoOn())
+	require.True(t, r.MayKeepServing())
 	r = one(t, member("b", 1, fleet.Ready), member("c", 2, fleet.Ready))
-	require.False(t, r.MayGoOn())
+	require.False(t, r.MayKeepServing())
 	leaving := member("b", 1, fleet.Ready)
 	leaving.Draining = true
 	r = one(t, member("a", 0, fleet.Open), leaving)
-	require.False(t, r.MayGoOn())
+	require.False(t, r.MayKeepServing())
 }
 
 func TestNamesSayTheModel(t *testing.T) {
