--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -92,7 +92,7 @@
 // calls; a replica that served goes on while only a member's entry is missing.
 func TestRoutes(t *testing.T) {
 	member := func(id string, rank int, state fleet.State) fleet.Server {
-		return fleet.Server{ID: cluster.VMID(id), Service: "models", Membership: &fleet.Membership{Replica: fleet.Name("m", 1), Epoch: 1, Rank: rank, State: state}}
+		return fleet.Server{ID: cluster.VMID(id), Service: "models", Membership: &fleet.Membership{Replica: fleet.ReplicaName("m", 1), Epoch: 1, Rank: rank, State: state}}
 	}
 	set := rules.Assemble(rules.Set{Groups: []rules.Group{{Name: "m", Model: "m", VMs: 2, Servers: "models"}}})
 	ids := func(before map[cluster.ReplicaID]bool, servers ...fleet.Server) (out []cluster.ReplicaID) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -220,8 +220,8 @@
 // nameSeparator stands between a replica's model and its number.
 const nameSeparator = "/"
 
-// Name returns the name of the n-th replica of a model that a holder forms.
-func Name(model string, n int64) string { return fmt.Sprintf("%s%s%d", model, nameSeparator, n) }
+// ReplicaName returns the name of the n-th replica of a model that a holder forms.
+func ReplicaName(model string, n int64) string { return fmt.Sprintf("%s%s%d", model, nameSeparator, n) }
 
 // ModelOf returns the model of a replica's name; empty for a name not made by Name.
 func ModelOf(name string) string {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 
 // member is a listed member of the replica "m/7" of epoch 7.
 func member(id string, rank int, state fleet.State) fleet.Server {
-	return fleet.Server{ID: cluster.VMID(id), Membership: &fleet.Membership{Replica: fleet.Name("m", 7), Epoch: 7, Rank: rank, State: state}}
+	return fleet.Server{ID: cluster.VMID(id), Membership: &fleet.Membership{Replica: fleet.ReplicaName("m", 7), Epoch: 7, Rank: rank, State: state}}
 }
 
 func one(t *testing.T, servers ...fleet.Server) fleet.Replica {
@@ -60,6 +60,6 @@
 }
 
 func TestNamesSayTheModel(t *testing.T) {
-	require.Equal(t, "a/b", fleet.ModelOf(fleet.Name("a/b", 12)))
+	require.Equal(t, "a/b", fleet.ModelOf(fleet.ReplicaName("a/b", 12)))
 	require.Empty(t, fleet.ModelOf("somebody's"))
 }
--- a/internal/lifecycle/forming.go
+++ b/internal/lifecycle/forming.go
@@ -123,7 +123,7 @@
 	}
 	m.seq++
 	epoch := int64(m.opts.Fence)<<epochBits + m.seq
-	name := fleet.Name(g.Model, epoch)
+	name := fleet.ReplicaName(g.Model, epoch)
 	id := fleet.ReplicaID(name, epoch)
 	f := newForming(name, epoch, cluster.Replica{ID: id, Group: g.Name, Model: g.Model, Zone: m.opts.Scope,
 		Generation: epoch, Fence: m.opts.Fence, Members: a.Members, Serving: a.Members[0]}, now.Add(lateLoad*usual+joinGrace))
