--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -33,8 +33,8 @@
 	Follow(ctx context.Context, prefixes []string) (store.WatchBatch, <-chan store.WatchBatch)
 	// HeardAt is when the store last confirmed the copy.
 	HeardAt() time.Time
-	// Want says that a node asks for the copy: it is to be kept fresh.
-	Want()
+	// MarkRequested says that a node asks for the copy: it is to be kept fresh.
+	MarkRequested()
 }
 
 // Server serves a copy; it implements wirepbconnect.FeedServiceHandler.
@@ -42,7 +42,7 @@
 
 // Follow sends the copy and its changes while it is fresh.
 func (s *Server) Follow(ctx context.Context, req *connect.Request[wirepb.FollowRequest], stream *connect.ServerStream[wirepb.FollowResponse]) error {
-	s.Copy.Want()
+	s.Copy.MarkRequested()
 	if !s.fresh() {
 		return connect.NewError(connect.CodeUnavailable, errStale)
 	}
@@ -59,7 +59,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-beat.C:
-			s.Copy.Want()
+			s.Copy.MarkRequested()
 			if !s.fresh() {
 				return connect.NewError(connect.CodeUnavailable, errStale)
 			}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -30,7 +30,7 @@
 	return store.WatchBatch{Revision: 7, Events: []store.Event{{KV: store.KV{Key: "servers/a", Value: []byte("x"), ModRevision: 5, CreateRevision: 4}}}}, c.changes
 }
 
-func (c *copied) Want() {}
+func (c *copied) MarkRequested() {}
 
 func (c *copied) HeardAt() time.Time {
 	c.mu.Lock()
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -58,8 +58,8 @@
 // wantedFor is how long after another node asked the copy is kept fresh for it.
 const wantedFor = 5 * time.Second
 
-// Want says that another node follows this copy, or would.
-func (m *Mirror) Want() { m.wantedAt.Store(time.Now().UnixNano()) }
+// MarkRequested says that another node follows this copy, or would.
+func (m *Mirror) MarkRequested() { m.wantedAt.Store(time.Now().UnixNano()) }
 
 // Wanted reports whether another node has asked for this copy lately.
 func (m *Mirror) Wanted() bool { return time.Since(time.Unix(0, m.wantedAt.Load())) < wantedFor }
