--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -228,7 +228,7 @@
 const freshFor = 3500 * time.Millisecond
 
 func (n *Core) currentRules() (*rules.Set, bool) {
-	return n.rules.Load(), time.Since(n.mirror.HeardAt()) < freshFor
+	return n.rules.Load(), time.Since(n.mirror.LastContact()) < freshFor
 }
 
 func (n *Core) currentList() (fleet.List, bool) {
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -31,8 +31,8 @@
 	// Follow returns all entries below the prefixes, and a channel that gets each
 	// change after them until ctx ends.
 	Follow(ctx context.Context, prefixes []string) (store.WatchBatch, <-chan store.WatchBatch)
-	// HeardAt is when the store last confirmed the copy.
-	HeardAt() time.Time
+	// LastContact is when the store last confirmed the copy.
+	LastContact() time.Time
 	// MarkRequested says that a node asks for the copy: it is to be kept fresh.
 	MarkRequested()
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-func (s *Server) fresh() bool { return time.Since(s.Copy.HeardAt()) < staleAfter }
+func (s *Server) fresh() bool { return time.Since(s.Copy.LastContact()) < staleAfter }
 
 func encode(batch store.WatchBatch) *wirepb.FollowResponse {
 	out := &wirepb.FollowResponse{Revision: batch.Revision}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -32,7 +32,7 @@
 
 func (c *copied) MarkRequested() {}
 
-func (c *copied) HeardAt() time.Time {
+func (c *copied) LastContact() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.heardAt
--- a/internal/fleet/mirror.go
+++ b/internal/fleet/mirror.go
@@ -370,8 +370,8 @@
 	return m.loaded
 }
 
-// HeardAt is when the store last answered.
-func (m *Mirror) HeardAt() time.Time {
+// LastContact is when the store last answered.
+func (m *Mirror) LastContact() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.heardAt
