--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -184,7 +184,7 @@
 // for replicas that it forms.
 func (n *Core) watchPace() (wait, pause time.Duration) {
 	switch {
-	case n.mirror.Wanted():
+	case n.mirror.RecentlyRequested():
 		return feed.WatchWait, 0
 	case n.control.Holding() || n.feed == nil:
 		return quietWait, 0
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -61,8 +61,10 @@
 // MarkRequested says that another node follows this copy, or would.
 func (m *Mirror) MarkRequested() { m.wantedAt.Store(time.Now().UnixNano()) }
 
-// Wanted reports whether another node has asked for this copy lately.
-func (m *Mirror) Wanted() bool { return time.Since(time.Unix(0, m.wantedAt.Load())) < wantedFor }
+// RecentlyRequested reports whether another node has asked for this copy lately.
+func (m *Mirror) RecentlyRequested() bool {
+	return time.Since(time.Unix(0, m.wantedAt.Load())) < wantedFor
+}
 
 // Follow returns all entries below the prefixes that the store has confirmed, and a
 // channel that gets each change after them until ctx ends or the reader falls behind.
