--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -169,13 +169,13 @@
 	t := newTerm(c.opts, lease, c.seen)
 	defer t.wait()
 	began := time.Now()
-	for ctx.Err() == nil && lease.Left(time.Now()) > 0 {
+	for ctx.Err() == nil && lease.Remaining(time.Now()) > 0 {
 		list, _ := c.opts.List()
 		c.note(list)
 		now := time.Now()
 		switch {
 		case list.Revision >= int64(lease.Fence()):
-			t.step(ctx, list, lease.Left(now), c.suspects.take(), now)
+			t.step(ctx, list, lease.Remaining(now), c.suspects.take(), now)
 		case now.Sub(began) >= refreshAfter:
 			c.refresh(ctx)
 		}
@@ -215,7 +215,7 @@
 	interval := c.opts.LeaseTTL / 4
 	retry := clock.Backoff{Least: interval / 8, Most: interval}
 	pause := interval
-	for clock.Pause(ctx, pause) && lease.Left(time.Now()) > 0 {
+	for clock.Pause(ctx, pause) && lease.Remaining(time.Now()) > 0 {
 		callCtx, cancel := context.WithTimeout(ctx, interval)
 		err := lease.Extend(callCtx)
 		cancel()
@@ -226,7 +226,7 @@
 		}
 		pause = retry.Next()
 		if ctx.Err() == nil {
-			c.opts.Log.Warn("placement lease not extended", "scope", c.opts.Scope, "fence", lease.Fence(), "left", lease.Left(time.Now()), "err", err.Error())
+			c.opts.Log.Warn("placement lease not extended", "scope", c.opts.Scope, "fence", lease.Fence(), "left", lease.Remaining(time.Now()), "err", err.Error())
 		}
 	}
 }
--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -89,7 +89,7 @@
 // sendNow sends an order unless the lease may end before the answer: it may have waited
 // for others.
 func (t *term) sendNow(ctx context.Context, s lifecycle.Sending) (lifecycle.Answer, error) {
-	if t.lease.Left(time.Now()) < lifecycle.OrderTimeout {
+	if t.lease.Remaining(time.Now()) < lifecycle.OrderTimeout {
 		return "", &SendError{VM: s.To.ID, NotSent: true, Err: errLeaseShort}
 	}
 	ctx, cancel := context.WithTimeout(ctx, lifecycle.OrderTimeout)
--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -185,7 +185,7 @@
 	// The former holder may have sent its last order just before its lease
 	// lapsed; an engine that ignores fencing numbers would take it after ours.
 	wait(ctx, c.opts.OrderLife)
-	for ctx.Err() == nil && lease.Left(time.Now()) > 0 {
+	for ctx.Err() == nil && lease.Remaining(time.Now()) > 0 {
 		c.step(ctx, t)
 		wait(ctx, c.opts.Tick)
 	}
@@ -195,14 +195,14 @@
 
 // keep extends the lease until it is lost or ctx ends.
 func (c *Controller) keep(ctx context.Context, lease *Lease) {
-	for ctx.Err() == nil && lease.Left(time.Now()) > 0 {
-		callCtx, cancel := context.WithTimeout(ctx, min(c.opts.LeaseTTL/4, lease.Left(time.Now())))
+	for ctx.Err() == nil && lease.Remaining(time.Now()) > 0 {
+		callCtx, cancel := context.WithTimeout(ctx, min(c.opts.LeaseTTL/4, lease.Remaining(time.Now())))
 		err := lease.Extend(callCtx)
 		cancel()
 		if err != nil && ctx.Err() == nil {
-			c.opts.Log.Warn("placement lease not extended", "zone", c.opts.Zone, "left", lease.Left(time.Now()), "error", err)
+			c.opts.Log.Warn("placement lease not extended", "zone", c.opts.Zone, "left", lease.Remaining(time.Now()), "error", err)
 		}
-		wait(ctx, min(c.opts.LeaseTTL/5, lease.Left(time.Now())))
+		wait(ctx, min(c.opts.LeaseTTL/5, lease.Remaining(time.Now())))
 	}
 }
 
@@ -308,7 +308,7 @@
 	if len(batch) == 0 {
 		return nil
 	}
-	if t.lease.Left(time.Now()) == 0 {
+	if t.lease.Remaining(time.Now()) == 0 {
 		return &CommitError{Kind: CommitLeaseLost, Err: context.DeadlineExceeded}
 	}
 	if err := t.commit.commit(ctx, batch); err != nil {
--- a/internal/grouping/lease.go
+++ b/internal/grouping/lease.go
@@ -98,8 +98,8 @@
 // compare.
 func (l *Lease) Guard() store.Guard { return store.ModifiedAt(l.key, int64(l.fence)) }
 
-// Left is how much longer the holder may act at now; never negative.
-func (l *Lease) Left(now time.Time) time.Duration {
+// Remaining is how much longer the holder may act at now; never negative.
+func (l *Lease) Remaining(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.lost {
--- a/internal/grouping/orders.go
+++ b/internal/grouping/orders.go
@@ -111,7 +111,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.orderLife)
 	defer cancel()
 	sent := time.Now()
-	if t.lease.Left(sent) < c.orderLife {
+	if t.lease.Remaining(sent) < c.orderLife {
 		return orderAnswer{sent: sent, err: &CommitError{Kind: CommitLeaseLost, Err: context.DeadlineExceeded}}
 	}
 	result, err := c.opts.Engines.Order(ctx, o.addr, o.order)
