--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -185,7 +185,7 @@
 		t.sleep(ctx, c.opts.Tick, stepGap(time.Since(now), c.opts.Tick))
 	}
 	reason = endReason(ctx, t, lease)
-	lease.Lose()
+	lease.MarkLost()
 	cancel()
 	<-kept
 	return reason
--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -228,7 +228,7 @@
 		t.loaded = false
 		c.opts.Log.Warn("grouping not committed", "zone", c.opts.Zone, "fence", t.lease.Fence(), "error", err)
 		if e, ok := errors.Into[*CommitError](err); ok && e.Kind == CommitLeaseLost {
-			t.lease.Lose()
+			t.lease.MarkLost()
 		}
 		return
 	}
--- a/internal/grouping/lease.go
+++ b/internal/grouping/lease.go
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// Lose marks the lease as lost, when a guarded write shows that it is.
-func (l *Lease) Lose() {
+// MarkLost marks the lease as lost, when a guarded write shows that it is.
+func (l *Lease) MarkLost() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost = true
@@ -143,7 +143,7 @@
 // Revoke gives the lease up, so that another node need not wait for it to lapse.
 // A failure is ignored: the lease then lapses by itself.
 func (l *Lease) Revoke(ctx context.Context) {
-	l.Lose()
+	l.MarkLost()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
 	_ = l.store.Revoke(ctx, l.id)
