--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -51,10 +51,10 @@
 	LeaseTTL time.Duration
 	// Tick is the time between two looks at the zone; zero means DefaultTick.
 	Tick time.Duration
-	// OrderLife bounds one order from its check to its answer, and is how long
+	// OrderTimeout bounds one order from its check to its answer, and is how long
 	// a new holder waits before its first order; zero means
 	// DefaultOrderLife or a fifth of LeaseTTL, whichever is less.
-	OrderLife time.Duration
+	OrderTimeout time.Duration
 	// DownAfter is how long an engine must fail to answer before its VM counts
 	// as down; zero means DefaultDownAfter.
 	DownAfter time.Duration
@@ -103,7 +103,7 @@
 	setDefault(&opts.Tick, DefaultTick)
 	// With a longer life than this, part of the orders would fall into the time
 	// between two extensions when the lease has too little left for them.
-	setDefault(&opts.OrderLife, min(DefaultOrderLife, opts.LeaseTTL/5))
+	setDefault(&opts.OrderTimeout, min(DefaultOrderLife, opts.LeaseTTL/5))
 	setDefault(&opts.DownAfter, DefaultDownAfter)
 	setDefault(&opts.PollQuiet, DefaultPollQuiet)
 	if opts.Candidate == nil {
@@ -113,7 +113,7 @@
 	if opts.LoadsPerSecond > 0 {
 		limit = rate.Limit(opts.LoadsPerSecond)
 	}
-	return &Controller{opts: opts, orderLife: min(opts.OrderLife, opts.LeaseTTL/4), weights: rate.NewLimiter(limit, max(1, opts.LoadBurst))}
+	return &Controller{opts: opts, orderLife: min(opts.OrderTimeout, opts.LeaseTTL/4), weights: rate.NewLimiter(limit, max(1, opts.LoadBurst))}
 }
 
 func setDefault(d *time.Duration, value time.Duration) {
@@ -184,7 +184,7 @@
 	}
 	// The former holder may have sent its last order just before its lease
 	// lapsed; an engine that ignores fencing numbers would take it after ours.
-	wait(ctx, c.opts.OrderLife)
+	wait(ctx, c.opts.OrderTimeout)
 	for ctx.Err() == nil && lease.Remaining(time.Now()) > 0 {
 		c.step(ctx, t)
 		wait(ctx, c.opts.Tick)
