--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -70,11 +70,11 @@
 
 // Defaults of a Controller.
 const (
-	DefaultLeaseTTL  = 10 * time.Second
-	DefaultTick      = time.Second
-	DefaultOrderLife = 2 * time.Second
-	DefaultDownAfter = 3 * time.Second
-	DefaultPollQuiet = 5 * time.Second
+	DefaultLeaseTTL     = 10 * time.Second
+	DefaultTick         = time.Second
+	DefaultOrderTimeout = 2 * time.Second
+	DefaultDownAfter    = 3 * time.Second
+	DefaultPollQuiet    = 5 * time.Second
 )
 
 var (
@@ -103,7 +103,7 @@
 	setDefault(&opts.Tick, DefaultTick)
 	// With a longer life than this, part of the orders would fall into the time
 	// between two extensions when the lease has too little left for them.
-	setDefault(&opts.OrderTimeout, min(DefaultOrderLife, opts.LeaseTTL/5))
+	setDefault(&opts.OrderTimeout, min(DefaultOrderTimeout, opts.LeaseTTL/5))
 	setDefault(&opts.DownAfter, DefaultDownAfter)
 	setDefault(&opts.PollQuiet, DefaultPollQuiet)
 	if opts.Candidate == nil {
--- a/internal/grouping/fencing_test.go
+++ b/internal/grouping/fencing_test.go
@@ -189,8 +189,8 @@
 		}
 		require.False(t, last.IsZero())
 		require.False(t, first.IsZero())
-		require.True(t, taken.After(last.Add(DefaultOrderLife)))
-		require.GreaterOrEqual(t, first.Sub(taken), DefaultOrderLife)
+		require.True(t, taken.After(last.Add(DefaultOrderTimeout)))
+		require.GreaterOrEqual(t, first.Sub(taken), DefaultOrderTimeout)
 		n1.stop()
 		n2.stop()
 	})
