--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -58,10 +58,10 @@
 	// DownAfter is how long an engine must fail to answer before its VM counts
 	// as down; zero means DefaultDownAfter.
 	DownAfter time.Duration
-	// PollQuiet is how often an engine that is as it should be is asked; it bounds
+	// PollInterval is how often an engine that is as it should be is asked; it bounds
 	// how long one that ignores fencing numbers can be misled. Zero means
 	// DefaultPollQuiet.
-	PollQuiet time.Duration
+	PollInterval time.Duration
 	// LoadsPerSecond is how many VMs a second may start to read weights;
 	// zero means no bound. LoadBurst is how many may start at once.
 	LoadsPerSecond float64
@@ -105,7 +105,7 @@
 	// between two extensions when the lease has too little left for them.
 	setDefault(&opts.OrderTimeout, min(DefaultOrderTimeout, opts.LeaseTTL/5))
 	setDefault(&opts.DownAfter, DefaultDownAfter)
-	setDefault(&opts.PollQuiet, DefaultPollQuiet)
+	setDefault(&opts.PollInterval, DefaultPollQuiet)
 	if opts.Candidate == nil {
 		opts.Candidate = func() bool { return true }
 	}
--- a/internal/grouping/reconcile.go
+++ b/internal/grouping/reconcile.go
@@ -51,12 +51,12 @@
 		return true // its load has to be seen to end, and no digest tells
 	}
 	assigned := want.Replica != ""
-	quiet := now.Sub(view.asked) >= c.opts.PollQuiet
+	quiet := now.Sub(view.asked) >= c.opts.PollInterval
 	if assigned && c.opts.Wholeness != nil {
 		return true
 	}
 	if assigned && view.vm.ID != want.Serving {
-		return quiet && now.Sub(view.lastSeen) >= c.opts.PollQuiet+c.opts.DownAfter
+		return quiet && now.Sub(view.lastSeen) >= c.opts.PollInterval+c.opts.DownAfter
 	}
 	return quiet
 }
