--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -74,7 +74,7 @@
 	DefaultTick         = time.Second
 	DefaultOrderTimeout = 2 * time.Second
 	DefaultDownAfter    = 3 * time.Second
-	DefaultPollQuiet    = 5 * time.Second
+	DefaultPollInterval = 5 * time.Second
 )
 
 var (
@@ -105,7 +105,7 @@
 	// between two extensions when the lease has too little left for them.
 	setDefault(&opts.OrderTimeout, min(DefaultOrderTimeout, opts.LeaseTTL/5))
 	setDefault(&opts.DownAfter, DefaultDownAfter)
-	setDefault(&opts.PollInterval, DefaultPollQuiet)
+	setDefault(&opts.PollInterval, DefaultPollInterval)
 	if opts.Candidate == nil {
 		opts.Candidate = func() bool { return true }
 	}
--- a/internal/grouping/fencing_test.go
+++ b/internal/grouping/fencing_test.go
@@ -123,7 +123,7 @@
 	synctest.Wait()
 	require.Equal(t, checks, w.whole(replica), "the late order reaches only an engine that ignores fences")
 	// How long it can be misled: until the holder's next poll of the replica.
-	time.Sleep(DefaultPollQuiet + 2*DefaultTick)
+	time.Sleep(DefaultPollInterval + 2*DefaultTick)
 	synctest.Wait()
 	require.True(t, w.whole(replica))
 	require.Equal(t, []cluster.Replica{replica}, w.committed())
--- a/internal/grouping/repair_test.go
+++ b/internal/grouping/repair_test.go
@@ -165,7 +165,7 @@
 			}
 		}
 		w.setGroups(group)
-		time.Sleep(3 * (testLoadTime + 2*DefaultPollQuiet))
+		time.Sleep(3 * (testLoadTime + 2*DefaultPollInterval))
 		synctest.Wait()
 		require.Equal(t, before, w.committed())
 		require.Len(t, loading, 3)
