--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -26,9 +26,9 @@
 	Current() *rules.Set
 }
 
-// Wholeness is what the health checks of the zone's nodes know. The holder then
+// HealthChecks is what the health checks of the zone's nodes know. The holder then
 // need not ask the engines of whole replicas itself.
-type Wholeness interface {
+type HealthChecks interface {
 	Whole(id cluster.ReplicaID, generation int64) bool
 }
 
@@ -43,7 +43,7 @@
 	Engines   Engines
 	Policy    placement.Policy
 	Log       *slog.Logger
-	Wholeness Wholeness // may be nil
+	Wholeness HealthChecks // may be nil
 	// Candidate reports whether this node should try for the lease. Each try
 	// costs the store a call, so only a few nodes of a zone should; nil means yes.
 	Candidate func() bool
