--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -108,7 +108,7 @@
 		Duty: func(id cluster.ReplicaID) bool { return n.members.Duty("poll/"+string(id), 1) }})
 	n.controller = grouping.NewController(grouping.Options{
 		Zone: zone, Node: n.set.Node, Store: n.store, VMs: n.vms, Rules: n.rules, Engines: n.engines, Policy: placement.Weighted{},
-		Log: n.log, Wholeness: n.health, LeaseTTL: n.set.Control.PlacementLease,
+		Log: n.log, Health: n.health, LeaseTTL: n.set.Control.PlacementLease,
 		Candidate:      func() bool { return n.members.Duty("place", placementCandidates) },
 		LoadsPerSecond: n.set.Control.LoadsPerMinute / time.Minute.Seconds(), LoadBurst: loadBurst,
 	})
--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -35,15 +35,15 @@
 // Options sets up a Controller. Zone, Node, Store, VMs, Rules, Engines, Policy
 // and Log are required.
 type Options struct {
-	Zone      cluster.ZoneID
-	Node      cluster.NodeID
-	Store     store.Store
-	VMs       VMSource
-	Rules     Rules
-	Engines   Engines
-	Policy    placement.Policy
-	Log       *slog.Logger
-	Wholeness HealthChecks // may be nil
+	Zone    cluster.ZoneID
+	Node    cluster.NodeID
+	Store   store.Store
+	VMs     VMSource
+	Rules   Rules
+	Engines Engines
+	Policy  placement.Policy
+	Log     *slog.Logger
+	Health  HealthChecks // may be nil
 	// Candidate reports whether this node should try for the lease. Each try
 	// costs the store a call, so only a few nodes of a zone should; nil means yes.
 	Candidate func() bool
--- a/internal/grouping/reconcile.go
+++ b/internal/grouping/reconcile.go
@@ -39,7 +39,7 @@
 }
 
 func (c *Controller) wholeAsWanted(view *engineView, r cluster.Replica, want engine.Assignment) bool {
-	return c.opts.Wholeness != nil && c.opts.Wholeness.Whole(r.ID, r.Generation) &&
+	return c.opts.Health != nil && c.opts.Health.Whole(r.ID, r.Generation) &&
 		view.known && view.state.Loaded && orderFor(view.state.Assignment, want, true) == ""
 }
 
@@ -52,7 +52,7 @@
 	}
 	assigned := want.Replica != ""
 	quiet := now.Sub(view.asked) >= c.opts.PollInterval
-	if assigned && c.opts.Wholeness != nil {
+	if assigned && c.opts.Health != nil {
 		return true
 	}
 	if assigned && view.vm.ID != want.Serving {
