--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -99,10 +99,10 @@
 	n.engines = engine.NewClient(n.set.Platform.Timeout)
 	n.prober = engine.NewProber(gateway.DefaultProbeTimeout)
 	n.table = grouping.NewTable(grouping.TableOptions{Zone: zone, Store: n.store, Log: n.log, Peers: peerFetcher{n},
-		Watches: func() bool { return n.members.Duty("watch-grouping", watchersPerZone) }})
+		ShouldWatch: func() bool { return n.members.Duty("watch-grouping", watchersPerZone) }})
 	for _, neighbor := range n.set.Control.NeighborZones {
 		n.neighbors = append(n.neighbors, grouping.NewTable(grouping.TableOptions{Zone: neighbor, Store: n.store, Log: n.log,
-			Peers: peerFetcher{n}, Watches: func() bool { return false }}))
+			Peers: peerFetcher{n}, ShouldWatch: func() bool { return false }}))
 	}
 	n.health = health.New(health.Options{Engines: n.engines, Log: n.log, Bounds: health.BoundsWithin(n.set.Control.ConfirmWithin),
 		Duty: func(id cluster.ReplicaID) bool { return n.members.Duty("poll/"+string(id), 1) }})
--- a/internal/grouping/table.go
+++ b/internal/grouping/table.go
@@ -36,9 +36,9 @@
 	// Peers is asked while the store is silent, and instead of the store on
 	// nodes that do not watch; may be nil.
 	Peers Peers
-	// Watches reports whether this node watches the store itself. The store
+	// ShouldWatch reports whether this node watches the store itself. The store
 	// counts each watch, so only a few nodes of a zone should; nil means yes.
-	Watches func() bool
+	ShouldWatch func() bool
 	// Retry is the pause after a failed read, before jitter; zero means DefaultRetry.
 	Retry time.Duration
 	// HeadCheck is the time between two comparisons with the zone's head key,
@@ -76,8 +76,8 @@
 	if opts.HeadCheck <= 0 {
 		opts.HeadCheck = DefaultHeadCheck
 	}
-	if opts.Watches == nil {
-		opts.Watches = func() bool { return true }
+	if opts.ShouldWatch == nil {
+		opts.ShouldWatch = func() bool { return true }
 	}
 	return &Table{opts: opts, current: cluster.Grouping{Zone: opts.Zone}, ready: make(chan struct{})}
 }
@@ -144,7 +144,7 @@
 // Run keeps the table up to date until ctx ends.
 func (t *Table) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if t.opts.Watches() || t.opts.Peers == nil {
+		if t.opts.ShouldWatch() || t.opts.Peers == nil {
 			if err := t.follow(ctx); err != nil && ctx.Err() == nil {
 				t.opts.Log.Warn("grouping watch ended", "zone", t.opts.Zone, "error", err)
 			}
