--- a/internal/grouping/table.go
+++ b/internal/grouping/table.go
@@ -39,8 +39,8 @@
 	// ShouldWatch reports whether this node watches the store itself. The store
 	// counts each watch, so only a few nodes of a zone should; nil means yes.
 	ShouldWatch func() bool
-	// Retry is the pause after a failed read, before jitter; zero means DefaultRetry.
-	Retry time.Duration
+	// RetryInterval is the pause after a failed read, before jitter; zero means DefaultRetry.
+	RetryInterval time.Duration
 	// HeadCheck is the time between two comparisons with the zone's head key,
 	// which show a watch that skipped an event; zero means DefaultHeadCheck.
 	HeadCheck time.Duration
@@ -70,8 +70,8 @@
 
 // NewTable returns an empty Table; Run fills it.
 func NewTable(opts TableOptions) *Table {
-	if opts.Retry <= 0 {
-		opts.Retry = DefaultRetry
+	if opts.RetryInterval <= 0 {
+		opts.RetryInterval = DefaultRetry
 	}
 	if opts.HeadCheck <= 0 {
 		opts.HeadCheck = DefaultHeadCheck
@@ -150,7 +150,7 @@
 			}
 		}
 		t.askPeers(ctx)
-		pause(ctx, t.opts.Retry)
+		pause(ctx, t.opts.RetryInterval)
 	}
 }
 
