--- a/internal/grouping/table.go
+++ b/internal/grouping/table.go
@@ -48,9 +48,9 @@
 
 // Defaults of a Table.
 const (
-	DefaultRetry     = time.Second
-	DefaultHeadCheck = 10 * time.Second
-	readTimeout      = 5 * time.Second
+	DefaultRetryInterval = time.Second
+	DefaultHeadCheck     = 10 * time.Second
+	readTimeout          = 5 * time.Second
 )
 
 // Table is a node's view of one zone's committed grouping. It serves from memory
@@ -71,7 +71,7 @@
 // NewTable returns an empty Table; Run fills it.
 func NewTable(opts TableOptions) *Table {
 	if opts.RetryInterval <= 0 {
-		opts.RetryInterval = DefaultRetry
+		opts.RetryInterval = DefaultRetryInterval
 	}
 	if opts.HeadCheck <= 0 {
 		opts.HeadCheck = DefaultHeadCheck
