--- a/internal/grouping/table.go
+++ b/internal/grouping/table.go
@@ -41,9 +41,9 @@
 	ShouldWatch func() bool
 	// RetryInterval is the pause after a failed read, before jitter; zero means DefaultRetry.
 	RetryInterval time.Duration
-	// HeadCheck is the time between two comparisons with the zone's head key,
+	// HeadCheckInterval is the time between two comparisons with the zone's head key,
 	// which show a watch that skipped an event; zero means DefaultHeadCheck.
-	HeadCheck time.Duration
+	HeadCheckInterval time.Duration
 }
 
 // Defaults of a Table.
@@ -73,8 +73,8 @@
 	if opts.RetryInterval <= 0 {
 		opts.RetryInterval = DefaultRetryInterval
 	}
-	if opts.HeadCheck <= 0 {
-		opts.HeadCheck = DefaultHeadCheck
+	if opts.HeadCheckInterval <= 0 {
+		opts.HeadCheckInterval = DefaultHeadCheck
 	}
 	if opts.ShouldWatch == nil {
 		opts.ShouldWatch = func() bool { return true }
@@ -184,7 +184,7 @@
 	if err != nil {
 		return err
 	}
-	check := time.NewTicker(t.opts.HeadCheck)
+	check := time.NewTicker(t.opts.HeadCheckInterval)
 	defer check.Stop()
 	for {
 		select {
