--- a/internal/grouping/table.go
+++ b/internal/grouping/table.go
@@ -48,9 +48,9 @@
 
 // Defaults of a Table.
 const (
-	DefaultRetryInterval = time.Second
-	DefaultHeadCheck     = 10 * time.Second
-	readTimeout          = 5 * time.Second
+	DefaultRetryInterval     = time.Second
+	DefaultHeadCheckInterval = 10 * time.Second
+	readTimeout              = 5 * time.Second
 )
 
 // Table is a node's view of one zone's committed grouping. It serves from memory
@@ -74,7 +74,7 @@
 		opts.RetryInterval = DefaultRetryInterval
 	}
 	if opts.HeadCheckInterval <= 0 {
-		opts.HeadCheckInterval = DefaultHeadCheck
+		opts.HeadCheckInterval = DefaultHeadCheckInterval
 	}
 	if opts.ShouldWatch == nil {
 		opts.ShouldWatch = func() bool { return true }
--- a/internal/grouping/table_test.go
+++ b/internal/grouping/table_test.go
@@ -136,7 +136,7 @@
 		<-table.Ready()
 		n := w.start("n1", nil)
 		replicas := w.settle(1)
-		time.Sleep(DefaultHeadCheck + 2*DefaultRetryInterval)
+		time.Sleep(DefaultHeadCheckInterval + 2*DefaultRetryInterval)
 		synctest.Wait()
 		require.Equal(t, replicas, table.Current().Replicas)
 		n.stop()
