--- a/internal/grouping/table.go
+++ b/internal/grouping/table.go
@@ -217,11 +217,11 @@
 	return nil
 }
 
-// SkippedError says that the watch did not bring what the head key shows.
-type SkippedError struct{ Revision, HeadRevision int64 }
+// WatchGapError says that the watch did not bring what the head key shows.
+type WatchGapError struct{ Revision, HeadRevision int64 }
 
 // Error implements error.
-func (e *SkippedError) Error() string {
+func (e *WatchGapError) Error() string {
 	return fmt.Sprintf("grouping: watch skipped events: have revision %d, head is at %d", e.Revision, e.HeadRevision)
 }
 
@@ -241,7 +241,7 @@
 	}
 	current := t.Current()
 	if kv.ModRevision > current.Revision || head.Digest != tableDigest(current.Replicas) {
-		return &SkippedError{Revision: current.Revision, HeadRevision: kv.ModRevision}
+		return &WatchGapError{Revision: current.Revision, HeadRevision: kv.ModRevision}
 	}
 	return nil
 }
