--- a/internal/grouping/commit.go
+++ b/internal/grouping/commit.go
@@ -26,9 +26,9 @@
 const (
 	// CommitLeaseLost: another node holds or held the lease since.
 	CommitLeaseLost CommitErrorKind = "lease-lost"
-	// CommitOvertaken: the table is not as it was read, though the lease holds:
+	// CommitConflict: the table is not as it was read, though the lease holds:
 	// an earlier write of this holder took effect late.
-	CommitOvertaken CommitErrorKind = "overtaken"
+	CommitConflict CommitErrorKind = "overtaken"
 	// CommitNotApplied: the answer was lost and the write is not in the store (yet).
 	CommitNotApplied CommitErrorKind = "not-applied"
 	// CommitFailed: the store refused or could not be reached.
@@ -159,7 +159,7 @@
 
 func (c *committer) refused(result store.TxnResult) error {
 	if len(result.Gets) == 1 && result.Gets[0] != nil && result.Gets[0].CreateRevision == int64(c.lease.Fence()) {
-		return &CommitError{Kind: CommitOvertaken, Err: errors.New("table moved")}
+		return &CommitError{Kind: CommitConflict, Err: errors.New("table moved")}
 	}
 	return &CommitError{Kind: CommitLeaseLost, Err: errors.New("lease key changed")}
 }
