--- a/internal/grouping/commit.go
+++ b/internal/grouping/commit.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	c.assignments, c.mod, c.headMod = assignments, read.Mod, 0
+	c.assignments, c.mod, c.headMod = assignments, read.ModRevisions, 0
 	if head != nil {
 		c.headMod = head.ModRevision
 	}
--- a/internal/grouping/table.go
+++ b/internal/grouping/table.go
@@ -283,8 +283,8 @@
 
 // Committed is a consistent read of a zone's replicas with their mod revisions.
 type Committed struct {
-	Grouping cluster.Grouping
-	Mod      map[cluster.ReplicaID]int64
+	Grouping     cluster.Grouping
+	ModRevisions map[cluster.ReplicaID]int64
 }
 
 // Read reads a zone's committed replicas at the newest revision.
@@ -296,8 +296,8 @@
 		return Committed{}, err
 	}
 	read := Committed{
-		Grouping: cluster.Grouping{Zone: zone, Revision: result.Revision, Replicas: make([]cluster.Replica, 0, len(result.KVs))},
-		Mod:      make(map[cluster.ReplicaID]int64, len(result.KVs)),
+		Grouping:     cluster.Grouping{Zone: zone, Revision: result.Revision, Replicas: make([]cluster.Replica, 0, len(result.KVs))},
+		ModRevisions: make(map[cluster.ReplicaID]int64, len(result.KVs)),
 	}
 	for _, kv := range result.KVs {
 		r, err := decodeReplica(kv)
@@ -305,7 +305,7 @@
 			return Committed{}, err
 		}
 		read.Grouping.Replicas = append(read.Grouping.Replicas, r)
-		read.Mod[r.ID] = kv.ModRevision
+		read.ModRevisions[r.ID] = kv.ModRevision
 	}
 	return read, nil
 }
