--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet holds what is known of the backend servers where a list tells of
-// every change of theirs: which there are, which replicas they form, and which of
-// these may take requests.
+// Package fleet models the backend servers registered in the store, the replicas they form and
+// which of those replicas may take requests. It also keeps a local mirror of the store.
 package fleet
 
 import (
@@ -16,11 +15,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// State is a member's part in its replica, as the member says it.
+// State is a member's state within its replica, as reported by the member.
 type State string
 
-// States of a member. Only a serving member (rank 0) is ever Open or Closing;
-// Broken is said by a serving member that lost another.
+// Member states. Only the serving member (rank 0) is ever Open or Closing. A serving member
+// reports Broken after it has lost another member.
 const (
 	Joining State = "joining"
 	Ready   State = "ready"
@@ -29,39 +28,40 @@
 	Broken  State = "broken"
 )
 
-// Membership ties a VM to a replica.
+// Membership assigns a VM to a replica.
 type Membership struct {
-	// Replica and Epoch name one attempt to form a replica. A later epoch replaces
-	// an earlier one, whatever the name.
+	// Replica and Epoch identify one attempt to form a replica. A later epoch supersedes an
+	// earlier one, whatever the replica's name.
 	Replica string
 	Epoch   int64
-	// Rank is the VM's place in the list of members; rank 0 serves.
+	// Rank is the VM's index in the member list; rank 0 serves.
 	Rank  int
 	State State
 }
 
-// Server is one VM that hosts a model engine or a plain service, as listed.
+// Server is the store entry of one VM that hosts a model engine or a plain service.
 type Server struct {
 	ID      cluster.VMID
 	Service cluster.Service
 	Addr    string
 	Zone    cluster.ZoneID
 	Domain  cluster.DomainID
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots int
-	// Draining servers take no new work and leave soon.
+	// Draining servers take no new work and are about to shut down.
 	Draining bool
-	// StartedAt is the start of the process; an id may come again with another one.
+	// StartedAt is the start time of the process. It tells apart two processes that use the
+	// same ID.
 	StartedAt time.Time
-	// Staged are the models whose weights the VM's host keeps.
+	// Staged lists the models whose weights are cached on the VM's host.
 	Staged []string
-	// Model is what it has loaded; empty if nothing.
+	// Model is the loaded model; empty if none.
 	Model string
-	// Membership is nil for a VM that no replica holds.
+	// Membership is nil for a VM that belongs to no replica.
 	Membership *Membership
 }
 
-// Equal reports whether two entries say the same of one server.
+// Equal reports whether two entries describe the same state of the same server.
 func (s Server) Equal(o Server) bool {
 	if s.ID != o.ID || s.Service != o.Service || s.Addr != o.Addr || s.Zone != o.Zone || s.Domain != o.Domain || s.Slots != o.Slots {
 		return false
@@ -80,49 +80,49 @@
 	return s.Membership != nil && ReplicaID(s.Membership.Replica, s.Membership.Epoch) == id
 }
 
-// List is all servers, ordered by id, as of a revision of the store.
+// List is a snapshot of all servers, ordered by ID, at a store revision.
 type List struct {
 	Revision int64
-	// ChangedRevision is the revision at which Servers last became another list; zero where that
-	// is not known. Lists of one process with the same one say the same.
+	// ChangedRevision is the store revision at which Servers last changed; zero if unknown.
+	// Lists built by the same process with the same ChangedRevision have the same contents.
 	ChangedRevision int64
-	// ReadAt is when the list was last confirmed, by this process's clock.
+	// ReadAt is the local time at which the list was last confirmed.
 	ReadAt  time.Time
 	Servers []Server
 }
 
-// SameServers reports whether two lists say the same, whatever their revisions.
+// SameServers reports whether two lists have the same contents, whatever their revisions.
 func (l List) SameServers(o List) bool { return slices.EqualFunc(l.Servers, o.Servers, Server.Equal) }
 
-// Find returns the server with the id, or nil.
+// Find returns the server with the given ID, or nil.
 func (l List) Find(id cluster.VMID) *Server {
-	at, ok := slices.BinarySearchFunc(l.Servers, id, func(s Server, id cluster.VMID) int { return cmp.Compare(s.ID, id) })
+	i, ok := slices.BinarySearchFunc(l.Servers, id, func(s Server, id cluster.VMID) int { return cmp.Compare(s.ID, id) })
 	if !ok {
 		return nil
 	}
-	return &l.Servers[at]
+	return &l.Servers[i]
 }
 
-// Replica is one replica as its members' entries show it.
+// Replica is a replica as described by its members' entries.
 type Replica struct {
 	Name  string
 	Epoch int64
 	Model string
-	// Size is the number of members that the model asks for.
+	// Size is the number of members that the model requires.
 	Size int
-	// Members are those listed, by rank. Some may be missing.
+	// Members are the listed members, ordered by rank. Some may be missing.
 	Members []Server
 }
 
-// ID names the replica: another epoch is another replica.
+// ID returns the replica's ID. It includes the epoch, so each epoch is a separate replica.
 func (r *Replica) ID() cluster.ReplicaID { return ReplicaID(r.Name, r.Epoch) }
 
-// ReplicaID is the id of a replica's name and epoch.
+// ReplicaID builds a replica ID from a name and an epoch.
 func ReplicaID(name string, epoch int64) cluster.ReplicaID {
 	return cluster.ReplicaID(name + "." + strconv.FormatInt(epoch, 10))
 }
 
-// Head is the serving member, nil while it is not listed.
+// Head returns the serving member, or nil while it is not listed.
 func (r *Replica) Head() *Server {
 	if len(r.Members) > 0 && r.Members[0].Membership.Rank == 0 {
 		return &r.Members[0]
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// State is what the serving member says; empty while it is not listed.
+// State returns the state of the serving member; empty while it is not listed.
 func (r *Replica) State() State {
 	if head := r.Head(); head != nil {
 		return head.Membership.State
@@ -138,7 +138,7 @@
 	return ""
 }
 
-// Complete reports whether every member is listed, and none is leaving.
+// Complete reports whether every member is listed and none is draining.
 func (r *Replica) Complete() bool {
 	if len(r.Members) != r.Size || r.Size == 0 {
 		return false
@@ -151,7 +151,7 @@
 	return true
 }
 
-// Formed reports whether every member has come to be ready under this name and epoch.
+// Formed reports whether the replica is complete and no member is joining or broken.
 func (r *Replica) Formed() bool {
 	if !r.Complete() {
 		return false
@@ -167,10 +167,10 @@
 // Serves reports whether the replica may take requests.
 func (r *Replica) Serves() bool { return r.State() == Open && r.Formed() }
 
-// MayKeepServing reports whether a replica that served complete may go on taking
-// requests. A member that is not listed any more may be cut off from the store
-// alone, and work on; if it is lost, the replica stands still, which shows sooner
-// than the list does. A head that is not listed takes no more requests.
+// MayKeepServing reports whether a replica that was serving with all members may keep taking
+// requests. A member that is no longer listed may only be partitioned from the store and still
+// be working. If it is really lost, the replica stalls, which is detected sooner than the list
+// changes. A replica whose head is not listed takes no more requests.
 func (r *Replica) MayKeepServing() bool {
 	if r.State() != Open {
 		return false
@@ -183,9 +183,9 @@
 	return true
 }
 
-// Replicas derives the replicas from the list. The name of a replica says which
-// model it was made for (see Name), so that one whose members have not loaded yet
-// is known too. Replicas of a model without a group rule have size 0.
+// Replicas derives the replicas from the list. A replica's name contains its model (see
+// ReplicaName), so the model is known even before any member has loaded it. Replicas of a model
+// without a group rule have size 0.
 func Replicas(l List, groups []rules.Group) []Replica {
 	type attempt struct {
 		name  string
@@ -201,7 +201,7 @@
 		r := attempts[attempt{m.Replica, m.Epoch}]
 		if r == nil {
 			r = &Replica{Name: m.Replica, Epoch: m.Epoch, Model: ModelOf(m.Replica)}
-			r.Size = sizeOf(groups, r.Model)
+			r.Size = groupSize(groups, r.Model)
 			r.Members = make([]Server, 0, r.Size)
 			attempts[attempt{m.Replica, m.Epoch}] = r
 			byID[r.ID()] = r
@@ -217,22 +217,22 @@
 	return out
 }
 
-// nameSeparator stands between a replica's model and its number.
+// nameSeparator separates the model from the number in a replica name.
 const nameSeparator = "/"
 
-// ReplicaName returns the name of the n-th replica of a model that a holder forms.
+// ReplicaName returns the name of the n-th replica of a model.
 func ReplicaName(model string, n int64) string { return fmt.Sprintf("%s%s%d", model, nameSeparator, n) }
 
-// ModelOf returns the model of a replica's name; empty for a name not made by Name.
+// ModelOf returns the model in a replica name; empty if ReplicaName did not build the name.
 func ModelOf(name string) string {
-	at := strings.LastIndex(name, nameSeparator)
-	if at < 0 {
+	i := strings.LastIndex(name, nameSeparator)
+	if i < 0 {
 		return ""
 	}
-	return name[:at]
+	return name[:i]
 }
 
-func sizeOf(groups []rules.Group, model string) int {
+func groupSize(groups []rules.Group, model string) int {
 	for i := range groups {
 		if groups[i].Model == model {
 			return groups[i].VMs
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -11,37 +11,37 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Feed brings another node's copy of the store; it is a *feed.Follower.
+// Feed streams another node's copy of the store; *feed.Follower implements it.
 type Feed interface {
-	// Follow passes batches on, the first with all entries, until the feed fails. It
-	// reports whether any came.
-	Follow(ctx context.Context, take func(batch store.WatchBatch, first bool)) (served bool)
+	// Follow passes batches to apply until the feed fails. The first batch holds all entries.
+	// Follow reports whether any batch was received.
+	Follow(ctx context.Context, apply func(batch store.WatchBatch, first bool)) (served bool)
 }
 
-// feedStart is how long a node that starts waits for its feed: all nodes may have
-// started together, and each would read the whole store.
-const feedStart = 1500 * time.Millisecond
+// feedStartTimeout is how long a starting node waits for its feed before it reads the store
+// itself. When all nodes start together, each of them would otherwise read the whole store.
+const feedStartTimeout = 1500 * time.Millisecond
 
-// errFeedIsBack ends a node's own watch for another try of its feed.
-var errFeedIsBack = errors.New("the feed is tried again")
+// errRetryFeed ends a node's own watch so that it tries its feed again.
+var errRetryFeed = errors.New("switching back to the feed")
 
-// ownWatchFor is how long a node that has a feed watches the store itself before
-// it tries the feed again.
-const ownWatchFor = 4 * time.Second
+// feedRetryInterval is how long a node with a feed watches the store itself before it tries the
+// feed again.
+const feedRetryInterval = 4 * time.Second
 
-func (m *Mirror) feedTimer() <-chan time.Time {
+func (m *Mirror) feedRetryTimer() <-chan time.Time {
 	if m.feed == nil {
 		return nil
 	}
-	return time.After(ownWatchFor)
+	return time.After(feedRetryInterval)
 }
 
-// takeFeed applies a batch of the feed; the first has all entries.
-func (m *Mirror) takeFeed(batch store.WatchBatch, first bool) {
+// applyFeed applies a batch of the feed; the first one holds all entries.
+func (m *Mirror) applyFeed(batch store.WatchBatch, first bool) {
 	if !first {
 		m.apply(batch)
-		if wait, held := m.lapseWait(); held && wait <= 0 {
-			m.dropLapsed()
+		if wait, pending := m.graceRemaining(); pending && wait <= 0 {
+			m.dropExpired()
 		}
 		return
 	}
@@ -52,29 +52,30 @@
 	m.replace(fresh, batch.Revision)
 }
 
-// followerQueue is how many batches wait for a follower before it is given up.
-const followerQueue = 256
+// followerQueueSize is the number of batches queued for a follower before it is dropped.
+const followerQueueSize = 256
 
-// wantedFor is how long after another node asked the copy is kept fresh for it.
-const wantedFor = 5 * time.Second
+// requestWindow is how long the copy is kept fresh after another node's last request for it.
+const requestWindow = 5 * time.Second
 
-// MarkRequested says that another node follows this copy, or would.
-func (m *Mirror) MarkRequested() { m.wantedAt.Store(time.Now().UnixNano()) }
+// MarkRequested records that another node follows this copy or asks to follow it.
+func (m *Mirror) MarkRequested() { m.requestedAt.Store(time.Now().UnixNano()) }
 
-// RecentlyRequested reports whether another node has asked for this copy lately.
+// RecentlyRequested reports whether another node asked for this copy within requestWindow.
 func (m *Mirror) RecentlyRequested() bool {
-	return time.Since(time.Unix(0, m.wantedAt.Load())) < wantedFor
+	return time.Since(time.Unix(0, m.requestedAt.Load())) < requestWindow
 }
 
-// Follow returns all entries below the prefixes that the store has confirmed, and a
-// channel that gets each change after them until ctx ends or the reader falls behind.
+// Follow returns all entries below the prefixes that the store has confirmed, and a channel
+// that receives each later change until ctx ends. The channel is closed if the reader falls
+// behind.
 func (m *Mirror) Follow(ctx context.Context, prefixes []string) (store.WatchBatch, <-chan store.WatchBatch) {
-	changes := make(chan store.WatchBatch, followerQueue)
+	changes := make(chan store.WatchBatch, followerQueueSize)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	first := store.WatchBatch{Revision: m.revision}
 	for key, kv := range m.entries {
-		if _, lapsed := m.lapsed[key]; !lapsed && hasAnyPrefix(key, prefixes) {
+		if _, expired := m.expired[key]; !expired && hasAnyPrefix(key, prefixes) {
 			first.Events = append(first.Events, store.Event{KV: kv})
 		}
 	}
@@ -87,9 +88,9 @@
 	return first, changes
 }
 
-// tellFollowers passes changes on; the caller holds m.mu. A follower whose queue is
-// full is given up: it watches the store itself, or starts anew.
-func (m *Mirror) tellFollowers(batch store.WatchBatch) {
+// notifyFollowers sends changes to the followers; the caller holds m.mu. A follower whose queue
+// is full is dropped: it then watches the store itself or follows again from a new snapshot.
+func (m *Mirror) notifyFollowers(batch store.WatchBatch) {
 	for changes, prefixes := range m.followers {
 		part := store.WatchBatch{Revision: batch.Revision}
 		for _, ev := range batch.Events {
@@ -110,8 +111,9 @@
 	return slices.ContainsFunc(prefixes, func(p string) bool { return strings.HasPrefix(key, p) })
 }
 
-// tellDifference passes on what a new reading brings; the caller holds m.mu.
-func (m *Mirror) tellDifference(fresh map[string]store.KV, revision int64) {
+// notifyDifference sends the followers the changes between the current entries and a new read;
+// the caller holds m.mu.
+func (m *Mirror) notifyDifference(fresh map[string]store.KV, revision int64) {
 	batch := store.WatchBatch{Revision: revision}
 	for key, kv := range fresh {
 		if kv.ModRevision != m.entries[key].ModRevision {
@@ -119,9 +121,9 @@
 		}
 	}
 	for key := range m.entries {
-		if _, there := fresh[key]; !there {
+		if _, ok := fresh[key]; !ok {
 			batch.Events = append(batch.Events, store.Event{Type: store.EventDelete, KV: store.KV{Key: key, ModRevision: revision}})
 		}
 	}
-	m.tellFollowers(batch)
+	m.notifyFollowers(batch)
 }
--- a/internal/fleet/mirror.go
+++ b/internal/fleet/mirror.go
@@ -17,80 +17,81 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Times of a Mirror.
+// Timing parameters of a Mirror.
 const (
-	// retryPause is between two tries while the store does not answer. A store
-	// that is down is not helped by more.
-	retryPause = 300 * time.Millisecond
-	// retryMost bounds it for nodes that have a feed. They are many, and find the feed
-	// again once the nodes that feed them reach the store.
-	retryMost = 1500 * time.Millisecond
-	// readTimeout bounds one read: a healthy store answers in milliseconds, a slow
-	// one in a few hundred.
+	// retryInterval is the pause between attempts while the store does not answer. More
+	// frequent attempts would only add load to a failing store.
+	retryInterval = 300 * time.Millisecond
+	// maxFeedRetryInterval bounds the backoff on nodes that have a feed. There are many of
+	// them, and they recover through the feed as soon as the nodes that serve it reach the
+	// store.
+	maxFeedRetryInterval = 1500 * time.Millisecond
+	// readTimeout bounds one read. A healthy store answers within milliseconds, a slow one
+	// within a few hundred.
 	readTimeout = 2 * time.Second
-	// lapseGrace is how long after the store's return an entry may still be
-	// missing that lapsed meanwhile; the users' letter gives about two seconds.
-	lapseGrace = 2500 * time.Millisecond
-	// awayAfter is how long the store must have been silent for entries to lapse:
-	// less than the shortest heartbeat interval in use.
-	awayAfter = time.Second
+	// expiryGracePeriod is how long an entry that expired during a store outage is kept after
+	// the store recovers. Live servers are required to be listed again within about two seconds.
+	expiryGracePeriod = 2500 * time.Millisecond
+	// outageThreshold is the silence of the store, beyond watchIdleInterval, after which
+	// entries may have expired because they could not be renewed. It is shorter than the
+	// shortest heartbeat interval in use.
+	outageThreshold = time.Second
 )
 
-// Source reads a prefix of the store.
+// Source reads and watches keys of the store by prefix.
 type Source interface {
 	Range(ctx context.Context, prefix string, opts store.RangeOptions) (store.RangeResult, error)
 	Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error)
 }
 
-// View is a part of the store that a Mirror tells of. OnChange gets a copy of the
-// entries below Prefix after each change of one of them, in order, from one
-// goroutine at a time.
+// View selects the part of the store below Prefix. OnChange receives a copy of its entries
+// after each change of one of them, in order and never concurrently.
 type View struct {
 	Prefix   string
 	OnChange func(entries map[string]store.KV, revision int64)
 }
 
-// Mirror keeps a copy of the keys below the prefixes of its views and tells of each
-// change. It follows all of them by one watch: the store counts each call, and one
-// that waits for three prefixes costs as much as one that waits for one.
+// Mirror keeps a copy of the keys below the prefixes of its views and notifies the views of
+// changes. One watch covers all views, because the store counts calls: a watch on three
+// prefixes costs as much as a watch on one.
 //
-// While the store is away it keeps what it has. Entries that are missing when the
-// store returns may have lapsed only because nobody could renew them; dropping
-// them at once would empty the list of servers that are alive. So they are kept
-// for lapseGrace after the return.
+// During a store outage the Mirror keeps its entries. Entries missing after recovery may have
+// expired only because their leases could not be renewed. Dropping them at once would empty the
+// list of servers that are alive, so they are kept for expiryGracePeriod.
 type Mirror struct {
 	views  []View
 	source Source
 	feed   Feed // may be nil
-	// wantedAt is when another node last asked for this copy, in Unix nanoseconds.
-	wantedAt atomic.Int64
-	log      *slog.Logger
-	// away is true while the store does not answer this node; used by Run's goroutine.
-	away bool
+	// requestedAt is when another node last asked for this copy, in Unix nanoseconds.
+	requestedAt atomic.Int64
+	log         *slog.Logger
+	// disconnected is true while the store does not answer this node; only Run's goroutine uses
+	// it.
+	disconnected bool
 
-	telling  sync.Mutex
+	notifyMu sync.Mutex
 	mu       sync.Mutex
 	entries  map[string]store.KV
-	lapsed   map[string]struct{}
+	expired  map[string]struct{}
 	revision int64
 	loaded   bool
-	// heardAt is the last answer of the store.
-	heardAt time.Time
-	// returnedAt is when the store came back from its last absence.
-	returnedAt time.Time
-	// followers are the other nodes that this copy is passed on to, with what they
-	// asked for.
+	// lastContact is the time of the store's last answer.
+	lastContact time.Time
+	// recoveredAt is when the store last recovered from an outage.
+	recoveredAt time.Time
+	// followers maps the channels of the nodes that follow this copy to the prefixes they
+	// follow.
 	followers map[chan store.WatchBatch][]string
 }
 
-// NewMirror returns a Mirror with the views; Run fills it, from the feed while that
-// serves, else from the source. The feed may be nil.
+// NewMirror returns a Mirror with the given views. Run fills it from the feed while that is
+// available, and from the source otherwise. The feed may be nil.
 func NewMirror(source Source, feed Feed, log *slog.Logger, views ...View) *Mirror {
-	return &Mirror{views: views, source: source, feed: feed, log: log, followers: make(map[chan store.WatchBatch][]string), entries: make(map[string]store.KV), lapsed: make(map[string]struct{})}
+	return &Mirror{views: views, source: source, feed: feed, log: log, followers: make(map[chan store.WatchBatch][]string), entries: make(map[string]store.KV), expired: make(map[string]struct{})}
 }
 
-// common is the longest prefix that all views share.
-func (m *Mirror) common() string {
+// commonPrefix returns the longest prefix that all views share.
+func (m *Mirror) commonPrefix() string {
 	prefix := m.views[0].Prefix
 	for _, v := range m.views[1:] {
 		for !strings.HasPrefix(v.Prefix, prefix) {
@@ -100,8 +101,8 @@
 	return prefix
 }
 
-// viewed reports whether a view holds the key.
-func (m *Mirror) viewed(key string) bool {
+// covers reports whether the key belongs to a view.
+func (m *Mirror) covers(key string) bool {
 	return slices.ContainsFunc(m.views, func(v View) bool { return strings.HasPrefix(key, v.Prefix) })
 }
 
@@ -109,97 +110,97 @@
 
 // Run follows the store until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
-	retry := clock.Backoff{Least: retryPause, Most: retryPause}
+	retry := clock.Backoff{Least: retryInterval, Most: retryInterval}
 	if m.feed != nil {
-		retry.Most = retryMost
+		retry.Most = maxFeedRetryInterval
 	}
 	started := time.Now()
-	var readAt time.Time // when the store is read next
+	var nextRead time.Time // earliest time of the next read of the store
 	for ctx.Err() == nil {
-		if m.feed != nil && m.feed.Follow(ctx, m.takeFeed) {
+		if m.feed != nil && m.feed.Follow(ctx, m.applyFeed) {
 			continue
 		}
-		if m.feed != nil && time.Since(started) < feedStart {
-			clock.Pause(ctx, retryPause)
+		if m.feed != nil && time.Since(started) < feedStartTimeout {
+			clock.Pause(ctx, retryInterval)
 			continue
 		}
-		if wait := time.Until(readAt); wait > 0 {
-			clock.Pause(ctx, min(retryPause, wait))
+		if wait := time.Until(nextRead); wait > 0 {
+			clock.Pause(ctx, min(retryInterval, wait))
 			continue
 		}
-		err := m.follow(ctx, &retry)
+		err := m.followStore(ctx, &retry)
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errFeedIsBack) {
+		if errors.Is(err, errRetryFeed) {
 			continue
 		}
 		if e, ok := errors.Into[*store.Error](err); ok && e.Kind == store.Compacted {
-			m.log.Info("store history gone", "revision", m.Revision())
+			m.log.Info("store history compacted; reloading", "revision", m.Revision())
 			continue
 		}
-		if !m.away {
+		if !m.disconnected {
 			m.log.Warn("dependency lost", "dependency", "store", "err", err.Error())
 		}
-		m.away = true
-		readAt = time.Now().Add(retry.Next())
+		m.disconnected = true
+		nextRead = time.Now().Add(retry.Next())
 	}
 }
 
-// follow reads the entries and applies changes until the watch fails.
-func (m *Mirror) follow(ctx context.Context, retry *clock.Backoff) error {
+// followStore reads all entries and applies changes until the watch fails.
+func (m *Mirror) followStore(ctx context.Context, retry *clock.Backoff) error {
 	if err := m.reload(ctx); err != nil {
 		return err
 	}
-	if m.away {
-		m.away = false
+	if m.disconnected {
+		m.disconnected = false
 		m.log.Info("dependency regained", "dependency", "store")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	batches, err := m.source.Watch(ctx, m.common(), m.Revision()+1)
+	batches, err := m.source.Watch(ctx, m.commonPrefix(), m.Revision()+1)
 	if err != nil {
 		return err
 	}
-	grace := time.NewTimer(lapseGrace)
+	grace := time.NewTimer(expiryGracePeriod)
 	defer grace.Stop()
-	feedAgain := m.feedTimer()
+	retryFeed := m.feedRetryTimer()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-grace.C:
-			m.dropLapsed()
-		case <-feedAgain:
-			return errFeedIsBack
+			m.dropExpired()
+		case <-retryFeed:
+			return errRetryFeed
 		case batch, ok := <-batches:
 			if !ok {
-				return errors.New("watch ended")
+				return errors.New("store watch closed")
 			}
 			if batch.Err != nil {
 				return batch.Err
 			}
 			retry.Reset()
 			m.apply(batch)
-			if wait, held := m.lapseWait(); held {
+			if wait, pending := m.graceRemaining(); pending {
 				grace.Reset(wait)
 			}
 		}
 	}
 }
 
-// lapseWait is how long entries that may have lapsed are still kept; held is
-// false when there are none.
-func (m *Mirror) lapseWait() (wait time.Duration, held bool) {
+// graceRemaining returns how much longer expired entries are kept; pending is false if there
+// are none.
+func (m *Mirror) graceRemaining() (wait time.Duration, pending bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Until(m.returnedAt.Add(lapseGrace)), len(m.lapsed) > 0
+	return time.Until(m.recoveredAt.Add(expiryGracePeriod)), len(m.expired) > 0
 }
 
-// Refresh reads all entries anew, whatever the watch has told so far.
+// Refresh reloads all entries, regardless of the watch.
 func (m *Mirror) Refresh(ctx context.Context) error { return m.reload(ctx) }
 
-// reload reads all entries anew.
+// reload reads all entries again.
 func (m *Mirror) reload(ctx context.Context) error {
 	mirrorReloads.Inc()
 	fresh := make(map[string]store.KV)
@@ -209,8 +210,8 @@
 		if err != nil {
 			return err
 		}
-		// Reads are not a snapshot: what changed after the first one comes again
-		// through the watch, which starts there.
+		// The reads are not one snapshot: the watch starts at the first read's revision and
+		// repeats changes made since.
 		if revision == 0 {
 			revision = read
 		}
@@ -219,8 +220,8 @@
 	return nil
 }
 
-// readView reads the entries below a prefix into fresh, page by page, and returns
-// the store's revision at the first.
+// readView reads the entries below a prefix into fresh, page by page, and returns the store
+// revision of the first page.
 func (m *Mirror) readView(ctx context.Context, prefix string, fresh map[string]store.KV) (revision int64, err error) {
 	opts := store.RangeOptions{}
 	for {
@@ -248,50 +249,50 @@
 	now := time.Now()
 	if m.loaded && revision < m.revision {
 		m.mu.Unlock()
-		return // an answer that was overtaken
+		return // a newer read or event was applied first
 	}
-	m.noteHeard(now)
-	m.tellDifference(fresh, revision)
+	m.recordContact(now)
+	m.notifyDifference(fresh, revision)
 	for key, kv := range m.entries {
-		if _, there := fresh[key]; there {
+		if _, ok := fresh[key]; ok {
 			continue
 		}
-		if now.Sub(m.returnedAt) < lapseGrace {
+		if now.Sub(m.recoveredAt) < expiryGracePeriod {
 			fresh[key] = kv
-			m.lapsed[key] = struct{}{}
+			m.expired[key] = struct{}{}
 		}
 	}
-	for key := range m.lapsed {
-		if kv, there := fresh[key]; !there || kv.ModRevision > m.entries[key].ModRevision {
-			delete(m.lapsed, key)
+	for key := range m.expired {
+		if kv, ok := fresh[key]; !ok || kv.ModRevision > m.entries[key].ModRevision {
+			delete(m.expired, key)
 		}
 	}
 	m.entries, m.revision, m.loaded = fresh, revision, true
 	m.mu.Unlock()
-	m.changed(nil)
+	m.notifyViews(nil)
 }
 
-// noteHeard records an answer of the store; the caller holds m.mu.
-func (m *Mirror) noteHeard(now time.Time) {
-	if m.loaded && now.Sub(m.heardAt) > awayAfter+watchWait {
-		m.returnedAt = now
+// recordContact records an answer of the store; the caller holds m.mu.
+func (m *Mirror) recordContact(now time.Time) {
+	if m.loaded && now.Sub(m.lastContact) > outageThreshold+watchIdleInterval {
+		m.recoveredAt = now
 	}
-	m.heardAt = now
+	m.lastContact = now
 }
 
-// watchWait is how long a watch may be without an answer while nothing happens;
-// the driver's batches come at least that often.
-const watchWait = 2 * time.Second
+// watchIdleInterval is the longest time between batches of an idle watch; drivers send an empty
+// batch at least that often.
+const watchIdleInterval = 2 * time.Second
 
 func (m *Mirror) apply(batch store.WatchBatch) {
 	m.mu.Lock()
 	now := time.Now()
-	m.noteHeard(now)
-	m.tellFollowers(batch)
+	m.recordContact(now)
+	m.notifyFollowers(batch)
 	var changed []string
 	for _, ev := range batch.Events {
-		if ev.KV.ModRevision <= m.revision || !m.viewed(ev.KV.Key) {
-			continue // seen before, or of no concern
+		if ev.KV.ModRevision <= m.revision || !m.covers(ev.KV.Key) {
+			continue // already applied, or outside all views
 		}
 		if ev.KV.ModRevision <= m.entries[ev.KV.Key].ModRevision {
 			continue // the entry was read after this change
@@ -299,11 +300,11 @@
 		changed = append(changed, ev.KV.Key)
 		if ev.Type == store.EventPut {
 			m.entries[ev.KV.Key] = ev.KV
-			delete(m.lapsed, ev.KV.Key)
+			delete(m.expired, ev.KV.Key)
 			continue
 		}
-		if _, there := m.entries[ev.KV.Key]; there && now.Sub(m.returnedAt) < lapseGrace {
-			m.lapsed[ev.KV.Key] = struct{}{}
+		if _, ok := m.entries[ev.KV.Key]; ok && now.Sub(m.recoveredAt) < expiryGracePeriod {
+			m.expired[ev.KV.Key] = struct{}{}
 			continue
 		}
 		delete(m.entries, ev.KV.Key)
@@ -311,40 +312,40 @@
 	m.revision = max(m.revision, batch.Revision)
 	m.mu.Unlock()
 	if len(changed) > 0 {
-		m.changed(changed)
+		m.notifyViews(changed)
 	}
 }
 
-// dropLapsed removes the entries that did not come back.
-func (m *Mirror) dropLapsed() {
+// dropExpired removes the expired entries that were not written again.
+func (m *Mirror) dropExpired() {
 	m.mu.Lock()
-	gone := slices.Collect(maps.Keys(m.lapsed))
-	for _, key := range gone {
+	expired := slices.Collect(maps.Keys(m.expired))
+	for _, key := range expired {
 		delete(m.entries, key)
 	}
-	clear(m.lapsed)
+	clear(m.expired)
 	m.mu.Unlock()
-	if count := len(gone); count > 0 {
-		m.log.Info("entries gone", "count", count, "reason", "not back after the store's return")
-		m.changed(gone)
+	if count := len(expired); count > 0 {
+		m.log.Info("expired entries removed", "count", count, "reason", "not renewed after the store recovered")
+		m.notifyViews(expired)
 	}
 }
 
-// changed tells the views that hold one of the keys, or all for none.
-func (m *Mirror) changed(keys []string) {
-	m.telling.Lock() // a later copy is never overtaken by an earlier one
-	defer m.telling.Unlock()
+// notifyViews notifies the views that hold one of the keys, or all views if keys is nil.
+func (m *Mirror) notifyViews(keys []string) {
+	m.notifyMu.Lock() // keeps an older copy from overtaking a newer one
+	defer m.notifyMu.Unlock()
 	for _, v := range m.views {
 		holds := func(key string) bool { return strings.HasPrefix(key, v.Prefix) }
 		if keys != nil && !slices.ContainsFunc(keys, holds) {
 			continue
 		}
-		entries, revision := m.copyOf(holds)
+		entries, revision := m.snapshot(holds)
 		v.OnChange(entries, revision)
 	}
 }
 
-func (m *Mirror) copyOf(holds func(key string) bool) (map[string]store.KV, int64) {
+func (m *Mirror) snapshot(holds func(key string) bool) (map[string]store.KV, int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	entries := make(map[string]store.KV)
@@ -356,7 +357,7 @@
 	return entries, m.revision
 }
 
-// Revision is the store's revision up to which the copy is complete.
+// Revision returns the store revision up to which the copy is complete.
 func (m *Mirror) Revision() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -370,9 +371,9 @@
 	return m.loaded
 }
 
-// LastContact is when the store last answered.
+// LastContact returns the time of the store's last answer.
 func (m *Mirror) LastContact() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.heardAt
+	return m.lastContact
 }
--- a/internal/fleet/mirror_test.go
+++ b/internal/fleet/mirror_test.go
@@ -15,11 +15,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// beating passes a store's watches on with a batch every two seconds while nothing
-// happens, as drivers do.
-type beating struct{ *memstore.Store }
+// idleBatchStore sends an empty batch every two seconds on an idle watch, as drivers do.
+type idleBatchStore struct{ *memstore.Store }
 
-func (b beating) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
+func (b idleBatchStore) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
 	in, err := b.Store.Watch(ctx, prefix, from)
 	if err != nil {
 		return nil, err
@@ -47,130 +46,130 @@
 	return out, nil
 }
 
-// follower runs a mirror and keeps what it last told.
-type follower struct {
-	mem    *memstore.Store
-	mirror *fleet.Mirror
-	mu     sync.Mutex
-	seen   map[string]store.KV
-	// configs counts what the other view was told.
-	configs int
+// mirrorHarness runs a mirror and records its latest notification.
+type mirrorHarness struct {
+	mem     *memstore.Store
+	mirror  *fleet.Mirror
+	mu      sync.Mutex
+	entries map[string]store.KV
+	// configChanges counts the notifications of the other view.
+	configChanges int
 }
 
-func follow(t *testing.T) *follower {
+func newMirrorHarness(t *testing.T) *mirrorHarness {
 	t.Helper()
-	f := &follower{mem: memstore.New(memstore.Options{})}
-	f.mirror = fleet.NewMirror(beating{f.mem}, nil, slog.New(slog.DiscardHandler),
+	h := &mirrorHarness{mem: memstore.New(memstore.Options{})}
+	h.mirror = fleet.NewMirror(idleBatchStore{h.mem}, nil, slog.New(slog.DiscardHandler),
 		fleet.View{Prefix: "config", OnChange: func(entries map[string]store.KV, _ int64) {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.configs++
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			h.configChanges++
 		}},
 		fleet.View{Prefix: "servers/", OnChange: func(entries map[string]store.KV, _ int64) {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.seen = entries
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			h.entries = entries
 		}})
-	return f
+	return h
 }
 
-func (f *follower) put(t *testing.T, key string, lease store.LeaseID) {
+func (h *mirrorHarness) put(t *testing.T, key string, lease store.LeaseID) {
 	t.Helper()
-	_, err := f.mem.Txn(t.Context(), store.Txn{Then: []store.Op{store.Put(key, []byte("x"), lease)}})
+	_, err := h.mem.Txn(t.Context(), store.Txn{Then: []store.Op{store.Put(key, []byte("x"), lease)}})
 	require.NoError(t, err)
 }
 
-func (f *follower) keys() (keys []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for key := range f.seen {
+func (h *mirrorHarness) keys() (keys []string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for key := range h.entries {
 		keys = append(keys, key)
 	}
 	return keys
 }
 
-// run runs the mirror inside a bubble of virtual time.
-func (f *follower) run(t *testing.T, test func()) {
+// run runs the mirror during test; it must be called inside a synctest bubble.
+func (h *mirrorHarness) run(t *testing.T, test func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); f.mirror.Run(ctx) }()
+	go func() { defer close(done); h.mirror.Run(ctx) }()
 	synctest.Wait()
 	test()
 	cancel()
 	<-done
-	f.mem.Close()
+	h.mem.Close()
 }
 
-func TestMirrorFollows(t *testing.T) {
+func TestMirrorAppliesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := follow(t)
-		f.put(t, "servers/a", 0)
-		f.run(t, func() {
-			require.ElementsMatch(t, []string{"servers/a"}, f.keys())
-			f.put(t, "servers/b", 0)
-			f.put(t, "elsewhere", 0)
+		h := newMirrorHarness(t)
+		h.put(t, "servers/a", 0)
+		h.run(t, func() {
+			require.ElementsMatch(t, []string{"servers/a"}, h.keys())
+			h.put(t, "servers/b", 0)
+			h.put(t, "elsewhere", 0)
 			synctest.Wait()
-			require.ElementsMatch(t, []string{"servers/a", "servers/b"}, f.keys())
-			require.Equal(t, 1, f.configs, "a view hears of its own entries alone")
-			_, err := f.mem.Txn(t.Context(), store.Txn{Then: []store.Op{store.Delete("servers/a")}})
+			require.ElementsMatch(t, []string{"servers/a", "servers/b"}, h.keys())
+			require.Equal(t, 1, h.configChanges, "a view is notified only of its own entries")
+			_, err := h.mem.Txn(t.Context(), store.Txn{Then: []store.Op{store.Delete("servers/a")}})
 			require.NoError(t, err)
 			synctest.Wait()
-			require.ElementsMatch(t, []string{"servers/b"}, f.keys())
-			require.True(t, f.mirror.Loaded())
-			require.Equal(t, f.mem.Revision(), f.mirror.Revision())
+			require.ElementsMatch(t, []string{"servers/b"}, h.keys())
+			require.True(t, h.mirror.Loaded())
+			require.Equal(t, h.mem.Revision(), h.mirror.Revision())
 		})
 	})
 }
 
-// The store is away for so long that the entries of living servers lapse. When it
-// is back they are missing for a moment. Dropped at once, every call would be
-// refused though all servers are there; the one that stays away is dropped.
+// The store is down long enough for the leases of live servers to expire, so their entries are
+// missing for a moment after it recovers. Dropping them at once would refuse every call
+// although all servers are alive. Only the server that does not register again is dropped.
 func TestEntriesThatLapsedWhileTheStoreWasAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := follow(t)
-		lease, err := f.mem.Grant(t.Context(), 3*time.Second)
+		h := newMirrorHarness(t)
+		lease, err := h.mem.Grant(t.Context(), 3*time.Second)
 		require.NoError(t, err)
-		f.put(t, "servers/alive", lease)
-		f.put(t, "servers/dead", lease)
-		f.run(t, func() {
-			f.mem.SetFaults(memstore.Faults{Down: true})
+		h.put(t, "servers/alive", lease)
+		h.put(t, "servers/dead", lease)
+		h.run(t, func() {
+			h.mem.SetFaults(memstore.Faults{Down: true})
 			time.Sleep(6 * time.Second)
-			require.Len(t, f.keys(), 2, "nothing is dropped while the store is away")
-			f.mem.SetFaults(memstore.Faults{})
+			require.Len(t, h.keys(), 2, "nothing is dropped during the outage")
+			h.mem.SetFaults(memstore.Faults{})
 			time.Sleep(time.Second)
 			synctest.Wait()
-			require.Len(t, f.keys(), 2, "nothing is dropped at its return")
-			f.put(t, "servers/alive", 0)
+			require.Len(t, h.keys(), 2, "nothing is dropped on recovery")
+			h.put(t, "servers/alive", 0)
 			time.Sleep(4 * time.Second)
 			synctest.Wait()
-			require.ElementsMatch(t, []string{"servers/alive"}, f.keys())
+			require.ElementsMatch(t, []string{"servers/alive"}, h.keys())
 		})
 	})
 }
 
-// The store forgets its history while changes are made. A watch that went on from
-// where it was would never show them.
+// The store compacts its history during an outage in which entries change. A watch resumed from
+// its last revision would never deliver these changes.
 func TestMirrorAfterTheHistoryIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := follow(t)
-		f.put(t, "servers/a", 0)
-		f.run(t, func() {
-			f.mem.SetFaults(memstore.Faults{Down: true})
+		h := newMirrorHarness(t)
+		h.put(t, "servers/a", 0)
+		h.run(t, func() {
+			h.mem.SetFaults(memstore.Faults{Down: true})
 			synctest.Wait()
-			f.mem.SetFaults(memstore.Faults{})
-			f.put(t, "servers/b", 0)
-			_, err := f.mem.Txn(t.Context(), store.Txn{Then: []store.Op{store.Delete("servers/a")}})
+			h.mem.SetFaults(memstore.Faults{})
+			h.put(t, "servers/b", 0)
+			_, err := h.mem.Txn(t.Context(), store.Txn{Then: []store.Op{store.Delete("servers/a")}})
 			require.NoError(t, err)
-			f.mem.Compact(f.mem.Revision())
+			h.mem.Compact(h.mem.Revision())
 			time.Sleep(5 * time.Second)
 			synctest.Wait()
-			require.ElementsMatch(t, []string{"servers/b"}, f.keys())
+			require.ElementsMatch(t, []string{"servers/b"}, h.keys())
 		})
 	})
 }
 
-// movingSource is a store that changes while it is read: its second view is read later
-// than its first, and the watch starts where the first was read.
+// movingSource is a store that changes while it is read: the second view is read at a later
+// revision than the first, where the watch starts.
 type movingSource struct{ batches chan store.WatchBatch }
 
 func (s movingSource) Range(_ context.Context, prefix string, _ store.RangeOptions) (store.RangeResult, error) {
@@ -184,13 +183,16 @@
 	return s.batches, nil
 }
 
-// A read is no snapshot: events older than an entry that was read must not take the entry back.
+// The reads of the views are not one snapshot: events older than an entry that was read must
+// not overwrite it.
 func TestOlderEventsDoNotTakeAnEntryBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var told []string
+		var values []string
 		source := movingSource{make(chan store.WatchBatch)}
 		mirror := fleet.NewMirror(source, nil, slog.New(slog.DiscardHandler), fleet.View{Prefix: "config", OnChange: func(map[string]store.KV, int64) {}},
-			fleet.View{Prefix: "servers/", OnChange: func(entries map[string]store.KV, _ int64) { told = append(told, string(entries["servers/a"].Value)) }})
+			fleet.View{Prefix: "servers/", OnChange: func(entries map[string]store.KV, _ int64) {
+				values = append(values, string(entries["servers/a"].Value))
+			}})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); mirror.Run(ctx) }()
@@ -201,48 +203,49 @@
 		source.batches <- store.WatchBatch{Revision: 12, Events: []store.Event{{Type: store.EventDelete, KV: store.KV{Key: "servers/a", ModRevision: 12}}}}
 		source.batches <- store.WatchBatch{Revision: 15, Events: []store.Event{put("open", 13), put("broken", 15)}}
 		synctest.Wait()
-		require.NotContains(t, told, "joining")
-		require.NotContains(t, told, "")
-		require.Equal(t, "broken", told[len(told)-1])
+		require.NotContains(t, values, "joining")
+		require.NotContains(t, values, "")
+		require.Equal(t, "broken", values[len(values)-1])
 		cancel()
 		<-done
 	})
 }
 
-// A node that comes back to the store keeps lapsed entries for a while: it must not pass them on as if the store had them.
+// A node that reconnects to the store keeps expired entries for a grace period. It must not
+// pass them on to followers as confirmed.
 func TestLapsedEntriesAreNotPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := follow(t)
-		lease, err := f.mem.Grant(t.Context(), 3*time.Second)
+		h := newMirrorHarness(t)
+		lease, err := h.mem.Grant(t.Context(), 3*time.Second)
 		require.NoError(t, err)
-		f.put(t, "servers/gone", lease)
-		f.put(t, "servers/stays", 0)
-		f.run(t, func() {
-			f.mem.SetFaults(memstore.Faults{Down: true})
+		h.put(t, "servers/gone", lease)
+		h.put(t, "servers/stays", 0)
+		h.run(t, func() {
+			h.mem.SetFaults(memstore.Faults{Down: true})
 			time.Sleep(6 * time.Second)
-			f.mem.SetFaults(memstore.Faults{})
+			h.mem.SetFaults(memstore.Faults{})
 			time.Sleep(time.Second)
 			synctest.Wait()
-			require.Len(t, f.keys(), 2, "the node itself keeps it for now")
-			first, _ := f.mirror.Follow(t.Context(), []string{"servers/"})
+			require.Len(t, h.keys(), 2, "the node itself still keeps it")
+			first, _ := h.mirror.Follow(t.Context(), []string{"servers/"})
 			require.Len(t, first.Events, 1)
 			require.Equal(t, "servers/stays", first.Events[0].KV.Key)
 		})
 	})
 }
 
-// noFeed is a feed that never serves.
+// noFeed is a feed that is never available.
 type noFeed struct{}
 
 func (noFeed) Follow(context.Context, func(store.WatchBatch, bool)) bool { return false }
 
-// A store that turns nodes away must not get calls from each of hundreds of them several times a second.
+// A failing store must not receive calls several times a second from each of hundreds of nodes.
 func TestNodesWithAFeedAskAStoreThatFailsSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const seconds = 20
 		mem := memstore.New(memstore.Options{})
 		mem.SetFaults(memstore.Faults{Down: true})
-		mirror := fleet.NewMirror(beating{mem}, noFeed{}, slog.New(slog.DiscardHandler), fleet.View{Prefix: "config", OnChange: func(map[string]store.KV, int64) {}})
+		mirror := fleet.NewMirror(idleBatchStore{mem}, noFeed{}, slog.New(slog.DiscardHandler), fleet.View{Prefix: "config", OnChange: func(map[string]store.KV, int64) {}})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { mirror.Run(ctx) })
@@ -250,7 +253,7 @@
 		require.LessOrEqual(t, mem.Calls()[memstore.KindRange], int64(seconds))
 		mem.SetFaults(memstore.Faults{})
 		time.Sleep(2500 * time.Millisecond)
-		require.True(t, mirror.Loaded(), "it is read soon after the store's return")
+		require.True(t, mirror.Loaded(), "entries are loaded soon after the store recovers")
 		cancel()
 		running.Wait()
 		mem.Close()
