--- a/internal/grouping/commit.go
+++ b/internal/grouping/commit.go
@@ -14,28 +14,27 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// maxBatch bounds the replicas changed in one transaction; stores commonly take
-// 128 operations.
+// maxBatch bounds the number of replicas changed in one transaction. Stores commonly limit a
+// transaction to 128 operations.
 const maxBatch = 48
 
-// CommitErrorKind says why a commit did not happen or may not have happened.
+// CommitErrorKind is the reason why a commit failed or has an unknown outcome.
 type CommitErrorKind string
 
-// Kinds of commit failures. After each of them the ledger is read anew before
-// the next write.
+// Kinds of commit failures. After any of them the table is read again before the next write.
 const (
-	// CommitLeaseLost: another node holds or held the lease since.
+	// CommitLeaseLost: this node no longer holds the placement lease.
 	CommitLeaseLost CommitErrorKind = "lease-lost"
-	// CommitConflict: the table is not as it was read, though the lease holds:
-	// an earlier write of this holder took effect late.
+	// CommitConflict: the table changed since it was read although the lease is still held,
+	// because an earlier write of this holder took effect late.
 	CommitConflict CommitErrorKind = "overtaken"
-	// CommitNotApplied: the answer was lost and the write is not in the store (yet).
+	// CommitNotApplied: the answer was lost, and the write is not in the store, or not yet.
 	CommitNotApplied CommitErrorKind = "not-applied"
-	// CommitFailed: the store refused or could not be reached.
+	// CommitFailed: the store refused the write or could not be reached.
 	CommitFailed CommitErrorKind = "failed"
 )
 
-// CommitError is a commit that is not known to have happened.
+// CommitError reports a commit that is not known to have been applied.
 type CommitError struct {
 	Kind CommitErrorKind
 	Err  error
@@ -51,13 +50,13 @@
 type headRecord struct {
 	WriteID string        `json:"write_id"`
 	Fence   cluster.Fence `json:"fence"`
-	// Digest is the tableDigest of the zone's replicas after the write, by which
-	// readers notice that their watch skipped an event.
+	// Digest is the tableDigest of the zone's replicas after the write. Readers compare it with
+	// their own table to detect events missed by their watch.
 	Digest string `json:"digest"`
 }
 
-// tableDigest identifies a table by its replicas' ids, generations and leaving
-// marks, whatever their order.
+// tableDigest identifies a table by the ID, generation and leaving flag of each replica,
+// regardless of their order.
 func tableDigest(replicas []cluster.Replica) string {
 	var sum uint64
 	for _, r := range replicas {
@@ -66,24 +65,24 @@
 	return strconv.FormatUint(sum, 16)
 }
 
-// committer writes a zone's replicas. It is used by one goroutine.
+// committer writes a zone's replicas. It is not safe for concurrent use.
 //
-// Every transaction is guarded by the lease key's create revision, by the mod
-// revision of each key it changes and by that of the zone's head key, which it
-// moves. So a paused former holder's write fails, and so does an earlier write
-// of this holder that was delayed on the way and arrives after a later one.
+// Each transaction is guarded by the lease key's create revision, by the mod revision of each
+// key that it changes and by the mod revision of the zone's head key, which every commit
+// rewrites. The guards reject a write of a former holder that was paused, and an earlier write
+// of this holder that was delayed and arrives after a later one.
 type committer struct {
 	store store.Store
 	zone  cluster.ZoneID
 	lease *Lease
 
-	assignments *placement.Assignments
-	mod         map[cluster.ReplicaID]int64
-	headMod     int64
+	assignments     *placement.Assignments
+	modRevisions    map[cluster.ReplicaID]int64
+	headModRevision int64
 }
 
-// load reads head and table. The head is read first: if the table moves in
-// between, the next write is refused by the head's guard.
+// load reads the head and the table. It reads the head first: if the table changes in between,
+// the head's guard rejects the next write.
 func (c *committer) load(ctx context.Context) error {
 	head, _, err := c.store.Get(ctx, store.GroupingHeadKey(c.zone))
 	if err != nil {
@@ -97,15 +96,15 @@
 	if err != nil {
 		return err
 	}
-	c.assignments, c.mod, c.headMod = assignments, read.ModRevisions, 0
+	c.assignments, c.modRevisions, c.headModRevision = assignments, read.ModRevisions, 0
 	if head != nil {
-		c.headMod = head.ModRevision
+		c.headModRevision = head.ModRevision
 	}
 	return nil
 }
 
-// commit writes changes, which the assignments have already, in one transaction and
-// notes their new revisions.
+// commit writes the changes, already applied to the assignments, in one transaction and records
+// the new revisions.
 func (c *committer) commit(ctx context.Context, changes []placement.Change) error {
 	writeID := newWriteID()
 	txn, err := c.transaction(changes, writeID)
@@ -114,12 +113,12 @@
 	}
 	result, err := c.store.Txn(ctx, txn)
 	if err != nil {
-		return c.readBack(ctx, changes, writeID, err)
+		return c.resolveUnknown(ctx, changes, writeID, err)
 	}
 	if !result.Succeeded {
-		return c.refused(result)
+		return c.guardFailed(result)
 	}
-	c.applied(changes, result.Revision)
+	c.recordApplied(changes, result.Revision)
 	return nil
 }
 
@@ -130,13 +129,13 @@
 		return store.Txn{}, errors.Wrap(err, "encode head")
 	}
 	txn := store.Txn{
-		Guards: []store.Guard{c.lease.Guard(), unchanged(head, c.headMod)},
+		Guards: []store.Guard{c.lease.Guard(), unchangedGuard(head, c.headModRevision)},
 		Then:   []store.Op{store.Put(head, value, 0)},
 		Else:   []store.Op{store.GetOp(c.lease.key)},
 	}
 	for _, change := range changes {
 		key := store.ReplicaKey(c.zone, change.Replica.ID)
-		txn.Guards = append(txn.Guards, unchanged(key, c.mod[change.Replica.ID]))
+		txn.Guards = append(txn.Guards, unchangedGuard(key, c.modRevisions[change.Replica.ID]))
 		if change.Removed {
 			txn.Then = append(txn.Then, store.Delete(key))
 			continue
@@ -150,23 +149,24 @@
 	return txn, nil
 }
 
-func unchanged(key string, mod int64) store.Guard {
-	if mod == 0 {
+func unchangedGuard(key string, modRevision int64) store.Guard {
+	if modRevision == 0 {
 		return store.Absent(key)
 	}
-	return store.ModifiedAt(key, mod)
+	return store.ModifiedAt(key, modRevision)
 }
 
-func (c *committer) refused(result store.TxnResult) error {
+func (c *committer) guardFailed(result store.TxnResult) error {
 	if len(result.Gets) == 1 && result.Gets[0] != nil && result.Gets[0].CreateRevision == int64(c.lease.Fence()) {
-		return &CommitError{Kind: CommitConflict, Err: errors.New("table moved")}
+		return &CommitError{Kind: CommitConflict, Err: errors.New("table changed since it was read")}
 	}
 	return &CommitError{Kind: CommitLeaseLost, Err: errors.New("lease key changed")}
 }
 
-// readBack settles a write whose answer was lost by the head's write id.
-func (c *committer) readBack(ctx context.Context, changes []placement.Change, writeID string, cause error) error {
-	if !isUnknown(cause) {
+// resolveUnknown determines by the write ID in the head whether a write whose answer was lost
+// was applied.
+func (c *committer) resolveUnknown(ctx context.Context, changes []placement.Change, writeID string, cause error) error {
+	if !outcomeUnknown(cause) {
 		return &CommitError{Kind: CommitFailed, Err: cause}
 	}
 	head, _, err := c.store.Get(ctx, store.GroupingHeadKey(c.zone))
@@ -177,17 +177,17 @@
 	if head == nil || json.Unmarshal(head.Value, &record) != nil || record.WriteID != writeID {
 		return &CommitError{Kind: CommitNotApplied, Err: cause}
 	}
-	c.applied(changes, head.ModRevision)
+	c.recordApplied(changes, head.ModRevision)
 	return nil
 }
 
-func (c *committer) applied(changes []placement.Change, revision int64) {
-	c.headMod = revision
+func (c *committer) recordApplied(changes []placement.Change, revision int64) {
+	c.headModRevision = revision
 	for _, change := range changes {
 		if change.Removed {
-			delete(c.mod, change.Replica.ID)
+			delete(c.modRevisions, change.Replica.ID)
 			continue
 		}
-		c.mod[change.Replica.ID] = revision
+		c.modRevisions[change.Replica.ID] = revision
 	}
 }
--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -16,24 +16,25 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// VMSource gives the platform's VM list as last read; a zero AsOf means never.
+// VMSource provides the platform's VM list as last read; a zero AsOf means that it was never
+// read.
 type VMSource interface {
 	List() cluster.VMList
 }
 
-// Rules gives the rules in force; nil before the first are known.
+// Rules provides the rules in force; nil until the first revision is loaded.
 type Rules interface {
 	Current() *rules.Set
 }
 
-// HealthChecks is what the health checks of the zone's nodes know. The holder then
-// need not ask the engines of whole replicas itself.
+// HealthChecks provides the results of the health checks run by the zone's nodes. With them,
+// the holder does not poll the engines of healthy replicas itself.
 type HealthChecks interface {
 	Whole(id cluster.ReplicaID, generation int64) bool
 }
 
-// Options sets up a Controller. Zone, Node, Store, VMs, Rules, Engines, Policy
-// and Log are required.
+// Options configures a Controller. Zone, Node, Store, VMs, Rules, Engines, Policy and Log are
+// required.
 type Options struct {
 	Zone    cluster.ZoneID
 	Node    cluster.NodeID
@@ -44,26 +45,26 @@
 	Policy  placement.Policy
 	Log     *slog.Logger
 	Health  HealthChecks // may be nil
-	// Candidate reports whether this node should try for the lease. Each try
-	// costs the store a call, so only a few nodes of a zone should; nil means yes.
+	// Candidate reports whether this node should try to acquire the lease. Each attempt costs a
+	// store call, so only a few nodes of a zone should; nil means always.
 	Candidate func() bool
-	// LeaseTTL is the life of the placement lease; zero means DefaultLeaseTTL.
+	// LeaseTTL is the TTL of the placement lease; zero means DefaultLeaseTTL.
 	LeaseTTL time.Duration
-	// Tick is the time between two looks at the zone; zero means DefaultTick.
+	// Tick is the pause between two iterations of the reconcile loop; zero means DefaultTick.
 	Tick time.Duration
-	// OrderTimeout bounds one order from its check to its answer, and is how long
-	// a new holder waits before its first order; zero means
-	// DefaultOrderLife or a fifth of LeaseTTL, whichever is less.
+	// OrderTimeout bounds one order from its lease check to its answer. It is also how long a
+	// new holder waits before its first order. Zero means DefaultOrderTimeout or a fifth of
+	// LeaseTTL, whichever is less.
 	OrderTimeout time.Duration
-	// DownAfter is how long an engine must fail to answer before its VM counts
-	// as down; zero means DefaultDownAfter.
+	// DownAfter is how long an engine must fail to answer before its VM counts as down; zero
+	// means DefaultDownAfter.
 	DownAfter time.Duration
-	// PollInterval is how often an engine that is as it should be is asked; it bounds
-	// how long one that ignores fencing numbers can be misled. Zero means
-	// DefaultPollQuiet.
+	// PollInterval is the time between polls of an engine that is in its desired state. It
+	// bounds how long an engine that ignores fencing numbers can act on a stale order. Zero
+	// means DefaultPollInterval.
 	PollInterval time.Duration
-	// LoadsPerSecond is how many VMs a second may start to read weights;
-	// zero means no bound. LoadBurst is how many may start at once.
+	// LoadsPerSecond limits how many VMs per second start to load weights; zero means no limit.
+	// LoadBurst is how many may start at once.
 	LoadsPerSecond float64
 	LoadBurst      int
 }
@@ -78,31 +79,31 @@
 )
 
 var (
-	ordersAccepted = metrics.NewCounter("fennel_grouping_orders_accepted_total")
-	ordersRefused  = metrics.NewCounter("fennel_grouping_orders_refused_total")
-	ordersFailed   = metrics.NewCounter("fennel_grouping_orders_failed_total")
-	commitsDone    = metrics.NewCounter("fennel_grouping_commits_total")
-	commitsFailed  = metrics.NewCounter("fennel_grouping_commits_failed_total")
-	termsTotal     = metrics.NewCounter("fennel_grouping_lease_acquired_total")
+	ordersAcceptedTotal = metrics.NewCounter("fennel_grouping_orders_accepted_total")
+	ordersRefusedTotal  = metrics.NewCounter("fennel_grouping_orders_refused_total")
+	ordersFailedTotal   = metrics.NewCounter("fennel_grouping_orders_failed_total")
+	commitsTotal        = metrics.NewCounter("fennel_grouping_commits_total")
+	commitsFailedTotal  = metrics.NewCounter("fennel_grouping_commits_failed_total")
+	termsTotal          = metrics.NewCounter("fennel_grouping_lease_acquired_total")
 )
 
-// Controller tries for the zone's placement lease and, while it holds it, keeps
-// the committed grouping and the engines as the policy plans.
+// Controller competes for the zone's placement lease. While it holds the lease, it commits the
+// policy's plans and brings the engines in line with the committed grouping.
 type Controller struct {
-	opts    Options
-	weights *rate.Limiter
-	// orderLife is Options.OrderLife, or less with a short lease: an order is
-	// sent only if the lease outlasts it, and with as long a life as the lease it
-	// might never be. A new holder waits out Options.OrderLife all the same.
-	orderLife time.Duration
+	opts        Options
+	loadLimiter *rate.Limiter
+	// orderTimeout is Options.OrderTimeout, or less with a short lease: an order is sent only
+	// if the lease outlasts it, so with a timeout as long as the lease no order might ever be
+	// sent. A new holder always waits for the full Options.OrderTimeout.
+	orderTimeout time.Duration
 }
 
 // NewController returns a Controller; Run starts it.
 func NewController(opts Options) *Controller {
 	setDefault(&opts.LeaseTTL, DefaultLeaseTTL)
 	setDefault(&opts.Tick, DefaultTick)
-	// With a longer life than this, part of the orders would fall into the time
-	// between two extensions when the lease has too little left for them.
+	// With a longer timeout, some orders would not be sent, because the lease has too little
+	// time left for them towards the end of each renewal interval.
 	setDefault(&opts.OrderTimeout, min(DefaultOrderTimeout, opts.LeaseTTL/5))
 	setDefault(&opts.DownAfter, DefaultDownAfter)
 	setDefault(&opts.PollInterval, DefaultPollInterval)
@@ -113,7 +114,7 @@
 	if opts.LoadsPerSecond > 0 {
 		limit = rate.Limit(opts.LoadsPerSecond)
 	}
-	return &Controller{opts: opts, orderLife: min(opts.OrderTimeout, opts.LeaseTTL/4), weights: rate.NewLimiter(limit, max(1, opts.LoadBurst))}
+	return &Controller{opts: opts, orderTimeout: min(opts.OrderTimeout, opts.LeaseTTL/4), loadLimiter: rate.NewLimiter(limit, max(1, opts.LoadBurst))}
 }
 
 func setDefault(d *time.Duration, value time.Duration) {
@@ -122,17 +123,17 @@
 	}
 }
 
-// Run tries for the lease and acts as its holder until ctx ends.
+// Run competes for the lease and acts as its holder until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if c.opts.Candidate() {
-			c.tryHold(ctx)
+			c.tryAcquire(ctx)
 		}
-		pause(ctx, c.opts.LeaseTTL/4)
+		pauseWithJitter(ctx, c.opts.LeaseTTL/4)
 	}
 }
 
-func (c *Controller) tryHold(ctx context.Context) {
+func (c *Controller) tryAcquire(ctx context.Context) {
 	tryCtx, cancel := context.WithTimeout(ctx, c.opts.LeaseTTL/2)
 	defer cancel()
 	lease, err := AcquireLease(tryCtx, c.opts.Store, c.opts.Zone, c.opts.Node, c.opts.LeaseTTL)
@@ -145,56 +146,56 @@
 	}
 	termsTotal.Inc()
 	c.opts.Log.Info("placement lease acquired", "zone", c.opts.Zone, "node", c.opts.Node, "fence", lease.Fence())
-	c.hold(ctx, lease)
+	c.runTerm(ctx, lease)
 	lease.Revoke(ctx)
 	c.opts.Log.Info("placement lease given up", "zone", c.opts.Zone, "node", c.opts.Node, "fence", lease.Fence())
 }
 
-// term is one time of holding the lease.
+// term is the state of one period of holding the lease.
 type term struct {
-	lease  *Lease
-	commit *committer
-	fleet  *fleet
-	ids    idSequence
-	// holds has the spares of the last plan and the groups whose model they load.
-	holds map[cluster.VMID]cluster.GroupName
-	// drained is since when this holder has known a replica to be drained.
-	drained map[cluster.ReplicaID]time.Time
-	// loaded is false when the table must be read anew before the next write.
-	loaded bool
+	lease     *Lease
+	committer *committer
+	engines   *engineTracker
+	ids       idSequence
+	// spareGroups maps the spares of the last plan to the groups whose model they load.
+	spareGroups map[cluster.VMID]cluster.GroupName
+	// drainedSince is when this holder first saw each replica as draining.
+	drainedSince map[cluster.ReplicaID]time.Time
+	// tableLoaded is false when the table must be read again before the next write.
+	tableLoaded bool
 }
 
-// hold acts as the holder until the lease is lost or ctx ends.
-func (c *Controller) hold(ctx context.Context, lease *Lease) {
+// runTerm acts as the holder until the lease is lost or ctx ends.
+func (c *Controller) runTerm(ctx context.Context, lease *Lease) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	kept := make(chan struct{})
+	renewalDone := make(chan struct{})
 	go func() {
-		defer close(kept)
+		defer close(renewalDone)
 		defer cancel()
-		c.keep(ctx, lease)
+		c.renewLease(ctx, lease)
 	}()
 	t := &term{
-		lease:  lease,
-		commit: &committer{store: c.opts.Store, zone: c.opts.Zone, lease: lease},
-		fleet:  newFleet(c.opts.Zone, c.opts.Engines, c.opts.DownAfter),
-		ids:    idSequence{zone: c.opts.Zone, fence: lease.Fence()},
+		lease:     lease,
+		committer: &committer{store: c.opts.Store, zone: c.opts.Zone, lease: lease},
+		engines:   newEngineTracker(c.opts.Zone, c.opts.Engines, c.opts.DownAfter),
+		ids:       idSequence{zone: c.opts.Zone, fence: lease.Fence()},
 
-		drained: make(map[cluster.ReplicaID]time.Time),
+		drainedSince: make(map[cluster.ReplicaID]time.Time),
 	}
-	// The former holder may have sent its last order just before its lease
-	// lapsed; an engine that ignores fencing numbers would take it after ours.
-	wait(ctx, c.opts.OrderTimeout)
+	// The previous holder may have sent its last order just before its lease expired. Without
+	// this wait, an engine that ignores fencing numbers could apply that order after ours.
+	sleep(ctx, c.opts.OrderTimeout)
 	for ctx.Err() == nil && lease.Remaining(time.Now()) > 0 {
-		c.step(ctx, t)
-		wait(ctx, c.opts.Tick)
+		c.reconcile(ctx, t)
+		sleep(ctx, c.opts.Tick)
 	}
 	cancel()
-	<-kept
+	<-renewalDone
 }
 
-// keep extends the lease until it is lost or ctx ends.
-func (c *Controller) keep(ctx context.Context, lease *Lease) {
+// renewLease extends the lease until it is lost or ctx ends.
+func (c *Controller) renewLease(ctx context.Context, lease *Lease) {
 	for ctx.Err() == nil && lease.Remaining(time.Now()) > 0 {
 		callCtx, cancel := context.WithTimeout(ctx, min(c.opts.LeaseTTL/4, lease.Remaining(time.Now())))
 		err := lease.Extend(callCtx)
@@ -202,65 +203,65 @@
 		if err != nil && ctx.Err() == nil {
 			c.opts.Log.Warn("placement lease not extended", "zone", c.opts.Zone, "left", lease.Remaining(time.Now()), "error", err)
 		}
-		wait(ctx, min(c.opts.LeaseTTL/5, lease.Remaining(time.Now())))
+		sleep(ctx, min(c.opts.LeaseTTL/5, lease.Remaining(time.Now())))
 	}
 }
 
-// step looks at the zone once: it reads what must be read, commits the policy's
-// plan and sends the orders that the engines need.
-func (c *Controller) step(ctx context.Context, t *term) {
+// reconcile runs one iteration: it polls engines, commits the policy's plan and sends the
+// orders that the engines need.
+func (c *Controller) reconcile(ctx context.Context, t *term) {
 	set, list := c.opts.Rules.Current(), c.opts.VMs.List()
 	if set == nil || list.AsOf.IsZero() {
 		return
 	}
-	if !t.loaded {
-		if err := t.commit.load(ctx); err != nil {
+	if !t.tableLoaded {
+		if err := t.committer.load(ctx); err != nil {
 			c.opts.Log.Warn("grouping not loaded", "zone", c.opts.Zone, "error", err)
 			return
 		}
-		t.loaded = true
+		t.tableLoaded = true
 	}
-	assignments := t.commit.assignments
-	t.fleet.update(list, func(vm cluster.VMID) bool { return assignments.HolderOf(vm) != "" }, time.Now())
-	t.fleet.poll(ctx, c.due(t, set, time.Now()))
-	if err := c.place(ctx, t, set); err != nil {
-		commitsFailed.Inc()
-		t.loaded = false
+	assignments := t.committer.assignments
+	t.engines.update(list, func(vm cluster.VMID) bool { return assignments.HolderOf(vm) != "" }, time.Now())
+	t.engines.poll(ctx, c.enginesToPoll(t, set, time.Now()))
+	if err := c.applyPlan(ctx, t, set); err != nil {
+		commitsFailedTotal.Inc()
+		t.tableLoaded = false
 		c.opts.Log.Warn("grouping not committed", "zone", c.opts.Zone, "fence", t.lease.Fence(), "error", err)
 		if e, ok := errors.Into[*CommitError](err); ok && e.Kind == CommitLeaseLost {
 			t.lease.MarkLost()
 		}
 		return
 	}
-	c.sendOrders(ctx, t, c.orders(t, set))
+	c.sendOrders(ctx, t, c.pendingOrders(t, set))
 }
 
-// place asks the policy for a plan and commits it.
-func (c *Controller) place(ctx context.Context, t *term, set *rules.Set) error {
+// applyPlan requests a plan from the policy and commits its changes in batches.
+func (c *Controller) applyPlan(ctx context.Context, t *term, set *rules.Set) error {
 	now := time.Now()
-	replicas := t.commit.assignments.Replicas()
+	replicas := t.committer.assignments.Replicas()
 	in := placement.Input{
 		Zone: c.opts.Zone, Groups: set.Groups, Replicas: replicas,
-		VMs: t.fleet.placementVMs(replicas, now), Load: t.work(replicas, now),
+		VMs: t.engines.placementVMs(replicas, now), Load: t.replicaLoad(replicas, now),
 	}
 	plan := c.opts.Policy.Plan(in, now)
-	t.holds = make(map[cluster.VMID]cluster.GroupName)
+	t.spareGroups = make(map[cluster.VMID]cluster.GroupName)
 	var batch []placement.Change
 	for _, action := range plan.Actions {
 		if action.Kind == placement.Hold {
-			t.holds[action.VM] = action.Group
+			t.spareGroups[action.VM] = action.Group
 		}
 		if !action.Changes() {
 			c.opts.Log.Debug("placement", "zone", c.opts.Zone, "action", action.Kind, "group", action.Group, "vm", action.VM, "reason", action.Reason)
 			continue
 		}
-		if len(batch) == maxBatch || holds(batch, action.Replica) {
+		if len(batch) == maxBatch || batchContains(batch, action.Replica) {
 			if err := c.commitBatch(ctx, t, batch); err != nil {
 				return err
 			}
 			batch = nil
 		}
-		change, err := t.commit.assignments.Apply(action, c.stamp(t, set, action))
+		change, err := t.committer.assignments.Apply(action, c.stamp(t, set, action))
 		if err != nil {
 			return err
 		}
@@ -270,19 +271,19 @@
 	return c.commitBatch(ctx, t, batch)
 }
 
-// holds reports whether the batch changes the replica already; a store takes
-// only one write of a key in a transaction.
-func holds(batch []placement.Change, id cluster.ReplicaID) bool {
+// batchContains reports whether the batch already changes the replica. A store accepts only one
+// write per key in a transaction.
+func batchContains(batch []placement.Change, id cluster.ReplicaID) bool {
 	return slices.ContainsFunc(batch, func(c placement.Change) bool { return c.Replica.ID == id })
 }
 
-// drainGrace is how long after a drain an engine's report may still miss work:
-// nodes go on sending until they know of the drain, and reports lag.
-const drainGrace = 5 * time.Second
+// drainGracePeriod is how long after a drain an engine's report may still miss work: nodes keep
+// sending requests until they learn of the drain, and reports lag.
+const drainGracePeriod = 5 * time.Second
 
-// work returns the replicas that may have streams running: all but those that
-// were drained a while ago and say since that they are idle.
-func (t *term) work(replicas []cluster.Replica, now time.Time) map[cluster.ReplicaID]placement.Load {
+// replicaLoad returns the replicas that may have running streams: all but those whose serving
+// VM reported no work at least drainGracePeriod after the drain.
+func (t *term) replicaLoad(replicas []cluster.Replica, now time.Time) map[cluster.ReplicaID]placement.Load {
 	out := make(map[cluster.ReplicaID]placement.Load, len(replicas))
 	draining := make(map[cluster.ReplicaID]time.Time)
 	for _, r := range replicas {
@@ -290,17 +291,17 @@
 			out[r.ID] = placement.Load{Running: 1}
 			continue
 		}
-		since, known := t.drained[r.ID]
+		since, known := t.drainedSince[r.ID]
 		if !known {
 			since = now
 		}
 		draining[r.ID] = since
-		view := t.fleet.views[r.Serving]
-		if view == nil || view.stateAt.Before(since.Add(drainGrace)) || view.state.Load.Running+view.state.Load.Waiting > 0 {
+		view := t.engines.views[r.Serving]
+		if view == nil || view.stateSentAt.Before(since.Add(drainGracePeriod)) || view.state.Load.Running+view.state.Load.Waiting > 0 {
 			out[r.ID] = placement.Load{Running: 1}
 		}
 	}
-	t.drained = draining
+	t.drainedSince = draining
 	return out
 }
 
@@ -311,10 +312,10 @@
 	if t.lease.Remaining(time.Now()) == 0 {
 		return &CommitError{Kind: CommitLeaseLost, Err: context.DeadlineExceeded}
 	}
-	if err := t.commit.commit(ctx, batch); err != nil {
+	if err := t.committer.commit(ctx, batch); err != nil {
 		return err
 	}
-	commitsDone.Inc()
+	commitsTotal.Inc()
 	return nil
 }
 
@@ -335,7 +336,7 @@
 		"fence", t.lease.Fence(), "reason", a.Reason)
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/grouping/controller_test.go
+++ b/internal/grouping/controller_test.go
@@ -14,102 +14,102 @@
 
 func TestControllerFormsReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 5, pairs)
-		n := w.start("n1", nil)
-		replicas := w.settle(2)
+		tb := newTestbed(t, 5, pairGroup)
+		n := tb.start("n1", nil)
+		replicas := tb.settle(2)
 		require.Len(t, replicas, 2)
-		_, fence := w.holder()
+		_, fence := tb.holder()
 		require.Equal(t, cluster.Fence(fence), replicas[0].Fence)
-		require.Equal(t, engine.RoleIdle, w.engine("vm04").state.Assignment.Role)
+		require.Equal(t, engine.RoleIdle, tb.engine("vm04").state.Assignment.Role)
 		n.stop()
-		node, _ := w.holder()
-		require.Empty(t, node, "a planned stop gives the lease up")
+		node, _ := tb.holder()
+		require.Empty(t, node, "a planned stop releases the lease")
 	})
 }
 
-// A VM dies. Its replica cannot serve; the survivors must get into a new replica
-// with whatever is free.
+// A VM fails and its replica cannot serve. The remaining VMs must form a new replica with
+// whatever VMs are free.
 func TestControllerRegroupsAfterLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, pairs)
-		n := w.start("n1", nil)
-		before := w.settle(1)[0]
-		w.edit("vm01", func(e *fakeEngine) { e.down = true })
+		tb := newTestbed(t, 3, pairGroup)
+		n := tb.start("n1", nil)
+		before := tb.settle(1)[0]
+		tb.editEngine("vm01", func(e *fakeEngine) { e.down = true })
 		time.Sleep(20 * time.Second)
-		after := w.settle(1)[0]
+		after := tb.settle(1)[0]
 		require.NotEqual(t, before.ID, after.ID)
 		require.Equal(t, []cluster.VMID{"vm00", "vm02"}, after.Members)
-		// It comes back as if nothing had happened, with its old assignment, and
-		// must be told that it is in no replica.
-		w.edit("vm01", func(e *fakeEngine) { e.down = false })
-		require.Equal(t, before.ID, w.engine("vm01").state.Assignment.Replica)
+		// The VM comes back with its old assignment and must be released from the replica that
+		// no longer exists.
+		tb.editEngine("vm01", func(e *fakeEngine) { e.down = false })
+		require.Equal(t, before.ID, tb.engine("vm01").state.Assignment.Replica)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		require.Empty(t, w.engine("vm01").state.Assignment.Replica)
+		require.Empty(t, tb.engine("vm01").state.Assignment.Replica)
 		n.stop()
 	})
 }
 
-// Two nodes race for the lease; the loser must not act at all, and takes over
-// when the holder stops.
+// Two nodes compete for the lease. The loser must send no orders, and takes over when the
+// holder stops.
 func TestTwoCandidates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, pairs)
-		nodes := map[string]*node{"n1": w.start("n1", nil), "n2": w.start("n2", nil)}
-		first := w.settle(2)
-		holder, fence := w.holder()
-		for _, order := range w.orders {
+		tb := newTestbed(t, 4, pairGroup)
+		nodes := map[string]*node{"n1": tb.start("n1", nil), "n2": tb.start("n2", nil)}
+		first := tb.settle(2)
+		holder, fence := tb.holder()
+		for _, order := range tb.accepted {
 			require.Equal(t, cluster.Fence(fence), order.Fence)
 		}
 		nodes[holder].stop()
-		w.addVM("vm04", "d1")
-		w.addVM("vm05", "d1")
-		after := w.settle(3)
-		require.Subset(t, after, first, "a new holder leaves whole replicas alone")
-		next, nextFence := w.holder()
+		tb.addVM("vm04", "d1")
+		tb.addVM("vm05", "d1")
+		after := tb.settle(3)
+		require.Subset(t, after, first, "a new holder keeps healthy replicas unchanged")
+		next, nextFence := tb.holder()
 		require.NotEqual(t, holder, next)
 		require.Greater(t, nextFence, fence)
 		nodes[next].stop()
 	})
 }
 
-// The platform's list runs tens of seconds behind: it still shows a VM that is
-// gone, and no longer shows one that answers and serves.
+// The platform's VM list lags by tens of seconds: it still contains a VM that is gone, and no
+// longer contains one that answers and serves.
 func TestLaggingVMList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, pairs)
-		w.edit("vm00", func(e *fakeEngine) { e.down = true })
-		n := w.start("n1", nil)
-		replicas := w.settle(1)
+		tb := newTestbed(t, 4, pairGroup)
+		tb.editEngine("vm00", func(e *fakeEngine) { e.down = true })
+		n := tb.start("n1", nil)
+		replicas := tb.settle(1)
 		require.Len(t, replicas, 1)
 		require.NotContains(t, replicas[0].Members, cluster.VMID("vm00"))
-		w.editVM(replicas[0].Members[1], func(vms []cluster.VM, at int) []cluster.VM { return slices.Delete(vms, at, at+1) })
+		tb.editVM(replicas[0].Members[1], func(vms []cluster.VM, i int) []cluster.VM { return slices.Delete(vms, i, i+1) })
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Equal(t, replicas, w.committed(), "an answering VM is present, listed or not")
+		require.Equal(t, replicas, tb.committed(), "a VM that answers is kept, listed or not")
 		n.stop()
 	})
 }
 
-// The store is down: replicas that are whole go on, and nothing is regrouped,
-// because the lease can't be kept.
+// The store is down. Healthy replicas keep serving, and nothing is regrouped because the lease
+// cannot be renewed.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 5, pairs)
-		n := w.start("n1", nil)
-		before := w.settle(2)
-		w.store.SetFaults(downFaults)
+		tb := newTestbed(t, 5, pairGroup)
+		n := tb.start("n1", nil)
+		before := tb.settle(2)
+		tb.store.SetFaults(downFaults)
 		time.Sleep(time.Minute)
-		w.edit("vm00", func(e *fakeEngine) { e.down = true })
+		tb.editEngine("vm00", func(e *fakeEngine) { e.down = true })
 		synctest.Wait()
-		orders := len(w.orders)
+		orders := len(tb.accepted)
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Len(t, w.orders, orders)
-		w.store.SetFaults(healthyFaults)
-		require.Equal(t, before, w.committed())
+		require.Len(t, tb.accepted, orders)
+		tb.store.SetFaults(healthyFaults)
+		require.Equal(t, before, tb.committed())
 		time.Sleep(40 * time.Second)
-		after := w.settle(2)
+		after := tb.settle(2)
 		require.NotEqual(t, before, after)
 		n.stop()
 	})
--- a/internal/grouping/engines.go
+++ b/internal/grouping/engines.go
@@ -12,91 +12,91 @@
 	"github.com/fennelcourse/fennelcourse/internal/placement"
 )
 
-// Engines is the control protocol of the model engines; engine.Client is one.
+// Engines is the control protocol of the model engines; engine.Client implements it.
 type Engines interface {
 	State(ctx context.Context, addr string) (engine.State, error)
 	Order(ctx context.Context, addr string, order engine.Order) (engine.OrderResult, error)
 }
 
-// parallelCalls bounds the holder's calls to engines at any time.
-const parallelCalls = 32
+// maxParallelCalls bounds the holder's concurrent calls to engines.
+const maxParallelCalls = 32
 
-// engineView is what the holder knows of one VM's engine.
+// engineView is what the holder knows about one VM's engine.
 type engineView struct {
-	vm       cluster.VM
-	listed   bool
-	state    engine.State
-	known    bool      // state holds an answer
-	asked    time.Time // when the last poll was sent
-	stateAt  time.Time // when the call was sent that state answers
-	lastSeen time.Time // when the engine last answered, or was last heard by its serving VM
-	failing  time.Time // first failure in a row; zero while it answers
+	vm           cluster.VM
+	listed       bool
+	state        engine.State
+	hasState     bool      // whether state holds an answer
+	polledAt     time.Time // when the last poll was sent
+	stateSentAt  time.Time // when the call was sent that returned state
+	lastSeen     time.Time // when the engine last answered, or was last seen by its serving VM
+	failingSince time.Time // first failure of the current series; zero while the engine answers
 }
 
-// fleet is the holder's view of the zone's engines. It is used by one goroutine;
-// only the calls inside poll run beside each other.
-type fleet struct {
+// engineTracker holds the state of the zone's engines. It is not safe for concurrent use; poll
+// makes its calls concurrently but records the answers sequentially.
+type engineTracker struct {
 	zone      cluster.ZoneID
 	engines   Engines
 	downAfter time.Duration
 	views     map[cluster.VMID]*engineView
 }
 
-func newFleet(zone cluster.ZoneID, engines Engines, downAfter time.Duration) *fleet {
-	return &fleet{zone: zone, engines: engines, downAfter: downAfter, views: make(map[cluster.VMID]*engineView)}
+func newEngineTracker(zone cluster.ZoneID, engines Engines, downAfter time.Duration) *engineTracker {
+	return &engineTracker{zone: zone, engines: engines, downAfter: downAfter, views: make(map[cluster.VMID]*engineView)}
 }
 
-// update takes in the platform's list. A VM that vanished from it stays known
-// while its engine answers or a replica holds it, because the list lags.
-func (f *fleet) update(list cluster.VMList, held func(cluster.VMID) bool, now time.Time) {
-	for _, view := range f.views {
+// update applies the platform's VM list. A VM missing from the list is kept while its engine
+// answers or a replica contains it, because the list lags.
+func (t *engineTracker) update(list cluster.VMList, inReplica func(cluster.VMID) bool, now time.Time) {
+	for _, view := range t.views {
 		view.listed = false
 	}
 	for _, vm := range list.VMs {
-		if vm.Zone != f.zone || vm.Service != "" {
+		if vm.Zone != t.zone || vm.Service != "" {
 			continue
 		}
-		view := f.views[vm.ID]
+		view := t.views[vm.ID]
 		if view == nil {
 			view = &engineView{}
-			f.views[vm.ID] = view
+			t.views[vm.ID] = view
 		}
 		if view.vm.Addr != vm.Addr {
-			view.known, view.asked, view.failing = false, time.Time{}, time.Time{}
+			view.hasState, view.polledAt, view.failingSince = false, time.Time{}, time.Time{}
 		}
 		view.vm, view.listed = vm, true
 	}
-	for id, view := range f.views {
-		if !view.listed && !held(id) && f.down(view, now) {
-			delete(f.views, id)
+	for id, view := range t.views {
+		if !view.listed && !inReplica(id) && t.isDown(view, now) {
+			delete(t.views, id)
 		}
 	}
 }
 
-func (f *fleet) down(view *engineView, now time.Time) bool {
-	return !view.failing.IsZero() && now.Sub(view.failing) >= f.downAfter
+func (t *engineTracker) isDown(view *engineView, now time.Time) bool {
+	return !view.failingSince.IsZero() && now.Sub(view.failingSince) >= t.downAfter
 }
 
-// placementVMs returns the policy's view of all VMs, ordered by id. Members of
-// replicas that no list and no answer ever named count as down since now.
-func (f *fleet) placementVMs(replicas []cluster.Replica, now time.Time) []placement.VM {
-	out := make([]placement.VM, 0, len(f.views))
-	for _, view := range f.views {
+// placementVMs returns all VMs as the policy sees them, ordered by ID. Members that were never
+// listed and never answered count as down since now.
+func (t *engineTracker) placementVMs(replicas []cluster.Replica, now time.Time) []placement.VM {
+	out := make([]placement.VM, 0, len(t.views))
+	for _, view := range t.views {
 		vm := placement.VM{
 			ID: view.vm.ID, Domain: view.vm.Domain, Listed: view.listed,
 			Leaving: view.vm.State == cluster.VMLeaving, LastSeen: view.lastSeen,
 		}
-		if f.down(view, now) {
-			vm.DownSince = view.failing
+		if t.isDown(view, now) {
+			vm.DownSince = view.failingSince
 		}
-		if view.known && view.state.Loaded {
+		if view.hasState && view.state.Loaded {
 			vm.Model = view.state.Assignment.Model
 		}
 		out = append(out, vm)
 	}
 	for _, r := range replicas {
 		for _, id := range r.Members {
-			if f.views[id] == nil {
+			if t.views[id] == nil {
 				out = append(out, placement.VM{ID: id, DownSince: now})
 			}
 		}
@@ -110,25 +110,25 @@
 	return out
 }
 
-type pollAnswer struct {
+type pollResult struct {
 	id    cluster.VMID
 	sent  time.Time
 	state engine.State
 	err   error
 }
 
-// poll asks the engines of the given VMs for their states, at most parallelCalls
-// at once, and takes in the answers.
-func (f *fleet) poll(ctx context.Context, ids []cluster.VMID) {
-	answers := make([]pollAnswer, len(ids))
+// poll requests the states of the given VMs' engines, at most maxParallelCalls at once, and
+// records the answers.
+func (t *engineTracker) poll(ctx context.Context, ids []cluster.VMID) {
+	results := make([]pollResult, len(ids))
 	var group errgroup.Group
-	group.SetLimit(parallelCalls)
+	group.SetLimit(maxParallelCalls)
 	for i, id := range ids {
-		addr := f.views[id].vm.Addr
+		addr := t.views[id].vm.Addr
 		group.Go(func() error {
 			sent := time.Now()
-			state, err := f.engines.State(ctx, addr)
-			answers[i] = pollAnswer{id: id, sent: sent, state: state, err: err}
+			state, err := t.engines.State(ctx, addr)
+			results[i] = pollResult{id: id, sent: sent, state: state, err: err}
 			return nil
 		})
 	}
@@ -136,41 +136,41 @@
 	if ctx.Err() != nil {
 		return
 	}
-	for _, answer := range answers {
-		f.take(answer)
+	for _, result := range results {
+		t.recordPoll(result)
 	}
 }
 
-func (f *fleet) take(a pollAnswer) {
-	view := f.views[a.id]
-	view.asked = a.sent
-	if a.err != nil || a.state.VM != a.id {
-		if view.failing.IsZero() {
-			view.failing = a.sent
+func (t *engineTracker) recordPoll(r pollResult) {
+	view := t.views[r.id]
+	view.polledAt = r.sent
+	if r.err != nil || r.state.VM != r.id {
+		if view.failingSince.IsZero() {
+			view.failingSince = r.sent
 		}
 		return
 	}
-	f.answered(view, a.state, a.sent)
-	for _, member := range a.state.Members {
-		f.heard(member, a.state.Assignment, a.sent)
+	t.recordState(view, r.state, r.sent)
+	for _, member := range r.state.Members {
+		t.recordMember(member, r.state.Assignment, r.sent)
 	}
 }
 
-func (f *fleet) answered(view *engineView, state engine.State, sent time.Time) {
-	view.state, view.stateAt, view.known = state, sent, true
-	view.lastSeen, view.failing = sent, time.Time{}
+func (t *engineTracker) recordState(view *engineView, state engine.State, sent time.Time) {
+	view.state, view.stateSentAt, view.hasState = state, sent, true
+	view.lastSeen, view.failingSince = sent, time.Time{}
 }
 
-// heard takes in what a serving VM says of one member, so that one poll covers a
-// whole replica. A member it lost is not taken as down on its word: the member
-// is due for a poll of its own, as its last sign of life grows old.
-func (f *fleet) heard(m engine.MemberDigest, of engine.Assignment, sent time.Time) {
-	view := f.views[m.VM]
-	if view == nil || m.Replica != of.Replica || m.Generation != of.Generation {
+// recordMember records what a serving VM reports about one member, so that one poll covers a
+// whole replica. A member that it reports as lost is not marked down on that report alone: once
+// its last sighting is old enough, the member is polled itself.
+func (t *engineTracker) recordMember(m engine.MemberDigest, assignment engine.Assignment, sent time.Time) {
+	view := t.views[m.VM]
+	if view == nil || m.Replica != assignment.Replica || m.Generation != assignment.Generation {
 		return
 	}
-	at := sent.Add(-time.Duration(m.SeenAgoMs) * time.Millisecond)
-	if at.After(view.lastSeen) {
-		view.lastSeen = at
+	seenAt := sent.Add(-time.Duration(m.SeenAgoMs) * time.Millisecond)
+	if seenAt.After(view.lastSeen) {
+		view.lastSeen = seenAt
 	}
 }
--- a/internal/grouping/fencing_test.go
+++ b/internal/grouping/fencing_test.go
@@ -16,8 +16,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// gate holds back the calls that match until it is opened, as a freeze of the
-// process at that very point does.
+// gate blocks a matching call until it is opened, as if the process were frozen at that point.
 type gate struct {
 	reached, open chan struct{}
 	passed        atomic.Bool
@@ -25,7 +24,7 @@
 
 func newGate() *gate { return &gate{reached: make(chan struct{}), open: make(chan struct{})} }
 
-// pass blocks the first caller; later ones go through.
+// pass blocks the first caller; later callers pass.
 func (g *gate) pass() {
 	if g.passed.CompareAndSwap(false, true) {
 		close(g.reached)
@@ -33,16 +32,16 @@
 	}
 }
 
-// frozenStore is the store as seen by a process that freezes in front of its
-// next transaction on replicas; its keep-alives stop with it.
+// frozenStore simulates a process that freezes before its next matching transaction. Its lease
+// renewals block at the same time.
 type frozenStore struct {
 	store.Store
-	gate   *gate
-	frozen func(txn store.Txn) bool
+	gate    *gate
+	matches func(txn store.Txn) bool
 }
 
 func (f *frozenStore) Txn(ctx context.Context, txn store.Txn) (store.TxnResult, error) {
-	if f.frozen(txn) {
+	if f.matches(txn) {
 		f.gate.pass()
 		ctx = context.WithoutCancel(ctx)
 	}
@@ -58,163 +57,161 @@
 	return f.Store.KeepAlive(ctx, id)
 }
 
-func changesReplicas(txn store.Txn) bool { return !takesLease(txn) }
+func changesReplicas(txn store.Txn) bool { return !acquiresLease(txn) }
 
-func takesLease(txn store.Txn) bool { return txn.Then[0].Key == store.PlacementLeaseKey(testZone) }
+func acquiresLease(txn store.Txn) bool { return txn.Then[0].Key == store.PlacementLeaseKey(testZone) }
 
-// The holder freezes right before it commits a grouping. Its lease lapses, another
-// node takes over and groups the VMs otherwise. Then the first one wakes up and
-// its write goes out. If it took effect, VMs would be in two replicas and callers
-// of both would get mixed-up or broken answers.
+// The holder freezes right before a commit. Its lease expires, and another node takes over and
+// groups the VMs differently. Then the first holder resumes and sends its write. If the write
+// took effect, VMs would be in two replicas, and callers of both would get mixed-up or broken
+// answers.
 func TestHolderFrozenBeforeCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, pairs)
-		frozen := &frozenStore{Store: w.store, gate: newGate(), frozen: changesReplicas}
-		n1 := w.start("n1", frozen)
+		tb := newTestbed(t, 3, pairGroup)
+		frozen := &frozenStore{Store: tb.store, gate: newGate(), matches: changesReplicas}
+		n1 := tb.start("n1", frozen)
 		<-frozen.gate.reached
-		// vm00 is gone by now, so that the second holder decides otherwise.
-		w.edit("vm00", func(e *fakeEngine) { e.down = true })
-		n2 := w.start("n2", nil)
-		replicas := w.settle(1)
+		// vm00 is down by now, so the second holder groups the VMs differently.
+		tb.editEngine("vm00", func(e *fakeEngine) { e.down = true })
+		n2 := tb.start("n2", nil)
+		replicas := tb.settle(1)
 		require.Equal(t, []cluster.VMID{"vm01", "vm02"}, replicas[0].Members)
 		close(frozen.gate.open)
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Equal(t, replicas, w.committed())
-		node, _ := w.holder()
+		require.Equal(t, replicas, tb.committed())
+		node, _ := tb.holder()
 		require.Equal(t, "n2", node)
 		n1.stop()
 		n2.stop()
 	})
 }
 
-// The holder freezes with an order in hand, after all its checks, and the order
-// goes out when another holder has regrouped. An engine that checks fencing
-// numbers refuses it. One that ignores them takes it: it then believes in a
-// replica that is not committed, so that no request goes there, and the new
-// holder puts it right at its next look.
+// The holder freezes after all checks of an order, which is sent only after another holder has
+// regrouped the VMs. An engine that checks fencing numbers refuses it. An engine that ignores
+// them accepts it and joins a replica that is not committed. No request is routed there, and
+// the new holder corrects the engine at its next poll.
 func TestHolderFrozenBeforeOrder(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		t.Run(map[bool]string{true: "engines check fences", false: "engines ignore fences"}[checks], func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { frozenBeforeOrder(t, checks) })
+		t.Run(map[bool]string{true: "engines check fencing numbers", false: "engines ignore fencing numbers"}[checks], func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { testHolderFrozenBeforeOrder(t, checks) })
 		})
 	}
 }
 
-func frozenBeforeOrder(t *testing.T, checks bool) {
-	w := newWorld(t, 3, pairs)
+func testHolderFrozenBeforeOrder(t *testing.T, checks bool) {
+	tb := newTestbed(t, 3, pairGroup)
 	for _, id := range []cluster.VMID{"vm00", "vm01", "vm02"} {
-		w.edit(id, func(e *fakeEngine) { e.state.ChecksFence = checks })
+		tb.editEngine(id, func(e *fakeEngine) { e.state.ChecksFence = checks })
 	}
-	frozen := &frozenStore{Store: w.store, gate: newGate(), frozen: func(store.Txn) bool { return false }}
-	w.beforeOrder = func(order engine.Order) {
+	frozen := &frozenStore{Store: tb.store, gate: newGate(), matches: func(store.Txn) bool { return false }}
+	tb.beforeOrder = func(order engine.Order) {
 		if order.VM == "vm01" {
 			frozen.gate.pass()
 		}
 	}
-	n1 := w.start("n1", frozen)
+	n1 := tb.start("n1", frozen)
 	<-frozen.gate.reached
-	w.edit("vm00", func(e *fakeEngine) { e.down = true })
-	n2 := w.start("n2", nil)
-	replica := w.settle(1)[0]
+	tb.editEngine("vm00", func(e *fakeEngine) { e.down = true })
+	n2 := tb.start("n2", nil)
+	replica := tb.settle(1)[0]
 	require.Equal(t, []cluster.VMID{"vm01", "vm02"}, replica.Members)
 
 	close(frozen.gate.open)
 	synctest.Wait()
-	require.Equal(t, checks, w.whole(replica), "the late order reaches only an engine that ignores fences")
-	// How long it can be misled: until the holder's next poll of the replica.
+	require.Equal(t, checks, tb.healthy(replica), "only an engine that ignores fencing numbers accepts the late order")
+	// The engine can act on the stale order until the holder's next poll of the replica.
 	time.Sleep(DefaultPollInterval + 2*DefaultTick)
 	synctest.Wait()
-	require.True(t, w.whole(replica))
-	require.Equal(t, []cluster.Replica{replica}, w.committed())
+	require.True(t, tb.healthy(replica))
+	require.Equal(t, []cluster.Replica{replica}, tb.committed())
 	n1.stop()
 	n2.stop()
 }
 
-// cutStore is the store as seen by a node that a partition cuts off from it.
-type cutStore struct {
+// partitionedStore simulates a node that is partitioned from the store.
+type partitionedStore struct {
 	store.Store
-	cut atomic.Bool
+	partitioned atomic.Bool
 }
 
-func (c *cutStore) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
-	if c.cut.Load() {
+func (p *partitionedStore) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
+	if p.partitioned.Load() {
 		return 0, &store.Error{Kind: store.Unavailable, Outcome: store.Unknown, Op: "keepalive", Err: errSilent}
 	}
-	return c.Store.KeepAlive(ctx, id)
+	return p.Store.KeepAlive(ctx, id)
 }
 
-func (c *cutStore) Get(ctx context.Context, key string) (*store.KV, int64, error) {
-	if c.cut.Load() {
+func (p *partitionedStore) Get(ctx context.Context, key string) (*store.KV, int64, error) {
+	if p.partitioned.Load() {
 		return nil, 0, &store.Error{Kind: store.Unavailable, Op: "get", Err: errSilent}
 	}
-	return c.Store.Get(ctx, key)
+	return p.Store.Get(ctx, key)
 }
 
-// The holder is cut off from the store but not from the engines, and keeps having
-// orders to send. An engine that ignores fencing numbers obeys whoever speaks
-// last, so the old holder must fall silent before the new one's first order, by
-// more than an order's life.
+// The holder is partitioned from the store but not from the engines, and keeps having orders to
+// send. An engine that ignores fencing numbers obeys the latest order, so the old holder's last
+// order must precede the new holder's first one by more than the order timeout.
 func TestOrdersOfTwoTermsNeverOverlap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, pairs)
-		through := &cutStore{Store: w.store}
-		n1 := w.start("n1", through)
-		w.settle(2)
-		_, oldFence := w.holder()
-		through.cut.Store(true)
-		n2 := w.start("n2", nil)
-		var last, taken, first time.Time
-		w.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Verdict {
-			if txn != nil && takesLease(*txn) {
-				taken = time.Now()
+		tb := newTestbed(t, 4, pairGroup)
+		cutOff := &partitionedStore{Store: tb.store}
+		n1 := tb.start("n1", cutOff)
+		tb.settle(2)
+		_, oldFence := tb.holder()
+		cutOff.partitioned.Store(true)
+		n2 := tb.start("n2", nil)
+		var lastOld, acquired, firstNew time.Time
+		tb.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Verdict {
+			if txn != nil && acquiresLease(*txn) {
+				acquired = time.Now()
 			}
 			return memstore.Proceed
 		})
-		w.beforeOrder = func(order engine.Order) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
+		tb.beforeOrder = func(order engine.Order) {
+			tb.mu.Lock()
+			defer tb.mu.Unlock()
 			switch {
 			case int64(order.Fence) == oldFence:
-				last = time.Now()
-			case first.IsZero():
-				first = time.Now()
+				lastOld = time.Now()
+			case firstNew.IsZero():
+				firstNew = time.Now()
 			}
 		}
 		for range 40 {
-			// An engine forgets its assignment again and again.
-			w.edit("vm00", func(e *fakeEngine) { e.state.Assignment = engine.Assignment{Role: engine.RoleIdle} })
+			// The engine repeatedly loses its assignment.
+			tb.editEngine("vm00", func(e *fakeEngine) { e.state.Assignment = engine.Assignment{Role: engine.RoleIdle} })
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}
-		require.False(t, last.IsZero())
-		require.False(t, first.IsZero())
-		require.True(t, taken.After(last.Add(DefaultOrderTimeout)))
-		require.GreaterOrEqual(t, first.Sub(taken), DefaultOrderTimeout)
+		require.False(t, lastOld.IsZero())
+		require.False(t, firstNew.IsZero())
+		require.True(t, acquired.After(lastOld.Add(DefaultOrderTimeout)))
+		require.GreaterOrEqual(t, firstNew.Sub(acquired), DefaultOrderTimeout)
 		n1.stop()
 		n2.stop()
 	})
 }
 
-// The store applies the commit and its answer is lost, or the write gets lost
-// and the answer with it, or it arrives after the next one. Assuming either
-// outcome would put VMs into two replicas or orders out that nobody committed.
+// The store applies a commit and its answer is lost, or both the write and the answer are lost.
+// Assuming either outcome would put VMs into two replicas or send orders that were never
+// committed.
 func TestCommitWithLostAnswer(t *testing.T) {
 	verdicts := map[string]memstore.Verdict{"applied": memstore.Lose, "not applied": memstore.Drop}
 	for name, verdict := range verdicts {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 4, pairs)
+				tb := newTestbed(t, 4, pairGroup)
 				lost := 0
-				w.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Verdict {
+				tb.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Verdict {
 					if txn != nil && changesReplicas(*txn) && lost < 2 {
 						lost++
 						return verdict
 					}
 					return memstore.Proceed
 				})
-				n := w.start("n1", nil)
-				replicas := w.settle(2)
+				n := tb.start("n1", nil)
+				replicas := tb.settle(2)
 				require.Len(t, replicas, 2)
 				require.Positive(t, lost)
 				n.stop()
@@ -223,7 +220,7 @@
 	}
 }
 
-// delayingStore answers the first commit with "unknown" and applies it later.
+// delayingStore answers the first commit with an unknown outcome and applies it later.
 type delayingStore struct {
 	store.Store
 	once  sync.Once
@@ -244,24 +241,24 @@
 	return d.Store.Txn(ctx, txn)
 }
 
-// A commit is held up on its way; reading back shows that it is not there, the
-// holder commits another grouping of the same VMs, and then the first one
-// arrives. It is from the same holder under the same lease, so that the fencing
-// number alone lets it through.
+// A commit is delayed on its way to the store. Reading back shows that it was not applied, the
+// holder commits a different grouping of the same VMs, and then the first commit arrives. It
+// was made by the same holder under the same lease, so the fencing number alone does not reject
+// it.
 func TestDelayedCommitOfTheSameHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, pairs)
+		tb := newTestbed(t, 3, pairGroup)
 		var apply func()
-		delayed := &delayingStore{Store: w.store, later: func(a func()) {
+		delayed := &delayingStore{Store: tb.store, later: func(a func()) {
 			apply = a
-			w.edit("vm00", func(e *fakeEngine) { e.down = true })
+			tb.editEngine("vm00", func(e *fakeEngine) { e.down = true })
 		}}
-		n := w.start("n1", delayed)
-		replicas := w.settle(1)
+		n := tb.start("n1", delayed)
+		replicas := tb.settle(1)
 		require.Equal(t, []cluster.VMID{"vm01", "vm02"}, replicas[0].Members)
 		apply()
 		time.Sleep(10 * time.Second)
-		require.Equal(t, replicas, w.committed())
+		require.Equal(t, replicas, tb.committed())
 		n.stop()
 	})
 }
--- a/internal/grouping/ids.go
+++ b/internal/grouping/ids.go
@@ -7,11 +7,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// newWriteID returns an id that no other write has.
+// newWriteID returns a random, unique write ID.
 func newWriteID() string { return rand.Text() }
 
-// idSequence makes ids that are unique over all holders of a zone's lease: the
-// fencing number never repeats, and seq rises within one term.
+// idSequence generates IDs that are unique across all holders of a zone's lease: each holder
+// has its own fencing number, and seq increases within its term.
 type idSequence struct {
 	zone  cluster.ZoneID
 	fence cluster.Fence
--- a/internal/grouping/lease.go
+++ b/internal/grouping/lease.go
@@ -13,8 +13,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// leaseMarginDivisor sets how much of a lease's life is left unused: a quarter.
-// It covers the difference in rate between this clock and the store's.
+// leaseMarginDivisor sets the fraction of a lease's TTL that is left unused: a quarter. It
+// covers the difference in rate between this clock and the store's.
 const leaseMarginDivisor = 4
 
 // holderRecord is the value of the lease key.
@@ -23,7 +23,7 @@
 	WriteID string         `json:"write_id"`
 }
 
-// Lease is the zone's placement lease as its holder knows it.
+// Lease is the zone's placement lease as seen by its holder.
 type Lease struct {
 	store store.Store
 	key   string
@@ -31,26 +31,26 @@
 	fence cluster.Fence
 	ttl   time.Duration
 
-	mu    sync.Mutex
-	since moment        // when the request that last extended the lease was sent
-	life  time.Duration // how long after since the holder may act
-	lost  bool
+	mu         sync.Mutex
+	extendedAt timestamp     // when the last successful extension was sent
+	usableLife time.Duration // how long after extendedAt the holder may act
+	lost       bool
 }
 
-// AcquireLease tries once to become the holder; it returns nil, nil when another
-// node is. The fencing number is the create revision of the lease key.
+// AcquireLease tries once to become the holder. It returns nil, nil if another node holds the
+// lease. The fencing number is the create revision of the lease key.
 func AcquireLease(ctx context.Context, s store.Store, zone cluster.ZoneID, node cluster.NodeID, ttl time.Duration) (*Lease, error) {
 	key := store.PlacementLeaseKey(zone)
 	kv, _, err := s.Get(ctx, key)
 	if err != nil || kv != nil {
 		return nil, err
 	}
-	sent := momentNow()
+	sent := timestampNow()
 	id, err := s.Grant(ctx, ttl)
 	if err != nil {
 		return nil, err
 	}
-	lease := &Lease{store: s, key: key, id: id, ttl: ttl, since: sent, life: usable(ttl)}
+	lease := &Lease{store: s, key: key, id: id, ttl: ttl, extendedAt: sent, usableLife: usableTTL(ttl)}
 	record := holderRecord{Node: node, WriteID: newWriteID()}
 	if err := lease.create(ctx, record); err != nil || lease.fence == 0 {
 		lease.Revoke(ctx)
@@ -59,8 +59,8 @@
 	return lease, nil
 }
 
-// create puts the lease key if it is absent. When the answer is lost, the key is
-// read back: it is ours if it carries our write id.
+// create puts the lease key if it is absent. If the answer is lost, it reads the key back: the
+// lease is ours if the key holds our write ID.
 func (l *Lease) create(ctx context.Context, record holderRecord) error {
 	value, err := json.Marshal(record)
 	if err != nil {
@@ -76,7 +76,7 @@
 		}
 		return nil
 	}
-	if !isUnknown(err) {
+	if !outcomeUnknown(err) {
 		return err
 	}
 	kv, _, readErr := l.store.Get(ctx, l.key)
@@ -90,27 +90,27 @@
 	return nil
 }
 
-// Fence is the fencing number of this term.
+// Fence returns the fencing number of this term.
 func (l *Lease) Fence() cluster.Fence { return l.fence }
 
-// Guard is the condition under which every write of this term is made. The key
-// is written once, so its last change is its creation, which every driver can
-// compare.
+// Guard returns the condition that guards every write of this term. The key is written only
+// once, so its mod revision equals its create revision; every driver can compare the mod
+// revision.
 func (l *Lease) Guard() store.Guard { return store.ModifiedAt(l.key, int64(l.fence)) }
 
-// Remaining is how much longer the holder may act at now; never negative.
+// Remaining returns how much longer the holder may act at now; never negative.
 func (l *Lease) Remaining(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.lost {
 		return 0
 	}
-	return max(0, l.life-l.since.elapsed(now))
+	return max(0, l.usableLife-l.extendedAt.elapsed(now))
 }
 
-// Extend keeps the lease alive once. A lease that the store no longer knows is lost.
+// Extend renews the lease once. A lease that the store no longer knows is marked lost.
 func (l *Lease) Extend(ctx context.Context) error {
-	sent := momentNow()
+	sent := timestampNow()
 	left, err := l.store.KeepAlive(ctx, l.id)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,28 +120,28 @@
 		}
 		return err
 	}
-	l.since = sent
-	l.life = usable(min(left, l.ttl))
+	l.extendedAt = sent
+	l.usableLife = usableTTL(min(left, l.ttl))
 	return nil
 }
 
-// MarkLost marks the lease as lost, when a guarded write shows that it is.
+// MarkLost marks the lease as lost after a guarded write has shown it.
 func (l *Lease) MarkLost() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost = true
 }
 
-// Lost reports whether the lease is known to be over; one that was not extended in time
-// is not lost by that.
+// Lost reports whether the lease is known to be lost. A lease that was merely not extended in
+// time is not.
 func (l *Lease) Lost() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lost
 }
 
-// Revoke gives the lease up, so that another node need not wait for it to lapse.
-// A failure is ignored: the lease then lapses by itself.
+// Revoke releases the lease so that another node need not wait for it to expire. Failures are
+// ignored, because the lease then expires by itself.
 func (l *Lease) Revoke(ctx context.Context) {
 	l.MarkLost()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
@@ -149,24 +149,24 @@
 	_ = l.store.Revoke(ctx, l.id)
 }
 
-func usable(life time.Duration) time.Duration { return life - life/leaseMarginDivisor }
+func usableTTL(life time.Duration) time.Duration { return life - life/leaseMarginDivisor }
 
-// moment is a point in time by two clocks.
-type moment struct {
-	at   time.Time
-	boot time.Duration
+// timestamp is a point in time on two clocks.
+type timestamp struct {
+	at        time.Time
+	sinceBoot time.Duration
 }
 
-func momentNow() moment { return moment{at: time.Now(), boot: clock.SinceBoot()} }
+func timestampNow() timestamp { return timestamp{at: time.Now(), sinceBoot: clock.SinceBoot()} }
 
-// elapsed is the time since the moment by the clock that shows most. A suspended
-// VM's monotonic clock stands still while the store's lease runs on; the time of
-// day shows that, unless it was set back, and the clock since boot always does.
-func (m moment) elapsed(now time.Time) time.Duration {
-	return max(now.Sub(m.at), now.Round(0).Sub(m.at.Round(0)), clock.SinceBoot()-m.boot)
+// elapsed returns the time since the timestamp, by whichever clock shows the most. The
+// monotonic clock of a suspended VM stops while the store's lease keeps running. The wall clock
+// includes the suspension unless it was set back; the clock since boot always does.
+func (t timestamp) elapsed(now time.Time) time.Duration {
+	return max(now.Sub(t.at), now.Round(0).Sub(t.at.Round(0)), clock.SinceBoot()-t.sinceBoot)
 }
 
-func isUnknown(err error) bool {
+func outcomeUnknown(err error) bool {
 	e, ok := errors.Into[*store.Error](err)
 	return !ok || e.Outcome == store.Unknown
 }
--- a/internal/grouping/orders.go
+++ b/internal/grouping/orders.go
@@ -13,12 +13,12 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// desired returns what each VM's engine should believe, by the committed table.
-// Spares in holds should be idle with their group's model loaded. VMs without an
-// entry should be idle.
-func desired(replicas []cluster.Replica, holds map[cluster.VMID]cluster.GroupName, groups []rules.Group, addr func(cluster.VMID) string) map[cluster.VMID]engine.Assignment {
+// desiredAssignments returns the assignment that each VM's engine should have according to the
+// committed table. The spares in spareGroups should be idle with their group's model loaded;
+// VMs without an entry should be idle.
+func desiredAssignments(replicas []cluster.Replica, spareGroups map[cluster.VMID]cluster.GroupName, groups []rules.Group, addr func(cluster.VMID) string) map[cluster.VMID]engine.Assignment {
 	out := make(map[cluster.VMID]engine.Assignment)
-	for id, name := range holds {
+	for id, name := range spareGroups {
 		if g := placement.FindGroup(groups, name); g != nil {
 			out[id] = engine.Assignment{Role: engine.RoleIdle, Model: g.Model, Version: g.Version, Adapters: g.Adapters}
 		}
@@ -46,9 +46,9 @@
 	return out
 }
 
-// orderFor returns the order that takes an engine from have to want, or "" when
-// none is needed. An engine that is not wanted may keep its weights, but not its
-// place in a replica.
+// orderFor returns the kind of order that takes an engine from have to want, or "" if none is
+// needed. An engine that is not wanted may keep its weights but not its membership in a
+// replica.
 func orderFor(have, want engine.Assignment, wanted bool) engine.OrderKind {
 	switch {
 	case !wanted && have.Replica != "":
@@ -65,25 +65,24 @@
 	}
 }
 
-// needsWeights reports whether the order makes the engine read the weight store.
-func needsWeights(have engine.State, order engine.Order) bool {
+// needsWeightLoad reports whether the order makes the engine read from the weight store.
+func needsWeightLoad(have engine.State, order engine.Order) bool {
 	if order.Kind == engine.OrderRelease {
 		return false
 	}
 	a := order.Assignment
-	same := have.Assignment.Model == a.Model && have.Assignment.Version == a.Version &&
+	sameWeights := have.Assignment.Model == a.Model && have.Assignment.Version == a.Version &&
 		slices.Equal(have.Assignment.Adapters, a.Adapters)
-	return !same || !have.Loaded
+	return !sameWeights || !have.Loaded
 }
 
-// sendOrders sends each order if the lease still has orderLife left at that
-// moment. An engine that ignores fencing numbers has no other protection from a
-// holder that was paused: the check stands right before the call, and the call
-// itself ends with the order's life.
+// sendOrders sends each order if the lease still outlasts orderTimeout at that moment. This
+// check is the only protection of an engine that ignores fencing numbers from a holder that was
+// paused, so it directly precedes the call, and the call is bounded by the same timeout.
 func (c *Controller) sendOrders(ctx context.Context, t *term, orders []addressedOrder) {
 	var group errgroup.Group
-	group.SetLimit(parallelCalls)
-	results := make([]orderAnswer, len(orders))
+	group.SetLimit(maxParallelCalls)
+	results := make([]orderResult, len(orders))
 	for i, o := range orders {
 		group.Go(func() error {
 			results[i] = c.sendOrder(ctx, t, o)
@@ -92,7 +91,7 @@
 	}
 	_ = group.Wait()
 	for i, o := range orders {
-		c.orderDone(t, o, results[i])
+		c.recordOrder(t, o, results[i])
 	}
 }
 
@@ -101,39 +100,39 @@
 	order engine.Order
 }
 
-type orderAnswer struct {
+type orderResult struct {
 	sent   time.Time
 	result engine.OrderResult
 	err    error
 }
 
-func (c *Controller) sendOrder(ctx context.Context, t *term, o addressedOrder) orderAnswer {
-	ctx, cancel := context.WithTimeout(ctx, c.orderLife)
+func (c *Controller) sendOrder(ctx context.Context, t *term, o addressedOrder) orderResult {
+	ctx, cancel := context.WithTimeout(ctx, c.orderTimeout)
 	defer cancel()
 	sent := time.Now()
-	if t.lease.Remaining(sent) < c.orderLife {
-		return orderAnswer{sent: sent, err: &CommitError{Kind: CommitLeaseLost, Err: context.DeadlineExceeded}}
+	if t.lease.Remaining(sent) < c.orderTimeout {
+		return orderResult{sent: sent, err: &CommitError{Kind: CommitLeaseLost, Err: context.DeadlineExceeded}}
 	}
 	result, err := c.opts.Engines.Order(ctx, o.addr, o.order)
-	return orderAnswer{sent: sent, result: result, err: err}
+	return orderResult{sent: sent, result: result, err: err}
 }
 
-func (c *Controller) orderDone(t *term, o addressedOrder, a orderAnswer) {
+func (c *Controller) recordOrder(t *term, o addressedOrder, r orderResult) {
 	log := c.opts.Log.With("zone", c.opts.Zone, "order", o.order.ID, "kind", o.order.Kind, "vm", o.order.VM,
 		"replica", o.order.Assignment.Replica, "generation", o.order.Assignment.Generation, "fence", o.order.Fence)
 	switch {
-	case a.err != nil:
-		ordersFailed.Inc()
-		log.Warn("order failed", "error", a.err)
-	case !a.result.Accepted:
-		ordersRefused.Inc()
-		log.Warn("order refused", "reason", a.result.Reason)
+	case r.err != nil:
+		ordersFailedTotal.Inc()
+		log.Warn("order failed", "error", r.err)
+	case !r.result.Accepted:
+		ordersRefusedTotal.Inc()
+		log.Warn("order refused", "reason", r.result.Reason)
 	default:
-		ordersAccepted.Inc()
+		ordersAcceptedTotal.Inc()
 		log.Info("order accepted")
 	}
-	view := t.fleet.views[o.order.VM]
-	if a.err == nil && view != nil && a.result.State.VM == o.order.VM {
-		t.fleet.answered(view, a.result.State, a.sent)
+	view := t.engines.views[o.order.VM]
+	if r.err == nil && view != nil && r.result.State.VM == o.order.VM {
+		t.engines.recordState(view, r.result.State, r.sent)
 	}
 }
--- a/internal/grouping/process_test.go
+++ b/internal/grouping/process_test.go
@@ -29,10 +29,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/etcdgw"
 )
 
-// holderEnv makes the test binary run one controller as a process of its own.
+// holderEnv holds the configuration that makes the test binary run one controller as a separate
+// process.
 const holderEnv = "FENNEL_TEST_HOLDER"
 
-// holderConfig is what such a process gets, as JSON in holderEnv.
+// holderConfig is the JSON configuration in holderEnv.
 type holderConfig struct {
 	Node  cluster.NodeID
 	Store string
@@ -51,7 +52,7 @@
 	os.Exit(m.Run())
 }
 
-// runHolder runs a controller until standard input ends.
+// runHolder runs a controller until standard input is closed.
 func runHolder(text string) {
 	var config holderConfig
 	if err := json.Unmarshal([]byte(text), &config); err != nil {
@@ -96,7 +97,7 @@
 	t.Cleanup(func() {
 		_ = stdin.Close()
 		_ = h.cmd.Process.Signal(syscall.SIGCONT)
-		for range h.lines { // until it has ended
+		for range h.lines { // drain the output until the process ends
 		}
 		_ = h.cmd.Wait()
 	})
@@ -105,7 +106,7 @@
 
 func (h *holder) signal(s syscall.Signal) { require.NoError(h.t, h.cmd.Process.Signal(s)) }
 
-// await reads the process's log until a line holds the text.
+// await reads the process's log until a line contains the text.
 func (h *holder) await(text string) {
 	h.t.Helper()
 	timeout := time.After(20 * time.Second)
@@ -117,19 +118,19 @@
 				return
 			}
 		case <-timeout:
-			require.FailNow(h.t, "no line "+text)
+			require.FailNow(h.t, "no log line contains "+text)
 		}
 	}
 }
 
-// lateOrder holds back the first order that reaches an engine, as a slow network
-// does, and passes it on when told to.
+// lateOrder delays the first order sent to an engine, as a slow network does, until release is
+// closed.
 type lateOrder struct {
-	next          http.Handler
-	arrived, pass chan struct{}
-	passed        chan engine.OrderResult
-	mu            sync.Mutex
-	fences        []cluster.Fence
+	next             http.Handler
+	arrived, release chan struct{}
+	results          chan engine.OrderResult
+	mu               sync.Mutex
+	fences           []cluster.Fence
 }
 
 func (l *lateOrder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -146,7 +147,7 @@
 	l.mu.Unlock()
 	if first {
 		close(l.arrived)
-		<-l.pass
+		<-l.release
 	}
 	recorder := httptest.NewRecorder()
 	late := httptest.NewRequest(http.MethodPost, engine.OrdersPath, bytes.NewReader(body))
@@ -154,34 +155,34 @@
 	if first {
 		var result engine.OrderResult
 		_ = json.Unmarshal(recorder.Body.Bytes(), &result)
-		l.passed <- result
+		l.results <- result
 	}
 	w.WriteHeader(recorder.Code)
 	_, _ = w.Write(recorder.Body.Bytes())
 }
 
-// The process that holds the lease is stopped in the middle of an order, for
-// longer than its lease; another process takes over and groups the same VM into
-// another replica. Then the first one goes on, and its order, delayed on the way,
-// reaches the engine. The table must stay as the new holder committed it, the old
-// one must send nothing more, and an engine that ignores fencing numbers must be
-// put right: callers of either replica would get answers of a broken model.
+// The holder process is stopped in the middle of an order for longer than its lease. Another
+// process takes over and assigns the same VM to another replica. Then the first process
+// resumes, and its delayed order reaches the engine. The table must stay as committed by the
+// new holder, the old holder must send no further orders, and an engine that ignores fencing
+// numbers must be corrected: callers of either replica would otherwise get answers from a
+// broken model.
 func TestHolderProcessFrozenInTheMiddleOfAnOrder(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		t.Run(map[bool]string{true: "engines check fences", false: "engines ignore fences"}[checks], func(t *testing.T) {
+		t.Run(map[bool]string{true: "engines check fencing numbers", false: "engines ignore fencing numbers"}[checks], func(t *testing.T) {
 			t.Parallel()
-			frozenProcess(t, checks)
+			testHolderProcessFrozen(t, checks)
 		})
 	}
 }
 
-func frozenProcess(t *testing.T, checks bool) {
+func testHolderProcessFrozen(t *testing.T, checks bool) {
 	platform := standinplatform.New(standinplatform.Options{})
 	gateway := httptest.NewServer(platform.Handler())
 	t.Cleanup(gateway.Close)
-	config := holderConfig{Store: gateway.URL, Group: pairs, VMs: cluster.VMList{AsOf: time.Now()}}
+	config := holderConfig{Store: gateway.URL, Group: pairGroup, VMs: cluster.VMList{AsOf: time.Now()}}
 	engines := make(map[cluster.VMID]*standinengine.Server)
-	late := &lateOrder{arrived: make(chan struct{}), pass: make(chan struct{}), passed: make(chan engine.OrderResult, 1)}
+	late := &lateOrder{arrived: make(chan struct{}), release: make(chan struct{}), results: make(chan engine.OrderResult, 1)}
 	for _, id := range []cluster.VMID{"vm00", "vm01", "vm02"} {
 		e := standinengine.New(standinengine.Options{VM: id, ChecksFence: checks})
 		handler := e.Handler()
@@ -191,7 +192,7 @@
 		}
 		server := httptest.NewServer(handler)
 		t.Cleanup(func() {
-			e.SetFaults(standinengine.Faults{}) // a frozen engine would not let its server close
+			e.SetFaults(standinengine.Faults{}) // a frozen engine would keep its server from closing
 			server.Close()
 			e.Close()
 		})
@@ -228,9 +229,9 @@
 	want := committed()
 
 	n1.signal(syscall.SIGCONT)
-	close(late.pass)
-	result := <-late.passed
-	require.Equal(t, !checks, result.Accepted, "only an engine that ignores fences takes the late order")
+	close(late.release)
+	result := <-late.results
+	require.Equal(t, !checks, result.Accepted, "only an engine that ignores fencing numbers accepts the late order")
 	n1.await("placement lease given up")
 	require.Eventually(t, confirmed, 20*time.Second, 20*time.Millisecond)
 	require.Equal(t, want, committed())
--- a/internal/grouping/repair_test.go
+++ b/internal/grouping/repair_test.go
@@ -15,67 +15,67 @@
 
 const testLoadTime = 20 * time.Second
 
-// weightedWorld is a settled zone under the weighted policy.
-func weightedWorld(t *testing.T, vms int) (*world, *node, []cluster.Replica) {
-	w := newWorld(t, vms, pairs)
-	w.policy = placement.Weighted{}
-	w.loadTime = testLoadTime
-	n := w.start("n1", nil)
-	replicas := w.settle(vms / pairs.VMs)
+// startWeightedZone returns a settled zone under the weighted policy.
+func startWeightedZone(t *testing.T, vms int) (*testbed, *node, []cluster.Replica) {
+	tb := newTestbed(t, vms, pairGroup)
+	tb.policy = placement.Weighted{}
+	tb.loadTime = testLoadTime
+	n := tb.start("n1", nil)
+	replicas := tb.settle(vms / pairGroup.VMs)
 	time.Sleep(testLoadTime)
 	synctest.Wait()
-	return w, n, replicas
+	return tb, n, replicas
 }
 
-// A VM dies and a spare stands by. The replica must be back without reading
-// weights again, and nobody else's replica may be touched.
+// A VM fails while a warm spare is available. The replica must recover without loading weights
+// again, and no other replica may change.
 func TestWarmSpareReplacesLostMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, n, before := weightedWorld(t, 5)
-		spare := w.engine("vm04").state
+		tb, n, before := startWeightedZone(t, 5)
+		spare := tb.engine("vm04").state
 		require.Equal(t, engine.RoleIdle, spare.Assignment.Role)
-		require.Equal(t, "m", spare.Assignment.Model, "the spare loads the model ahead")
-		w.edit("vm01", func(e *fakeEngine) { e.down = true })
+		require.Equal(t, "m", spare.Assignment.Model, "the spare loads the model in advance")
+		tb.editEngine("vm01", func(e *fakeEngine) { e.down = true })
 		lost := time.Now()
 		time.Sleep(DefaultDownAfter)
-		for !slices.Contains(w.committed()[0].Members, "vm04") || !w.whole(w.committed()[0]) {
+		for !slices.Contains(tb.committed()[0].Members, "vm04") || !tb.healthy(tb.committed()[0]) {
 			require.Less(t, time.Since(lost), testLoadTime)
 			time.Sleep(DefaultTick)
 			synctest.Wait()
 		}
-		after := w.committed()
+		after := tb.committed()
 		require.Equal(t, before[0].ID, after[0].ID)
 		require.Equal(t, before[0].Generation+1, after[0].Generation)
 		require.Equal(t, before[1], after[1])
-		require.Equal(t, 1, w.engine("vm04").loads)
+		require.Equal(t, 1, tb.engine("vm04").loads)
 		n.stop()
 	})
 }
 
-// The platform announces that it takes a VM away while streams run. The replica
-// gets no new work, its streams end by themselves, and only then is the spare put
-// in the leaving VM's place.
+// The platform announces that a VM will leave while streams are running. The replica gets no
+// new requests, its streams end by themselves, and only then does the spare replace the leaving
+// VM.
 func TestLeavingVMIsReplacedAfterItsStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, n, before := weightedWorld(t, 5)
+		tb, n, before := startWeightedZone(t, 5)
 		serving := before[0].Serving
-		w.edit(serving, func(e *fakeEngine) { e.state.Load.Running = 3 })
-		w.editVM(before[0].Members[1], func(vms []cluster.VM, at int) []cluster.VM {
-			vms[at].State = cluster.VMLeaving
+		tb.editEngine(serving, func(e *fakeEngine) { e.state.Load.Running = 3 })
+		tb.editVM(before[0].Members[1], func(vms []cluster.VM, i int) []cluster.VM {
+			vms[i].State = cluster.VMLeaving
 			return vms
 		})
 		time.Sleep(2 * DefaultTick)
 		synctest.Wait()
-		drained := w.committed()[0]
+		drained := tb.committed()[0]
 		require.True(t, drained.Leaving)
 		require.Equal(t, before[0].Generation, drained.Generation)
-		orders := len(w.orders)
+		orders := len(tb.accepted)
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Len(t, w.orders, orders, "no order while streams run")
+		require.Len(t, tb.accepted, orders, "no order while streams are running")
 
-		w.edit(serving, func(e *fakeEngine) { e.state.Load.Running = 0 })
-		after := w.settle(2)
+		tb.editEngine(serving, func(e *fakeEngine) { e.state.Load.Running = 0 })
+		after := tb.settle(2)
 		require.False(t, after[0].Leaving)
 		require.Equal(t, []cluster.VMID{"vm00", "vm04"}, after[0].Members)
 		require.Equal(t, before[1], after[1])
@@ -83,125 +83,125 @@
 	})
 }
 
-// A rack loses power. What is whole in other racks goes on untouched, and the
-// dark replicas are as before when the rack is back.
-func TestDarkDomain(t *testing.T) {
+// A rack loses power. Healthy replicas in other racks keep serving unchanged, and the failed
+// replicas are as before once the rack is back.
+func TestDomainOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, pairs)
-		w.policy = placement.Weighted{}
-		w.addVM("dark0", "d2")
-		w.addVM("dark1", "d2")
-		n := w.start("n1", nil)
-		before := w.settle(3)
+		tb := newTestbed(t, 4, pairGroup)
+		tb.policy = placement.Weighted{}
+		tb.addVM("dark0", "d2")
+		tb.addVM("dark1", "d2")
+		n := tb.start("n1", nil)
+		before := tb.settle(3)
 		for _, id := range []cluster.VMID{"dark0", "dark1"} {
-			w.edit(id, func(e *fakeEngine) {
+			tb.editEngine(id, func(e *fakeEngine) {
 				e.down = true
 				e.state = engine.State{VM: id, Assignment: engine.Assignment{Role: engine.RoleIdle}}
 			})
 		}
-		orders := len(w.orders)
+		orders := len(tb.accepted)
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		require.Equal(t, before, w.committed())
-		require.Len(t, w.orders, orders)
+		require.Equal(t, before, tb.committed())
+		require.Len(t, tb.accepted, orders)
 		for _, id := range []cluster.VMID{"dark0", "dark1"} {
-			w.edit(id, func(e *fakeEngine) { e.down = false })
+			tb.editEngine(id, func(e *fakeEngine) { e.down = false })
 		}
-		require.Equal(t, before, w.settle(3))
+		require.Equal(t, before, tb.settle(3))
 		n.stop()
 	})
 }
 
-// The weight store takes one reader in five seconds. Starting all engines at once
-// would have every one of them wait for the slowest, so replicas come up one
-// after the other.
+// The weight store takes one reader every five seconds. If all engines started at once, each
+// would wait for the slowest, so replicas are started one after another.
 func TestWeightStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 8, pairs)
-		w.loadsPerSec = 0.2
+		tb := newTestbed(t, 8, pairGroup)
+		tb.loadsPerSec = 0.2
 		var times []time.Time
 		var replicas []cluster.ReplicaID
-		w.beforeOrder = func(order engine.Order) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
+		tb.beforeOrder = func(order engine.Order) {
+			tb.mu.Lock()
+			defer tb.mu.Unlock()
 			times = append(times, time.Now())
 			replicas = append(replicas, order.Assignment.Replica)
 		}
-		n := w.start("n1", nil)
-		w.settle(4)
+		n := tb.start("n1", nil)
+		tb.settle(4)
 		n.stop()
 		require.Len(t, times, 8)
 		require.GreaterOrEqual(t, times[7].Sub(times[0]), 7*4*time.Second)
-		require.True(t, slices.IsSorted(replicas), "replica by replica: %v", replicas)
+		require.True(t, slices.IsSorted(replicas), "one replica after another: %v", replicas)
 	})
 }
 
-// An operator changes the version of a group's model. Engines get it as a load
-// order within their assignment, one replica after the other: all at once would
-// leave the group without any replica while they load. A replica whose VM is
-// down for hours must not hold up the others.
-func TestNewVersionRolls(t *testing.T) {
+// An operator changes the version of a group's model. Engines get it as a load order within
+// their assignment, one replica after another: updating all at once would leave the group
+// without a replica while they load. A replica whose VM is down for hours must not delay the
+// others.
+func TestRollingVersionUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, n, before := weightedWorld(t, 8)
-		w.edit("vm00", func(e *fakeEngine) { e.down = true })
-		group := pairs
+		tb, n, before := startWeightedZone(t, 8)
+		tb.editEngine("vm00", func(e *fakeEngine) { e.down = true })
+		group := pairGroup
 		group.Version = "v2"
-		loading := make(map[cluster.ReplicaID]int)
+		loadOrders := make(map[cluster.ReplicaID]int)
 		ready := func(id cluster.ReplicaID) bool {
-			for _, e := range w.engines {
-				if e.state.Assignment.Replica == id && !e.seen().Loaded {
+			for _, e := range tb.engines {
+				if e.state.Assignment.Replica == id && !e.currentState().Loaded {
 					return false
 				}
 			}
 			return true
 		}
-		w.beforeOrder = func(order engine.Order) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			loading[order.Assignment.Replica]++
-			for other := range loading {
-				require.True(t, other == order.Assignment.Replica || loading[other] == pairs.VMs)
-				require.True(t, other == order.Assignment.Replica || ready(other), "%s still loads", other)
+		tb.beforeOrder = func(order engine.Order) {
+			tb.mu.Lock()
+			defer tb.mu.Unlock()
+			loadOrders[order.Assignment.Replica]++
+			for other := range loadOrders {
+				require.True(t, other == order.Assignment.Replica || loadOrders[other] == pairGroup.VMs)
+				require.True(t, other == order.Assignment.Replica || ready(other), "%s is still loading", other)
 			}
 		}
-		w.setGroups(group)
+		tb.setGroups(group)
 		time.Sleep(3 * (testLoadTime + 2*DefaultPollInterval))
 		synctest.Wait()
-		require.Equal(t, before, w.committed())
-		require.Len(t, loading, 3)
-		for _, vm := range w.List().VMs[2:] {
-			require.Equal(t, "v2", w.engine(vm.ID).state.Assignment.Version)
+		require.Equal(t, before, tb.committed())
+		require.Len(t, loadOrders, 3)
+		for _, vm := range tb.List().VMs[2:] {
+			require.Equal(t, "v2", tb.engine(vm.ID).state.Assignment.Version)
 		}
 		n.stop()
 	})
 }
 
-// A poll without an answer says nothing of the streams that run: a drained replica is kept until its engine says it is idle.
+// A poll without an answer says nothing about running streams: a drained replica is kept until
+// its engine reports that it is idle.
 func TestUnansweredPollDoesNotMakeADrainedReplicaIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, n, before := weightedWorld(t, 5)
+		tb, n, before := startWeightedZone(t, 5)
 		serving := before[0].Serving
-		w.editVM(before[0].Members[1], func(vms []cluster.VM, at int) []cluster.VM {
-			vms[at].State = cluster.VMLeaving
+		tb.editVM(before[0].Members[1], func(vms []cluster.VM, i int) []cluster.VM {
+			vms[i].State = cluster.VMLeaving
 			return vms
 		})
 		time.Sleep(2 * DefaultTick)
 		synctest.Wait()
-		require.True(t, w.committed()[0].Leaving)
-		time.Sleep(drainGrace - DefaultTick)
+		require.True(t, tb.committed()[0].Leaving)
+		time.Sleep(drainGracePeriod - DefaultTick)
 		synctest.Wait()
-		w.edit(serving, func(e *fakeEngine) { e.state.Load.Running, e.down = 3, true })
-		orders := len(w.orders)
+		tb.editEngine(serving, func(e *fakeEngine) { e.state.Load.Running, e.down = 3, true })
+		orders := len(tb.accepted)
 		time.Sleep(DefaultDownAfter - DefaultTick)
 		synctest.Wait()
-		w.edit(serving, func(e *fakeEngine) { e.down = false })
+		tb.editEngine(serving, func(e *fakeEngine) { e.down = false })
 		time.Sleep(10 * DefaultTick)
 		synctest.Wait()
-		require.Len(t, w.orders, orders, "no order while streams run")
-		require.True(t, w.committed()[0].Leaving)
+		require.Len(t, tb.accepted, orders, "no order while streams are running")
+		require.True(t, tb.committed()[0].Leaving)
 
-		w.edit(serving, func(e *fakeEngine) { e.state.Load.Running = 0 })
-		require.Equal(t, []cluster.VMID{"vm00", "vm04"}, w.settle(2)[0].Members)
+		tb.editEngine(serving, func(e *fakeEngine) { e.state.Load.Running = 0 })
+		require.Equal(t, []cluster.VMID{"vm00", "vm04"}, tb.settle(2)[0].Members)
 		n.stop()
 	})
 }
--- a/internal/grouping/table.go
+++ b/internal/grouping/table.go
@@ -1,7 +1,6 @@
-// Package grouping keeps the committed grouping of an availability zone: Table
-// is every node's view of it, Controller is the one writer, who holds the zone's
-// placement lease and turns a placement policy's plans into committed replicas
-// and orders to the engines.
+// Package grouping keeps the committed grouping of an availability zone. Table is each node's
+// read-only view of it. Controller is the single writer: it holds the zone's placement lease
+// and turns the plans of a placement policy into committed replicas and orders to the engines.
 package grouping
 
 import (
@@ -23,26 +22,27 @@
 
 // Peers fetches a zone's grouping from other nodes.
 type Peers interface {
-	// FetchGrouping returns the newest grouping that any asked peer knows. A
-	// zero Revision means that none knows one newer than have.
+	// FetchGrouping returns the newest grouping known to the peers that were asked. A zero
+	// Revision means that none is newer than have.
 	FetchGrouping(ctx context.Context, zone cluster.ZoneID, have int64) (cluster.Grouping, error)
 }
 
-// TableOptions sets up a Table. Zone, Store and Log are required.
+// TableOptions configures a Table. Zone, Store and Log are required.
 type TableOptions struct {
 	Zone  cluster.ZoneID
 	Store store.Store
 	Log   *slog.Logger
-	// Peers is asked while the store is silent, and instead of the store on
-	// nodes that do not watch; may be nil.
+	// Peers is used while the store does not answer, and instead of the store on nodes that do
+	// not watch it; may be nil.
 	Peers Peers
-	// ShouldWatch reports whether this node watches the store itself. The store
-	// counts each watch, so only a few nodes of a zone should; nil means yes.
+	// ShouldWatch reports whether this node watches the store itself. The store counts each
+	// watch, so only a few nodes of a zone should; nil means always.
 	ShouldWatch func() bool
-	// RetryInterval is the pause after a failed read, before jitter; zero means DefaultRetry.
+	// RetryInterval is the pause after a failed read, before jitter; zero means
+	// DefaultRetryInterval.
 	RetryInterval time.Duration
-	// HeadCheckInterval is the time between two comparisons with the zone's head key,
-	// which show a watch that skipped an event; zero means DefaultHeadCheck.
+	// HeadCheckInterval is the time between two comparisons with the zone's head key, which
+	// reveal events missed by the watch; zero means DefaultHeadCheckInterval.
 	HeadCheckInterval time.Duration
 }
 
@@ -53,8 +53,8 @@
 	readTimeout              = 5 * time.Second
 )
 
-// Table is a node's view of one zone's committed grouping. It serves from memory
-// while the store is down and never goes to a lower revision.
+// Table is a node's view of one zone's committed grouping. It serves from memory while the
+// store is down and never goes back to a lower revision.
 type Table struct {
 	opts TableOptions
 
@@ -64,8 +64,8 @@
 	listeners []func(cluster.Grouping)
 	ready     chan struct{}
 
-	// notify serialises calls to listeners, so that they see revisions rise.
-	notify sync.Mutex
+	// notifyMu serializes calls to listeners, so that they see increasing revisions.
+	notifyMu sync.Mutex
 }
 
 // NewTable returns an empty Table; Run fills it.
@@ -82,38 +82,37 @@
 	return &Table{opts: opts, current: cluster.Grouping{Zone: opts.Zone}, ready: make(chan struct{})}
 }
 
-// Current returns the newest known grouping; callers must not change it.
+// Current returns the newest known grouping; callers must not modify it.
 func (t *Table) Current() cluster.Grouping {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.current
 }
 
-// Ready is closed once a grouping is known, from the store or from a peer.
+// Ready returns a channel that is closed once a grouping is known, from the store or a peer.
 func (t *Table) Ready() <-chan struct{} { return t.ready }
 
-// OnChange registers fn to be called after each change, in order of revision.
-// Register before Run.
+// OnChange registers fn to be called after each change, in order of revision. It must be called
+// before Run.
 func (t *Table) OnChange(fn func(cluster.Grouping)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.listeners = append(t.listeners, fn)
 }
 
-// Offer takes a grouping that a peer knows, if it is newer; it reports whether
-// it was taken.
+// Offer applies a peer's grouping unless it is older, and reports whether it was applied.
 func (t *Table) Offer(g cluster.Grouping) bool {
 	if g.Zone != t.opts.Zone || g.Revision == 0 {
 		return false
 	}
-	return t.set(g, "peer")
+	return t.update(g, "peer")
 }
 
-// set moves to g unless it is older. A full read may be answered by a store
-// member that lags; going back to it would hand requests to broken-up replicas.
-func (t *Table) set(g cluster.Grouping, source string) bool {
-	t.notify.Lock()
-	defer t.notify.Unlock()
+// update replaces the current grouping by g unless g is older. A read may be answered by a
+// store member that lags; going back would route requests to replicas that no longer exist.
+func (t *Table) update(g cluster.Grouping, source string) bool {
+	t.notifyMu.Lock()
+	defer t.notifyMu.Unlock()
 	t.mu.Lock()
 	if t.known && g.Revision < t.current.Revision {
 		t.mu.Unlock()
@@ -145,18 +144,18 @@
 func (t *Table) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if t.opts.ShouldWatch() || t.opts.Peers == nil {
-			if err := t.follow(ctx); err != nil && ctx.Err() == nil {
+			if err := t.watchStore(ctx); err != nil && ctx.Err() == nil {
 				t.opts.Log.Warn("grouping watch ended", "zone", t.opts.Zone, "error", err)
 			}
 		}
-		t.askPeers(ctx)
-		pause(ctx, t.opts.RetryInterval)
+		t.fetchFromPeers(ctx)
+		pauseWithJitter(ctx, t.opts.RetryInterval)
 	}
 }
 
-// askPeers takes over what a peer knows: the only source while the store is
-// silent, and the usual one on nodes that do not watch it.
-func (t *Table) askPeers(ctx context.Context) {
+// fetchFromPeers applies the newest grouping of the peers. They are the only source while the
+// store does not answer, and the usual one on nodes that do not watch it.
+func (t *Table) fetchFromPeers(ctx context.Context) {
 	if t.opts.Peers == nil || ctx.Err() != nil {
 		return
 	}
@@ -164,28 +163,28 @@
 	defer cancel()
 	g, err := t.opts.Peers.FetchGrouping(ctx, t.opts.Zone, t.Current().Revision)
 	if err != nil {
-		t.opts.Log.Debug("grouping from peers failed", "zone", t.opts.Zone, "error", err)
+		t.opts.Log.Debug("grouping not fetched from peers", "zone", t.opts.Zone, "error", err)
 		return
 	}
 	t.Offer(g)
 }
 
-// follow reads the whole zone and then applies watch events until an error, or
-// until the head key shows that the watch has skipped something.
-func (t *Table) follow(ctx context.Context) error {
+// watchStore reads the whole zone and then applies watch events until an error occurs or the
+// head key shows that the watch missed events.
+func (t *Table) watchStore(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	read, err := Read(ctx, t.opts.Store, t.opts.Zone)
 	if err != nil {
 		return err
 	}
-	t.set(read.Grouping, "store")
+	t.update(read.Grouping, "store")
 	events, err := t.opts.Store.Watch(ctx, store.ReplicasPrefix(t.opts.Zone), read.Grouping.Revision+1)
 	if err != nil {
 		return err
 	}
-	check := time.NewTicker(t.opts.HeadCheckInterval)
-	defer check.Stop()
+	headCheck := time.NewTicker(t.opts.HeadCheckInterval)
+	defer headCheck.Stop()
 	for {
 		select {
 		case batch, open := <-events:
@@ -195,8 +194,8 @@
 			if err := t.apply(batch); err != nil {
 				return err
 			}
-		case <-check.C:
-			if err := t.compareHead(ctx); err != nil {
+		case <-headCheck.C:
+			if err := t.checkHead(ctx); err != nil {
 				return err
 			}
 		}
@@ -212,23 +211,22 @@
 		return err
 	}
 	if next.Revision > 0 {
-		t.set(next, "watch")
+		t.update(next, "watch")
 	}
 	return nil
 }
 
-// WatchGapError says that the watch did not bring what the head key shows.
+// WatchGapError reports that the watch missed events that the head key reveals.
 type WatchGapError struct{ Revision, HeadRevision int64 }
 
 // Error implements error.
 func (e *WatchGapError) Error() string {
-	return fmt.Sprintf("grouping: watch skipped events: have revision %d, head is at %d", e.Revision, e.HeadRevision)
+	return fmt.Sprintf("grouping: watch missed events: table is at revision %d, head at %d", e.Revision, e.HeadRevision)
 }
 
-// compareHead fails when the head key names another table than this one. An
-// event that is still on its way looks the same; the read that follows is
-// harmless then.
-func (t *Table) compareHead(ctx context.Context) error {
+// checkHead fails if the head key describes a different table than this one. An event that is
+// still in transit causes the same mismatch; the reload that follows is harmless then.
+func (t *Table) checkHead(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	kv, _, err := t.opts.Store.Get(ctx, store.GroupingHeadKey(t.opts.Zone))
@@ -246,23 +244,23 @@
 	return nil
 }
 
-// applyEvents returns the grouping after the batch, or a zero one when the batch
-// brings nothing new: watches repeat events after a reconnect.
+// applyEvents returns the grouping after the batch, or a zero one if the batch contains nothing
+// new: watches repeat events after a reconnect.
 func applyEvents(g cluster.Grouping, batch store.WatchBatch) (cluster.Grouping, error) {
 	next := g
 	next.Replicas = slices.Clone(g.Replicas)
 	next.Revision = max(g.Revision, batch.Revision)
-	fresh := false
+	changed := false
 	for _, event := range batch.Events {
 		if event.KV.ModRevision <= g.Revision {
 			continue
 		}
-		fresh = true
+		changed = true
 		next.Revision = max(next.Revision, event.KV.ModRevision)
 		id := cluster.ReplicaID(strings.TrimPrefix(event.KV.Key, store.ReplicasPrefix(g.Zone)))
-		at, found := slices.BinarySearchFunc(next.Replicas, id, byID)
+		i, found := slices.BinarySearchFunc(next.Replicas, id, compareID)
 		if found {
-			next.Replicas = slices.Delete(next.Replicas, at, at+1)
+			next.Replicas = slices.Delete(next.Replicas, i, i+1)
 		}
 		if event.Type == store.EventDelete {
 			continue
@@ -271,15 +269,15 @@
 		if err != nil {
 			return cluster.Grouping{}, err
 		}
-		next.Replicas = slices.Insert(next.Replicas, at, r)
+		next.Replicas = slices.Insert(next.Replicas, i, r)
 	}
-	if !fresh && next.Revision == g.Revision {
+	if !changed && next.Revision == g.Revision {
 		return cluster.Grouping{}, nil
 	}
 	return next, nil
 }
 
-func byID(r cluster.Replica, id cluster.ReplicaID) int { return cmp.Compare(r.ID, id) }
+func compareID(r cluster.Replica, id cluster.ReplicaID) int { return cmp.Compare(r.ID, id) }
 
 // Committed is a consistent read of a zone's replicas with their mod revisions.
 type Committed struct {
@@ -310,7 +308,7 @@
 	return read, nil
 }
 
-// DecodeError says that a stored replica cannot be read.
+// DecodeError reports a stored replica or head record that cannot be decoded.
 type DecodeError struct {
 	Key string
 	Err error
@@ -318,7 +316,7 @@
 
 // Error implements error.
 func (e *DecodeError) Error() string {
-	return "grouping: bad replica at " + e.Key + ": " + e.Err.Error()
+	return "grouping: cannot decode " + e.Key + ": " + e.Err.Error()
 }
 
 // Unwrap returns the cause.
@@ -332,7 +330,7 @@
 	return r, nil
 }
 
-// pause waits for about d, jittered so that nodes do not ask in step.
-func pause(ctx context.Context, d time.Duration) {
+// pauseWithJitter waits for about d, so that nodes do not send their requests at the same time.
+func pauseWithJitter(ctx context.Context, d time.Duration) {
 	clock.Pause(ctx, d/2+rand.N(d))
 }
--- a/internal/grouping/table_test.go
+++ b/internal/grouping/table_test.go
@@ -27,8 +27,8 @@
 	require.NoError(t, err)
 }
 
-// startTable runs a table until the test's end.
-// startTable runs a table; listeners are registered first, so that they miss nothing.
+// startTable runs a table until the test ends. Listeners are registered first, so that they see
+// every change.
 func startTable(t *testing.T, opts TableOptions, listeners ...func(cluster.Grouping)) *Table {
 	opts.Zone, opts.Log = testZone, slog.New(slog.DiscardHandler)
 	table := NewTable(opts)
@@ -50,8 +50,8 @@
 	return out
 }
 
-// The store goes down while replicas serve. The table must stay as it was, and
-// catch up when the store is back.
+// The store goes down while replicas serve. The table must keep its contents, and catch up once
+// the store is back.
 func TestTableThroughOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
@@ -73,9 +73,9 @@
 	})
 }
 
-// A watch repeats events after a reconnect. Applying an old one again would
-// bring a broken-up replica back to life.
-func TestTableDropsRepeatedEvents(t *testing.T) {
+// A watch repeats events after a reconnect. Applying an old event again would bring back a
+// replica that was broken up.
+func TestTableIgnoresRepeatedEvents(t *testing.T) {
 	value, err := json.Marshal(cluster.Replica{ID: "r1", Generation: 1})
 	require.NoError(t, err)
 	g := cluster.Grouping{Zone: testZone, Revision: 7}
@@ -87,7 +87,7 @@
 	next, err = applyEvents(g, store.WatchBatch{Events: []store.Event{put}, Revision: 8})
 	require.NoError(t, err)
 	require.Equal(t, []cluster.ReplicaID{"r1"}, ids(next))
-	require.Empty(t, g.Replicas, "the former value is untouched")
+	require.Empty(t, g.Replicas, "the previous grouping is unchanged")
 }
 
 type fakePeers struct{ grouping cluster.Grouping }
@@ -96,10 +96,10 @@
 	return p.grouping, nil
 }
 
-// A node starts while the store is silent and gets its table from a peer. Later
-// another peer, or a store member that lags, offers an older one: taking it
-// would send callers to replicas that no longer exist.
-func TestTableFromPeersNeverGoesBack(t *testing.T) {
+// A node starts while the store is down and gets its table from a peer. Later another peer, or
+// a store member that lags, offers an older table. Applying it would route callers to replicas
+// that no longer exist.
+func TestTableNeverRevertsToOlderRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
 		s.SetFaults(downFaults)
@@ -111,7 +111,7 @@
 		require.False(t, table.Offer(cluster.Grouping{Zone: testZone, Revision: 8}))
 		require.False(t, table.Offer(cluster.Grouping{Zone: "other", Revision: 80}))
 		require.Equal(t, int64(9), table.Current().Revision)
-		// The store comes back with a lower revision than the peer had.
+		// The store recovers with a lower revision than the peer had.
 		s.SetFaults(healthyFaults)
 		time.Sleep(time.Minute)
 		require.Equal(t, []cluster.ReplicaID{"r1"}, ids(table.Current()))
@@ -120,22 +120,22 @@
 	})
 }
 
-// skippingStore loses every watch event, as a broken proxy before the store may.
-type skippingStore struct{ store.Store }
+// eventDroppingStore loses every watch event, as a broken proxy in front of the store may.
+type eventDroppingStore struct{ store.Store }
 
-func (s skippingStore) Watch(ctx context.Context, _ string, from int64) (<-chan store.WatchBatch, error) {
+func (s eventDroppingStore) Watch(ctx context.Context, _ string, from int64) (<-chan store.WatchBatch, error) {
 	return s.Store.Watch(ctx, "no/such/prefix", from)
 }
 
-// A watch stays open but skips events. Without the check of the head key the
-// node would route by an old table until somebody restarts it.
-func TestTableMendsSkippedEvents(t *testing.T) {
+// A watch stays open but misses events. Without the check of the head key, the node would route
+// by an outdated table until it is restarted.
+func TestTableRecoversMissedEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, pairs)
-		table := startTable(t, TableOptions{Store: skippingStore{w.store}})
+		tb := newTestbed(t, 2, pairGroup)
+		table := startTable(t, TableOptions{Store: eventDroppingStore{tb.store}})
 		<-table.Ready()
-		n := w.start("n1", nil)
-		replicas := w.settle(1)
+		n := tb.start("n1", nil)
+		replicas := tb.settle(1)
 		time.Sleep(DefaultHeadCheckInterval + 2*DefaultRetryInterval)
 		synctest.Wait()
 		require.Equal(t, replicas, table.Current().Replicas)
