--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -184,7 +184,7 @@
 // for replicas that it forms.
 func (n *Core) watchPace() (wait, pause time.Duration) {
 	switch {
-	case n.mirror.Wanted():
+	case n.mirror.RecentlyRequested():
 		return feed.WatchWait, 0
 	case n.control.Holding() || n.feed == nil:
 		return quietWait, 0
@@ -228,7 +228,7 @@
 const freshFor = 3500 * time.Millisecond
 
 func (n *Core) currentRules() (*rules.Set, bool) {
-	return n.rules.Load(), time.Since(n.mirror.HeardAt()) < freshFor
+	return n.rules.Load(), time.Since(n.mirror.LastContact()) < freshFor
 }
 
 func (n *Core) currentList() (fleet.List, bool) {
@@ -248,7 +248,7 @@
 	if s == nil {
 		return conns.Peer{}, false
 	}
-	return conns.Peer{Server: s.ID, Addr: s.Addr, Born: s.Born.UnixMilli()}, true
+	return conns.Peer{Server: s.ID, Addr: s.Addr, Born: s.StartedAt.UnixMilli()}, true
 }
 
 // configChanged takes a newer configuration over. It never goes back: a read that
@@ -276,11 +276,11 @@
 
 func (n *Core) serversChanged(entries map[string]store.KV, revision int64) {
 	list := n.platform.Servers(entries, revision)
-	list.Changed = revision
+	list.ChangedRevision = revision
 	before := n.list.Load()
-	same := before != nil && before.Same(list)
+	same := before != nil && before.SameServers(list)
 	if same {
-		list.Changed = before.Changed
+		list.ChangedRevision = before.ChangedRevision
 	}
 	n.list.Store(&list)
 	if !same { // else a server wrote its entry again: nothing follows from it
@@ -298,7 +298,7 @@
 		list, _ := n.currentList()
 		n.pool.Sweep(func(p conns.Peer) bool {
 			s := list.Find(p.Server)
-			return s != nil && s.Addr == p.Addr && s.Born.UnixMilli() == p.Born
+			return s != nil && s.Addr == p.Addr && s.StartedAt.UnixMilli() == p.Born
 		}, now)
 	})
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -31,10 +31,10 @@
 	// Follow returns all entries below the prefixes, and a channel that gets each
 	// change after them until ctx ends.
 	Follow(ctx context.Context, prefixes []string) (store.WatchBatch, <-chan store.WatchBatch)
-	// HeardAt is when the store last confirmed the copy.
-	HeardAt() time.Time
-	// Want says that a node asks for the copy: it is to be kept fresh.
-	Want()
+	// LastContact is when the store last confirmed the copy.
+	LastContact() time.Time
+	// MarkRequested says that a node asks for the copy: it is to be kept fresh.
+	MarkRequested()
 }
 
 // Server serves a copy; it implements wirepbconnect.FeedServiceHandler.
@@ -42,7 +42,7 @@
 
 // Follow sends the copy and its changes while it is fresh.
 func (s *Server) Follow(ctx context.Context, req *connect.Request[wirepb.FollowRequest], stream *connect.ServerStream[wirepb.FollowResponse]) error {
-	s.Copy.Want()
+	s.Copy.MarkRequested()
 	if !s.fresh() {
 		return connect.NewError(connect.CodeUnavailable, errStale)
 	}
@@ -59,7 +59,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-beat.C:
-			s.Copy.Want()
+			s.Copy.MarkRequested()
 			if !s.fresh() {
 				return connect.NewError(connect.CodeUnavailable, errStale)
 			}
@@ -76,7 +76,7 @@
 	}
 }
 
-func (s *Server) fresh() bool { return time.Since(s.Copy.HeardAt()) < staleAfter }
+func (s *Server) fresh() bool { return time.Since(s.Copy.LastContact()) < staleAfter }
 
 func encode(batch store.WatchBatch) *wirepb.FollowResponse {
 	out := &wirepb.FollowResponse{Revision: batch.Revision}
--- a/internal/lifecycle/ending.go
+++ b/internal/lifecycle/ending.go
@@ -48,7 +48,7 @@
 
 // settle frees the members of a replica that serves no more.
 func (m *Machine) settle(id cluster.ReplicaID, e *ending, why evidence, now time.Time) {
-	m.opts.Log.Info("replica ended", "replica", id, "head", e.head, "head_born", m.seen[e.head].Born, "reason", e.reason, "held", e.held(),
+	m.opts.Log.Info("replica ended", "replica", id, "head", e.head, "head_born", m.seen[e.head].StartedAt, "reason", e.reason, "held", e.held(),
 		why.attrs(now), "took", now.Sub(e.since))
 	m.move(id, record{phase: phaseEnded, ended: &ended{why: why}})
 }
@@ -74,7 +74,7 @@
 		return
 	}
 	if e.shown {
-		m.opts.Log.Warn("replica serves again", "replica", id, "head", r.Head().ID, "head_born", r.Head().Born, e.why.attrs(now))
+		m.opts.Log.Warn("replica serves again", "replica", id, "head", r.Head().ID, "head_born", r.Head().StartedAt, e.why.attrs(now))
 		m.move(id, record{phase: phaseListed})
 	}
 }
@@ -93,8 +93,8 @@
 	if s == nil {
 		return evidence{}, false
 	}
-	stopped := !s.In(id) || s.Membership.State == fleet.Broken
-	return evidence{kind: headStopped, vm: s.ID, born: s.Born, at: list.ReadAt}, stopped
+	stopped := !s.IsMemberOf(id) || s.Membership.State == fleet.Broken
+	return evidence{kind: headStopped, vm: s.ID, born: s.StartedAt, at: list.ReadAt}, stopped
 }
 
 // reviewEnding settles a replica whose head has stopped, and forgets one without a
@@ -135,7 +135,7 @@
 	}
 	m.move(a.Replica, record{phase: phaseEnding, ending: newEnding(a.Reason, head, members, now)})
 	m.opts.Log.Info("placement", "action", a.Kind, "group", a.Group, "replica", a.Replica, "head", head,
-		"head_listed", list.Find(head) != nil, "head_born", m.seen[head].Born, "members", members, "fence", m.opts.Fence, "list_revision", list.Revision, "reason", a.Reason)
+		"head_listed", list.Find(head) != nil, "head_born", m.seen[head].StartedAt, "members", members, "fence", m.opts.Fence, "list_revision", list.Revision, "reason", a.Reason)
 }
 
 // membersOf finds the members of a replica among the listed VMs, and its serving
@@ -143,7 +143,7 @@
 func (m *Machine) membersOf(list fleet.List, id cluster.ReplicaID) (head cluster.VMID, members []cluster.VMID) {
 	for i := range list.Servers {
 		s := &list.Servers[i]
-		if !s.In(id) {
+		if !s.IsMemberOf(id) {
 			continue
 		}
 		members = append(members, s.ID)
@@ -152,7 +152,7 @@
 		}
 	}
 	for vm, s := range m.seen {
-		if head == "" && s.In(id) && s.Membership.Rank == 0 {
+		if head == "" && s.IsMemberOf(id) && s.Membership.Rank == 0 {
 			head = vm
 		}
 	}
@@ -174,8 +174,8 @@
 		if vm == e.head || s == nil || now.Sub(e.sentAt[vm]) < resendAfter {
 			continue
 		}
-		if !s.In(id) {
-			m.release(id, e, vm, evidence{kind: memberElsewhere, vm: vm, born: s.Born, at: list.ReadAt}, now)
+		if !s.IsMemberOf(id) {
+			m.release(id, e, vm, evidence{kind: memberElsewhere, vm: vm, born: s.StartedAt, at: list.ReadAt}, now)
 			continue
 		}
 		if m.send(*s, m.leaveOrder(s.Membership)) {
@@ -191,7 +191,7 @@
 // stopHead sends the head what ends its part.
 func (m *Machine) stopHead(list fleet.List, id cluster.ReplicaID, e *ending, now time.Time) {
 	head, known := m.seen[e.head]
-	if !known || !head.In(id) || now.Sub(e.sentAt[e.head]) < resendAfter {
+	if !known || !head.IsMemberOf(id) || now.Sub(e.sentAt[e.head]) < resendAfter {
 		return
 	}
 	order := m.leaveOrder(head.Membership)
@@ -221,7 +221,7 @@
 		e.headSilent = e.headSilent || a.To.ID == e.head
 		return
 	}
-	why := evidence{kind: memberLeft, vm: a.To.ID, born: a.To.Born, at: a.At}
+	why := evidence{kind: memberLeft, vm: a.To.ID, born: a.To.StartedAt, at: a.At}
 	if a.To.ID == e.head {
 		why.kind = headLeft
 		m.settle(id, e, why, now)
--- a/internal/lifecycle/forming.go
+++ b/internal/lifecycle/forming.go
@@ -75,7 +75,7 @@
 func (m *Machine) lostMember(list fleet.List, f *forming) bool {
 	for _, id := range f.replica.Members {
 		s := list.Find(id)
-		if s == nil || s.Draining || !s.Born.Equal(f.born[id]) {
+		if s == nil || s.Draining || !s.StartedAt.Equal(f.born[id]) {
 			return true
 		}
 	}
@@ -112,7 +112,7 @@
 		if s == nil || m.inFlight[id] {
 			return
 		}
-		born[id] = s.Born
+		born[id] = s.StartedAt
 		if s.Model != g.Model && !slices.Contains(s.Staged, g.Model) {
 			cold = append(cold, id)
 			usual = g.ColdLoad
@@ -123,7 +123,7 @@
 	}
 	m.seq++
 	epoch := int64(m.opts.Fence)<<epochBits + m.seq
-	name := fleet.Name(g.Model, epoch)
+	name := fleet.ReplicaName(g.Model, epoch)
 	id := fleet.ReplicaID(name, epoch)
 	f := newForming(name, epoch, cluster.Replica{ID: id, Group: g.Name, Model: g.Model, Zone: m.opts.Scope,
 		Generation: epoch, Fence: m.opts.Fence, Members: a.Members, Serving: a.Members[0]}, now.Add(lateLoad*usual+joinGrace))
@@ -171,7 +171,7 @@
 // noteJoined takes a membership in the list for the answer that did not come.
 func (m *Machine) noteJoined(list fleet.List, f *forming) {
 	for _, id := range f.replica.Members {
-		if s := list.Find(id); s != nil && s.In(f.replica.ID) {
+		if s := list.Find(id); s != nil && s.IsMemberOf(f.replica.ID) {
 			f.joined[id] = true
 		}
 	}
@@ -200,7 +200,7 @@
 func (m *Machine) adopt(r *fleet.Replica, now time.Time) {
 	f := newForming(r.Name, r.Epoch, placementReplica(r, nil, m.opts.Scope), now.Add(joinGrace))
 	for _, member := range r.Members {
-		f.born[member.ID] = member.Born
+		f.born[member.ID] = member.StartedAt
 		f.joined[member.ID] = true
 	}
 	m.move(r.ID(), record{phase: phaseOpening, forming: f})
--- a/internal/lifecycle/liveness.go
+++ b/internal/lifecycle/liveness.go
@@ -62,7 +62,7 @@
 		}
 		for _, vm := range slices.Sorted(maps.Keys(m.seen)) {
 			s := m.seen[vm]
-			if list.Find(vm) == nil && s.In(r.ID()) {
+			if list.Find(vm) == nil && s.IsMemberOf(r.ID()) {
 				m.probePresence(s, now)
 			}
 		}
@@ -90,7 +90,7 @@
 // takeProbes notes what probes have found.
 func (m *Machine) takeProbes(in Input) {
 	for _, s := range in.Silent {
-		m.down[s.ID] = silence{born: s.Born, since: in.Now}
+		m.down[s.ID] = silence{born: s.StartedAt, since: in.Now}
 	}
 	for _, vm := range in.Answering {
 		if p := m.present[vm]; p != nil {
@@ -105,7 +105,7 @@
 	for _, vm := range slices.Sorted(maps.Keys(m.present)) {
 		p := m.present[vm]
 		waits := p.answeredAt.IsZero() && now.Sub(p.firstProbed) < 2*ProbeTimeout
-		if p.server.In(id) && (waits || now.Sub(p.answeredAt) < presentFor) {
+		if p.server.IsMemberOf(id) && (waits || now.Sub(p.answeredAt) < presentFor) {
 			out = append(out, p.server)
 		}
 	}
@@ -118,7 +118,7 @@
 	if !found {
 		return time.Time{}
 	}
-	if !d.born.Equal(s.Born) || now.Sub(d.since) > downFor {
+	if !d.born.Equal(s.StartedAt) || now.Sub(d.since) > downFor {
 		delete(m.down, s.ID)
 		return time.Time{}
 	}
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -166,10 +166,10 @@
 	if w.stale {
 		return false
 	}
-	changed := !list.Same(w.list)
-	list.Changed = w.list.Changed
-	if changed || list.Changed == 0 {
-		list.Changed++
+	changed := !list.SameServers(w.list)
+	list.ChangedRevision = w.list.ChangedRevision
+	if changed || list.ChangedRevision == 0 {
+		list.ChangedRevision++
 	}
 	w.list = list
 	return changed
@@ -421,7 +421,7 @@
 	}
 	fmt.Fprint(h, "|", w.stale)
 	for _, s := range w.list.Servers {
-		fmt.Fprint(h, s.ID, age(s.Born), s.Draining, member(s.Membership), s.Staged, s.Model)
+		fmt.Fprint(h, s.ID, age(s.StartedAt), s.Draining, member(s.Membership), s.Staged, s.Model)
 	}
 	for _, p := range w.pending {
 		fmt.Fprint(h, "p", age(p.at), p.outcome.To.ID, order(p.outcome.Order))
