--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -221,7 +221,7 @@
 		t.loaded = true
 	}
 	assignments := t.commit.assignments
-	t.fleet.update(list, func(vm cluster.VMID) bool { return assignments.HolderOf(vm) != "" }, time.Now())
+	t.fleet.update(list, func(vm cluster.VMID) bool { return assignments.ReplicaOf(vm) != "" }, time.Now())
 	t.fleet.poll(ctx, c.due(t, set, time.Now()))
 	if err := c.place(ctx, t, set); err != nil {
 		commitsFailed.Inc()
--- a/internal/placement/assignments.go
+++ b/internal/placement/assignments.go
@@ -54,8 +54,8 @@
 	return r, ok
 }
 
-// HolderOf returns the replica that has the VM, or "".
-func (t *Assignments) HolderOf(vm cluster.VMID) cluster.ReplicaID { return t.holder[vm] }
+// ReplicaOf returns the replica that has the VM, or "".
+func (t *Assignments) ReplicaOf(vm cluster.VMID) cluster.ReplicaID { return t.holder[vm] }
 
 // Replicas returns all replicas ordered by id; callers must not change the slice.
 func (t *Assignments) Replicas() []cluster.Replica {
--- a/internal/placement/assignments_test.go
+++ b/internal/placement/assignments_test.go
@@ -37,8 +37,8 @@
 		_, ok := errors.Into[*AssignmentError](err)
 		require.True(t, ok, "%+v: %v", b.action, err)
 		require.Equal(t, before, assignments.Replicas())
-		require.Equal(t, cluster.ReplicaID("r1"), assignments.HolderOf("a"))
-		require.Empty(t, assignments.HolderOf("c"))
+		require.Equal(t, cluster.ReplicaID("r1"), assignments.ReplicaOf("a"))
+		require.Empty(t, assignments.ReplicaOf("c"))
 	}
 	shared := []cluster.Replica{{ID: "r1", Members: []cluster.VMID{"a"}, Serving: "a"}, {ID: "r2", Members: []cluster.VMID{"a"}, Serving: "a"}}
 	_, err = NewAssignments("z", shared)
@@ -70,5 +70,5 @@
 	require.NoError(t, err)
 	require.True(t, removed.Removed)
 	require.Empty(t, assignments.Replicas())
-	require.Empty(t, assignments.HolderOf("b"))
+	require.Empty(t, assignments.ReplicaOf("b"))
 }
