--- a/internal/placement/assignments.go
+++ b/internal/placement/assignments.go
@@ -13,14 +13,14 @@
 	Action  Kind
 	Replica cluster.ReplicaID
 	VM      cluster.VMID
-	// Holder is the replica that has the VM already, if that is the reason.
-	Holder  cluster.ReplicaID
-	Problem string
+	// AssignedTo is the replica that has the VM already, if that is the reason.
+	AssignedTo cluster.ReplicaID
+	Problem    string
 }
 
 // Error implements error.
 func (e *AssignmentError) Error() string {
-	return fmt.Sprintf("placement %s: %s: replica=%s vm=%s holder=%s", e.Action, e.Problem, e.Replica, e.VM, e.Holder)
+	return fmt.Sprintf("placement %s: %s: replica=%s vm=%s holder=%s", e.Action, e.Problem, e.Replica, e.VM, e.AssignedTo)
 }
 
 // Assignments is a zone's grouping with an index from VM to replica. Every change of a
@@ -160,10 +160,10 @@
 	seen := make(map[cluster.VMID]struct{}, len(r.Members))
 	for _, vm := range r.Members {
 		if holder, held := t.holder[vm]; held {
-			return &AssignmentError{Action: kind, Replica: r.ID, VM: vm, Holder: holder, Problem: "VM is in another replica"}
+			return &AssignmentError{Action: kind, Replica: r.ID, VM: vm, AssignedTo: holder, Problem: "VM is in another replica"}
 		}
 		if _, twice := seen[vm]; twice {
-			return &AssignmentError{Action: kind, Replica: r.ID, VM: vm, Holder: r.ID, Problem: "VM named twice"}
+			return &AssignmentError{Action: kind, Replica: r.ID, VM: vm, AssignedTo: r.ID, Problem: "VM named twice"}
 		}
 		seen[vm] = struct{}{}
 	}
