--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -318,8 +318,8 @@
 	return nil
 }
 
-func (c *Controller) stamp(t *term, set *rules.Set, a placement.Action) placement.Stamp {
-	stamp := placement.Stamp{Fence: t.lease.Fence()}
+func (c *Controller) stamp(t *term, set *rules.Set, a placement.Action) placement.CommitMetadata {
+	stamp := placement.CommitMetadata{Fence: t.lease.Fence()}
 	if a.Kind == placement.Form {
 		stamp.NewID = cluster.ReplicaID(t.ids.next(string(a.Group)))
 		if g := placement.FindGroup(set.Groups, a.Group); g != nil {
--- a/internal/placement/assignments.go
+++ b/internal/placement/assignments.go
@@ -78,8 +78,8 @@
 	Removed bool
 }
 
-// Stamp gives the parts of a new or changed replica that no policy chooses.
-type Stamp struct {
+// CommitMetadata gives the parts of a new or changed replica that no policy chooses.
+type CommitMetadata struct {
 	// NewID names a formed replica; ids are never used twice.
 	NewID cluster.ReplicaID
 	Model string
@@ -87,7 +87,7 @@
 }
 
 // Apply changes the assignments by one action and returns the change to commit.
-func (t *Assignments) Apply(a Action, s Stamp) (Change, error) {
+func (t *Assignments) Apply(a Action, s CommitMetadata) (Change, error) {
 	if a.Kind == Form {
 		return t.form(a, s)
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func (t *Assignments) form(a Action, s Stamp) (Change, error) {
+func (t *Assignments) form(a Action, s CommitMetadata) (Change, error) {
 	if len(a.Members) == 0 {
 		return Change{}, &AssignmentError{Action: Form, Replica: s.NewID, Problem: "no members"}
 	}
@@ -130,7 +130,7 @@
 	return Change{Replica: r}, nil
 }
 
-func (t *Assignments) replace(a Action, old cluster.Replica, s Stamp) (Change, error) {
+func (t *Assignments) replace(a Action, old cluster.Replica, s CommitMetadata) (Change, error) {
 	if len(a.Out) != len(a.In) {
 		return Change{}, &AssignmentError{Action: Replace, Replica: old.ID, Problem: "sizes differ"}
 	}
--- a/internal/placement/assignments_test.go
+++ b/internal/placement/assignments_test.go
@@ -15,7 +15,7 @@
 func TestAssignmentsRefuseSharedVMs(t *testing.T) {
 	assignments, err := NewAssignments("z", nil)
 	require.NoError(t, err)
-	_, err = assignments.Apply(Action{Kind: Form, Group: "g", Members: []cluster.VMID{"a", "b"}}, Stamp{NewID: "r1", Fence: 3})
+	_, err = assignments.Apply(Action{Kind: Form, Group: "g", Members: []cluster.VMID{"a", "b"}}, CommitMetadata{NewID: "r1", Fence: 3})
 	require.NoError(t, err)
 	before := assignments.Replicas()
 	bad := []struct {
@@ -33,7 +33,7 @@
 		{Action{Kind: Wait, Replica: "r1"}, ""},
 	}
 	for _, b := range bad {
-		_, err := assignments.Apply(b.action, Stamp{NewID: b.id, Fence: 3})
+		_, err := assignments.Apply(b.action, CommitMetadata{NewID: b.id, Fence: 3})
 		_, ok := errors.Into[*AssignmentError](err)
 		require.True(t, ok, "%+v: %v", b.action, err)
 		require.Equal(t, before, assignments.Replicas())
@@ -48,17 +48,17 @@
 func TestAssignmentChanges(t *testing.T) {
 	assignments, err := NewAssignments("z", nil)
 	require.NoError(t, err)
-	formed, err := assignments.Apply(Action{Kind: Form, Group: "g", Members: []cluster.VMID{"a", "b"}}, Stamp{NewID: "r1", Model: "m", Fence: 3})
+	formed, err := assignments.Apply(Action{Kind: Form, Group: "g", Members: []cluster.VMID{"a", "b"}}, CommitMetadata{NewID: "r1", Model: "m", Fence: 3})
 	require.NoError(t, err)
 	want := cluster.Replica{ID: "r1", Group: "g", Model: "m", Zone: "z", Generation: 1, Fence: 3, Members: []cluster.VMID{"a", "b"}, Serving: "a"}
 	require.Equal(t, Change{Replica: want}, formed)
 
-	drained, err := assignments.Apply(Action{Kind: Drain, Replica: "r1"}, Stamp{Fence: 4})
+	drained, err := assignments.Apply(Action{Kind: Drain, Replica: "r1"}, CommitMetadata{Fence: 4})
 	require.NoError(t, err)
 	require.True(t, drained.Replica.Leaving)
 	require.Equal(t, int64(1), drained.Replica.Generation, "a drain reassigns no engine")
 
-	replaced, err := assignments.Apply(Action{Kind: Replace, Replica: "r1", Out: []cluster.VMID{"a"}, In: []cluster.VMID{"c"}}, Stamp{Fence: 4})
+	replaced, err := assignments.Apply(Action{Kind: Replace, Replica: "r1", Out: []cluster.VMID{"a"}, In: []cluster.VMID{"c"}}, CommitMetadata{Fence: 4})
 	require.NoError(t, err)
 	require.Equal(t, []cluster.VMID{"c", "b"}, replaced.Replica.Members)
 	require.Equal(t, cluster.VMID("c"), replaced.Replica.Serving)
@@ -66,7 +66,7 @@
 	require.Equal(t, int64(2), replaced.Replica.Generation)
 	require.Equal(t, []cluster.VMID{"a", "b"}, formed.Replica.Members, "committed values are never changed")
 
-	removed, err := assignments.Apply(Action{Kind: BreakUp, Replica: "r1"}, Stamp{})
+	removed, err := assignments.Apply(Action{Kind: BreakUp, Replica: "r1"}, CommitMetadata{})
 	require.NoError(t, err)
 	require.True(t, removed.Removed)
 	require.Empty(t, assignments.Replicas())
--- a/internal/placement/policy_test.go
+++ b/internal/placement/policy_test.go
@@ -111,7 +111,7 @@
 	if g := FindGroup(z.groups, a.Group); g != nil {
 		model = g.Model
 	}
-	change, err := z.assignments.Apply(a, Stamp{NewID: cluster.ReplicaID(fmt.Sprintf("r%d", z.nextID)), Model: model, Fence: 1})
+	change, err := z.assignments.Apply(a, CommitMetadata{NewID: cluster.ReplicaID(fmt.Sprintf("r%d", z.nextID)), Model: model, Fence: 1})
 	require.NoError(z.t, err, "%+v", a)
 	if a.Kind == Form || a.Kind == Replace {
 		z.checkMembers(change.Replica, slices.Concat(a.Members, a.In))
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -236,7 +236,7 @@
 	}
 	s.nextID++
 	id := cluster.ReplicaID(fmt.Sprintf("r%06d", s.nextID))
-	change, err := s.assignments.Apply(a, placement.Stamp{NewID: id, Model: s.model(a.Group), Fence: 1})
+	change, err := s.assignments.Apply(a, placement.CommitMetadata{NewID: id, Model: s.model(a.Group), Fence: 1})
 	if err != nil {
 		return err
 	}
