--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -247,7 +247,7 @@
 	t.holds = make(map[cluster.VMID]cluster.GroupName)
 	var batch []placement.Change
 	for _, action := range plan.Actions {
-		if action.Kind == placement.Hold {
+		if action.Kind == placement.Preload {
 			t.holds[action.VM] = action.Group
 		}
 		if !action.Changes() {
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -193,7 +193,7 @@
 		switch a.Kind {
 		case placement.Form:
 			m.form(placement.FindGroup(in.Rules.Groups, a.Group), in.List, a, in.Now)
-		case placement.Hold:
+		case placement.Preload:
 			m.stage(placement.FindGroup(in.Rules.Groups, a.Group), in.List, a, in.Now)
 		case placement.BreakUp:
 			m.breakUp(in.List, a, in.Now)
--- a/internal/placement/mix.go
+++ b/internal/placement/mix.go
@@ -335,7 +335,7 @@
 		for _, vm := range m.free[d] {
 			if len(vm.Staged) == 0 && !m.staging[vm.ID] && (g.Servers == "" || g.Servers == vm.Service) {
 				m.staging[vm.ID] = true
-				m.add(Action{Kind: Hold, Group: g.Name, VM: vm.ID, Reason: "spare"})
+				m.add(Action{Kind: Preload, Group: g.Name, VM: vm.ID, Reason: "spare"})
 			}
 		}
 	}
--- a/internal/placement/mix_test.go
+++ b/internal/placement/mix_test.go
@@ -60,7 +60,7 @@
 			for _, id := range a.Members {
 				p.vm(id).Model, p.vm(id).Staged = string(a.Group), []string{string(a.Group)}
 			}
-		case placement.Hold:
+		case placement.Preload:
 			if loads > 0 {
 				loads--
 				p.vm(a.VM).Staged = []string{string(a.Group)}
@@ -128,7 +128,7 @@
 		vms[4+i].Staged = []string{"four"}
 	}
 	plan := placement.Mix{}.Plan(placement.Input{Groups: mixed[:1], VMs: vms}, start)
-	require.Equal(t, placement.Hold, plan.Actions[0].Kind)
+	require.Equal(t, placement.Preload, plan.Actions[0].Kind)
 	require.Equal(t, vms[7].ID, plan.Actions[0].VM)
 	require.True(t, plan.Actions[0].Repairs)
 	require.False(t, plan.Actions[1].Repairs)
@@ -142,7 +142,7 @@
 	require.Equal(t, 2, p.serving("four"))
 	plan := p.plan()
 	require.Len(t, plan.Actions, 1)
-	require.Equal(t, placement.Hold, plan.Actions[0].Kind)
+	require.Equal(t, placement.Preload, plan.Actions[0].Kind)
 }
 
 // A member that the list lacks answers: it is cut off from the store alone, and
@@ -279,7 +279,7 @@
 		}
 		plan := p.plan()
 		for _, a := range plan.Actions {
-			if a.Kind == placement.Hold && len(loading) < 6 {
+			if a.Kind == placement.Preload && len(loading) < 6 {
 				loading[a.VM] = step + load
 				p.vm(a.VM).Loading = string(a.Group)
 			}
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -225,7 +225,7 @@
 }
 
 func (s *sim) act(a placement.Action) error {
-	if a.Kind == placement.Hold {
+	if a.Kind == placement.Preload {
 		s.want(s.byID[a.VM], s.model(a.Group))
 	}
 	if !a.Changes() {
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -67,7 +67,7 @@
 type Kind string
 
 // Kinds of actions. Drain marks a replica as leaving so that it gets no new
-// work; Replace swaps members and raises the generation; Hold has a spare load
+// work; Replace swaps members and raises the generation; Preload has a spare load
 // the group's model and Wait says why a replica is left as it is: these two
 // change nothing in the table.
 const (
@@ -75,7 +75,7 @@
 	BreakUp Kind = "break-up"
 	Drain   Kind = "drain"
 	Replace Kind = "replace"
-	Hold    Kind = "hold-spare"
+	Preload Kind = "hold-spare"
 	Wait    Kind = "wait"
 )
 
@@ -92,7 +92,7 @@
 }
 
 // Changes reports whether the action changes the committed table.
-func (a Action) Changes() bool { return a.Kind != Hold && a.Kind != Wait }
+func (a Action) Changes() bool { return a.Kind != Preload && a.Kind != Wait }
 
 // Plan is a list of actions, to be applied in order.
 type Plan struct {
--- a/internal/placement/weighted_form.go
+++ b/internal/placement/weighted_form.go
@@ -93,7 +93,7 @@
 			continue
 		}
 		for _, vm := range p.free[d] {
-			p.add(Action{Kind: Hold, Group: g.Name, VM: vm.ID, Reason: "spare"})
+			p.add(Action{Kind: Preload, Group: g.Name, VM: vm.ID, Reason: "spare"})
 		}
 	}
 }
