--- a/internal/lifecycle/forming.go
+++ b/internal/lifecycle/forming.go
@@ -157,7 +157,7 @@
 		return
 	}
 	reserve := spareReserve
-	if a.Repairs || m.freeLoad {
+	if a.CompletesReplica || m.freeLoad {
 		reserve = 0
 	}
 	if !m.loads.begin(now, []cluster.VMID{a.VM}, g.ColdLoad, reserve) {
--- a/internal/placement/mix_test.go
+++ b/internal/placement/mix_test.go
@@ -130,8 +130,8 @@
 	plan := placement.Mix{}.Plan(placement.Input{Groups: mixed[:1], VMs: vms}, start)
 	require.Equal(t, placement.Preload, plan.Actions[0].Kind)
 	require.Equal(t, vms[7].ID, plan.Actions[0].VM)
-	require.True(t, plan.Actions[0].Repairs)
-	require.False(t, plan.Actions[1].Repairs)
+	require.True(t, plan.Actions[0].CompletesReplica)
+	require.False(t, plan.Actions[1].CompletesReplica)
 }
 
 // While loads are cheap the last VM of a full domain reads its weights too: after
--- a/internal/placement/stage.go
+++ b/internal/placement/stage.go
@@ -34,7 +34,7 @@
 		if missing == 1 {
 			serving[d.group.Name]++
 		}
-		m.add(Action{Kind: Preload, Group: d.group.Name, VM: d.cold[0].ID, Repairs: missing == 1, Reason: stageReason(missing)})
+		m.add(Action{Kind: Preload, Group: d.group.Name, VM: d.cold[0].ID, CompletesReplica: missing == 1, Reason: stageReason(missing)})
 		d.cold = d.cold[1:]
 		d.staged++
 		if len(d.cold) == 0 {
