--- a/internal/placement/assignments.go
+++ b/internal/placement/assignments.go
@@ -131,12 +131,12 @@
 }
 
 func (t *Assignments) replace(a Action, old cluster.Replica, s CommitMetadata) (Change, error) {
-	if len(a.Out) != len(a.In) {
+	if len(a.OldMembers) != len(a.In) {
 		return Change{}, &AssignmentError{Action: Replace, Replica: old.ID, Problem: "sizes differ"}
 	}
 	next := old
 	next.Members = slices.Clone(old.Members)
-	for i, out := range a.Out {
+	for i, out := range a.OldMembers {
 		at := slices.Index(next.Members, out)
 		if at < 0 {
 			return Change{}, &AssignmentError{Action: Replace, Replica: old.ID, VM: out, Problem: "not a member"}
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -85,7 +85,7 @@
 	Group            cluster.GroupName
 	Replica          cluster.ReplicaID // all kinds but Form and Hold
 	Members          []cluster.VMID    // Form: the first one serves
-	Out, In          []cluster.VMID    // Replace: the members that go and those that come
+	OldMembers, In   []cluster.VMID    // Replace: the members that go and those that come
 	VM               cluster.VMID      // Hold: an idle VM that loads the group's model ahead
 	CompletesReplica bool              // Hold: the load lets a replica be formed that lacks nothing else
 	Reason           string
