--- a/internal/placement/assignments.go
+++ b/internal/placement/assignments.go
@@ -131,7 +131,7 @@
 }
 
 func (t *Assignments) replace(a Action, old cluster.Replica, s CommitMetadata) (Change, error) {
-	if len(a.OldMembers) != len(a.In) {
+	if len(a.OldMembers) != len(a.NewMembers) {
 		return Change{}, &AssignmentError{Action: Replace, Replica: old.ID, Problem: "sizes differ"}
 	}
 	next := old
@@ -141,7 +141,7 @@
 		if at < 0 {
 			return Change{}, &AssignmentError{Action: Replace, Replica: old.ID, VM: out, Problem: "not a member"}
 		}
-		next.Members[at] = a.In[i]
+		next.Members[at] = a.NewMembers[i]
 	}
 	next.Leaving = false
 	next.Serving = next.Members[0]
--- a/internal/placement/assignments_test.go
+++ b/internal/placement/assignments_test.go
@@ -26,9 +26,9 @@
 		{Action{Kind: Form, Members: []cluster.VMID{"c", "c"}}, "r2"},
 		{Action{Kind: Form, Members: []cluster.VMID{"c"}}, "r1"},
 		{Action{Kind: Form}, "r2"},
-		{Action{Kind: Replace, Replica: "r1", OldMembers: []cluster.VMID{"a"}, In: []cluster.VMID{"b"}}, ""},
-		{Action{Kind: Replace, Replica: "r1", OldMembers: []cluster.VMID{"x"}, In: []cluster.VMID{"c"}}, ""},
-		{Action{Kind: Replace, Replica: "r1", OldMembers: []cluster.VMID{"a", "b"}, In: []cluster.VMID{"c"}}, ""},
+		{Action{Kind: Replace, Replica: "r1", OldMembers: []cluster.VMID{"a"}, NewMembers: []cluster.VMID{"b"}}, ""},
+		{Action{Kind: Replace, Replica: "r1", OldMembers: []cluster.VMID{"x"}, NewMembers: []cluster.VMID{"c"}}, ""},
+		{Action{Kind: Replace, Replica: "r1", OldMembers: []cluster.VMID{"a", "b"}, NewMembers: []cluster.VMID{"c"}}, ""},
 		{Action{Kind: BreakUp, Replica: "r9"}, ""},
 		{Action{Kind: Wait, Replica: "r1"}, ""},
 	}
@@ -58,7 +58,7 @@
 	require.True(t, drained.Replica.Leaving)
 	require.Equal(t, int64(1), drained.Replica.Generation, "a drain reassigns no engine")
 
-	replaced, err := assignments.Apply(Action{Kind: Replace, Replica: "r1", OldMembers: []cluster.VMID{"a"}, In: []cluster.VMID{"c"}}, CommitMetadata{Fence: 4})
+	replaced, err := assignments.Apply(Action{Kind: Replace, Replica: "r1", OldMembers: []cluster.VMID{"a"}, NewMembers: []cluster.VMID{"c"}}, CommitMetadata{Fence: 4})
 	require.NoError(t, err)
 	require.Equal(t, []cluster.VMID{"c", "b"}, replaced.Replica.Members)
 	require.Equal(t, cluster.VMID("c"), replaced.Replica.Serving)
--- a/internal/placement/policy_test.go
+++ b/internal/placement/policy_test.go
@@ -114,7 +114,7 @@
 	change, err := z.assignments.Apply(a, CommitMetadata{NewID: cluster.ReplicaID(fmt.Sprintf("r%d", z.nextID)), Model: model, Fence: 1})
 	require.NoError(z.t, err, "%+v", a)
 	if a.Kind == Form || a.Kind == Replace {
-		z.checkMembers(change.Replica, slices.Concat(a.Members, a.In))
+		z.checkMembers(change.Replica, slices.Concat(a.Members, a.NewMembers))
 		delete(z.load, change.Replica.ID)
 	}
 }
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -81,14 +81,14 @@
 
 // Action is one step of a plan. The fields that apply depend on Kind.
 type Action struct {
-	Kind             Kind
-	Group            cluster.GroupName
-	Replica          cluster.ReplicaID // all kinds but Form and Hold
-	Members          []cluster.VMID    // Form: the first one serves
-	OldMembers, In   []cluster.VMID    // Replace: the members that go and those that come
-	VM               cluster.VMID      // Hold: an idle VM that loads the group's model ahead
-	CompletesReplica bool              // Hold: the load lets a replica be formed that lacks nothing else
-	Reason           string
+	Kind                   Kind
+	Group                  cluster.GroupName
+	Replica                cluster.ReplicaID // all kinds but Form and Hold
+	Members                []cluster.VMID    // Form: the first one serves
+	OldMembers, NewMembers []cluster.VMID    // Replace: the members that go and those that come
+	VM                     cluster.VMID      // Hold: an idle VM that loads the group's model ahead
+	CompletesReplica       bool              // Hold: the load lets a replica be formed that lacks nothing else
+	Reason                 string
 }
 
 // Changes reports whether the action changes the committed table.
--- a/internal/placement/weighted.go
+++ b/internal/placement/weighted.go
@@ -213,7 +213,7 @@
 		return false
 	}
 	p.serving[b.Group]++
-	p.add(Action{Kind: Replace, Group: b.Group, Replica: b.ID, OldMembers: b.missing, In: in, Reason: reason})
+	p.add(Action{Kind: Replace, Group: b.Group, Replica: b.ID, OldMembers: b.missing, NewMembers: in, Reason: reason})
 	return true
 }
 
--- a/internal/placement/weighted_room.go
+++ b/internal/placement/weighted_room.go
@@ -117,7 +117,7 @@
 
 func (p *planner) move(step roomStep) {
 	p.remove(step.in)
-	p.add(Action{Kind: Replace, Group: step.Group, Replica: step.ID, OldMembers: step.out, In: step.in, Reason: "moves-to-make-room"})
+	p.add(Action{Kind: Replace, Group: step.Group, Replica: step.ID, OldMembers: step.out, NewMembers: step.in, Reason: "moves-to-make-room"})
 	for _, id := range step.out {
 		p.release(p.vms[id])
 	}
