--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -111,7 +111,7 @@
 	m.carryOut(in, plan)
 	m.progress(in.List, replicas, in.Now)
 	if len(plan.Actions) == 0 && !m.busy() {
-		m.quiescent = quiescenceAt(in, plan.Again)
+		m.quiescent = quiescenceAt(in, plan.ReplanAt)
 	}
 	return m.out
 }
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -198,8 +198,8 @@
 			}
 			changed = changed || a.Changes()
 		}
-		if !plan.Again.IsZero() {
-			s.wakes.add(plan.Again.Sub(epoch), nil)
+		if !plan.ReplanAt.IsZero() {
+			s.wakes.add(plan.ReplanAt.Sub(epoch), nil)
 		}
 		s.load()
 		s.judge()
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -97,9 +97,9 @@
 // Plan is a list of actions, to be applied in order.
 type Plan struct {
 	Actions []Action
-	// Again is when the policy wants to be asked again even if nothing happens;
+	// ReplanAt is when the policy wants to be asked again even if nothing happens;
 	// zero for no wish.
-	Again time.Time
+	ReplanAt time.Time
 }
 
 // Policy decides on a zone's grouping. Implementations keep no state between
