--- a/internal/placement/naive.go
+++ b/internal/placement/naive.go
@@ -57,7 +57,7 @@
 		return "group-rule-changed"
 	}
 	for _, id := range r.Members {
-		if vm, ok := vms[id]; !ok || vm.Broken() {
+		if vm, ok := vms[id]; !ok || vm.Unavailable() {
 			return "member-missing"
 		}
 	}
--- a/internal/placement/policy_test.go
+++ b/internal/placement/policy_test.go
@@ -140,7 +140,7 @@
 	require.Len(z.t, r.Members, g.VMs)
 	index := indexVMs(z.vms)
 	for _, id := range r.Members {
-		require.False(z.t, index[id].Broken(), "%s in %+v", id, r)
+		require.False(z.t, index[id].Unavailable(), "%s in %+v", id, r)
 		require.True(z.t, index[id].Usable() || !slices.Contains(added, id), "%s in %+v", id, r)
 		require.True(z.t, !g.SameDomain || index[id].Domain == index[r.Members[0]].Domain, "%+v", r)
 	}
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -41,8 +41,8 @@
 	return v.Listed && !v.Leaving && !v.LastSeen.IsZero() && v.DownSince.IsZero()
 }
 
-// Broken reports whether a replica that holds the VM cannot serve because of it.
-func (v VM) Broken() bool { return v.Leaving || !v.DownSince.IsZero() }
+// Unavailable reports whether a replica that holds the VM cannot serve because of it.
+func (v VM) Unavailable() bool { return v.Leaving || !v.DownSince.IsZero() }
 
 // Load is the work on one replica.
 type Load struct {
--- a/internal/placement/weighted.go
+++ b/internal/placement/weighted.go
@@ -113,7 +113,7 @@
 	down := false
 	for _, id := range r.Members {
 		vm, known := p.vms[id]
-		if known && !vm.Broken() {
+		if known && !vm.Unavailable() {
 			continue
 		}
 		b.missing = append(b.missing, id)
