--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -250,7 +250,7 @@
 		if action.Kind == placement.Preload {
 			t.holds[action.VM] = action.Group
 		}
-		if !action.Changes() {
+		if !action.ChangesTable() {
 			c.opts.Log.Debug("placement", "zone", c.opts.Zone, "action", action.Kind, "group", action.Group, "vm", action.VM, "reason", action.Reason)
 			continue
 		}
--- a/internal/placement/policy_test.go
+++ b/internal/placement/policy_test.go
@@ -89,7 +89,7 @@
 		plan := z.policy.Plan(in, z.now)
 		changed := false
 		for _, a := range plan.Actions {
-			if a.Changes() {
+			if a.ChangesTable() {
 				z.apply(a)
 				changed = true
 			}
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -196,7 +196,7 @@
 			if err := s.act(a); err != nil {
 				return err
 			}
-			changed = changed || a.Changes()
+			changed = changed || a.ChangesTable()
 		}
 		if !plan.ReplanAt.IsZero() {
 			s.wakes.add(plan.ReplanAt.Sub(epoch), nil)
@@ -228,7 +228,7 @@
 	if a.Kind == placement.Preload {
 		s.want(s.byID[a.VM], s.model(a.Group))
 	}
-	if !a.Changes() {
+	if !a.ChangesTable() {
 		return nil
 	}
 	if (a.Kind == placement.BreakUp || a.Kind == placement.Replace) && s.running(a.Replica) {
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -91,8 +91,8 @@
 	Reason                 string
 }
 
-// Changes reports whether the action changes the committed table.
-func (a Action) Changes() bool { return a.Kind != Preload && a.Kind != Wait }
+// ChangesTable reports whether the action changes the committed table.
+func (a Action) ChangesTable() bool { return a.Kind != Preload && a.Kind != Wait }
 
 // Plan is a list of actions, to be applied in order.
 type Plan struct {
