--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -11,8 +11,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// Costs are the times that things take in a replay.
-type Costs struct {
+// Timings are the times that things take in a replay.
+type Timings struct {
 	// Detect is the time from a VM's loss until the policy sees it.
 	Detect time.Duration
 	// Load is the reading of weights by one VM.
@@ -26,8 +26,8 @@
 }
 
 // DefaultCosts are assumptions; docs/placement.md says which and why.
-func DefaultCosts() Costs {
-	return Costs{Detect: 9 * time.Second, Load: 2 * time.Minute, Join: 30 * time.Second, Stream: 20 * time.Second, LoadsPerSecond: 0.5}
+func DefaultCosts() Timings {
+	return Timings{Detect: 9 * time.Second, Load: 2 * time.Minute, Join: 30 * time.Second, Stream: 20 * time.Second, LoadsPerSecond: 0.5}
 }
 
 // Result is what a replay measured.
@@ -65,7 +65,7 @@
 type sim struct {
 	policy placement.Policy
 	groups []rules.Group
-	costs  Costs
+	costs  Timings
 	trace  Trace
 
 	now         time.Duration
@@ -86,7 +86,7 @@
 var epoch = time.Unix(0, 0).UTC()
 
 // Run replays the trace under the policy. It starts with all VMs up and loaded.
-func Run(t Trace, policy placement.Policy, groups []rules.Group, costs Costs) (Result, error) {
+func Run(t Trace, policy placement.Policy, groups []rules.Group, costs Timings) (Result, error) {
 	s := newSim(t, policy, groups, costs)
 	s.targets = fitting(t, groups)
 	if err := s.settle(); err != nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-func newSim(t Trace, policy placement.Policy, groups []rules.Group, costs Costs) *sim {
+func newSim(t Trace, policy placement.Policy, groups []rules.Group, costs Timings) *sim {
 	s := &sim{
 		policy: policy, groups: groups, costs: costs, trace: t, byID: make(map[cluster.VMID]*vm, len(t.VMs)),
 		joined: make(map[cluster.ReplicaID]time.Duration), draining: make(map[cluster.ReplicaID]time.Duration),
