--- a/internal/placement/replay/cmd/main.go
+++ b/internal/placement/replay/cmd/main.go
@@ -67,7 +67,7 @@
 
 func printPair(s replay.Scenario, trace replay.Trace, set replay.RuleSet, weigh rules.Weigh) error {
 	for _, policy := range []placement.Policy{placement.Naive{}, placement.Weighted{}} {
-		r, err := replay.Run(trace, policy, set.Groups(weigh), replay.DefaultCosts())
+		r, err := replay.Run(trace, policy, set.Groups(weigh), replay.DefaultTimings())
 		if err != nil {
 			return err
 		}
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -25,8 +25,8 @@
 	LoadsPerSecond float64
 }
 
-// DefaultCosts are assumptions; docs/placement.md says which and why.
-func DefaultCosts() Timings {
+// DefaultTimings are assumptions; docs/placement.md says which and why.
+func DefaultTimings() Timings {
 	return Timings{Detect: 9 * time.Second, Load: 2 * time.Minute, Join: 30 * time.Second, Stream: 20 * time.Second, LoadsPerSecond: 0.5}
 }
 
--- a/internal/placement/replay/replay_test.go
+++ b/internal/placement/replay/replay_test.go
@@ -35,9 +35,9 @@
 		for _, weigh := range []rules.Weigh{rules.WeighDowntime, rules.WeighStranded} {
 			t.Run(s.Name+" "+string(weigh), func(t *testing.T) {
 				groups := Capped.Groups(weigh)
-				naive, err := Run(trace, placement.Naive{}, groups, DefaultCosts())
+				naive, err := Run(trace, placement.Naive{}, groups, DefaultTimings())
 				require.NoError(t, err)
-				weighted, err := Run(trace, placement.Weighted{}, groups, DefaultCosts())
+				weighted, err := Run(trace, placement.Weighted{}, groups, DefaultTimings())
 				require.NoError(t, err)
 				require.Less(t, weighted.Downtime.Hours(), goal*naive.Downtime.Hours())
 				require.Less(t, weighted.Stranded.Hours(), tolerance*naive.Stranded.Hours())
