--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -19,15 +19,15 @@
 	Load time.Duration
 	// Join is from the last member loaded until the replica serves.
 	Join time.Duration
-	// Stream is how long streams run on after a replica stops taking work.
-	Stream time.Duration
+	// StreamDrain is how long streams run on after a replica stops taking work.
+	StreamDrain time.Duration
 	// LoadsPerSecond is how many VMs a second may start to read weights.
 	LoadsPerSecond float64
 }
 
 // DefaultTimings are assumptions; docs/placement.md says which and why.
 func DefaultTimings() Timings {
-	return Timings{Detect: 9 * time.Second, Load: 2 * time.Minute, Join: 30 * time.Second, Stream: 20 * time.Second, LoadsPerSecond: 0.5}
+	return Timings{Detect: 9 * time.Second, Load: 2 * time.Minute, Join: 30 * time.Second, StreamDrain: 20 * time.Second, LoadsPerSecond: 0.5}
 }
 
 // Result is what a replay measured.
@@ -248,7 +248,7 @@
 		delete(s.draining, r.ID)
 	case a.Kind == placement.Drain:
 		s.draining[r.ID] = s.now
-		s.wakes.add(s.now+s.costs.Stream, nil)
+		s.wakes.add(s.now+s.costs.StreamDrain, nil)
 	default:
 		delete(s.draining, r.ID)
 		s.joined[r.ID] = s.now
@@ -276,7 +276,7 @@
 		}
 	}
 	since, drains := s.draining[id]
-	return s.now >= s.joined[id]+s.costs.Join && (!drains || s.now < since+s.costs.Stream)
+	return s.now >= s.joined[id]+s.costs.Join && (!drains || s.now < since+s.costs.StreamDrain)
 }
 
 func (s *sim) loading(v *vm) bool { return v.loaded > s.now }
