--- a/internal/placement/replay/cmd/main.go
+++ b/internal/placement/replay/cmd/main.go
@@ -72,7 +72,7 @@
 			return err
 		}
 		fmt.Printf("| %s | %s | %s | %s | %.1f | %.1f | %.1f | %.0f | %.0f | %d | %d |\n", s.Name, set, weigh, r.Policy,
-			r.Downtime.Hours(), r.ByGroup["large"].Hours(), r.DowntimeBound.Hours(), r.Stranded.Hours(), r.StrandedBound.Hours(), r.Cuts, r.Loads)
+			r.Downtime.Hours(), r.ByGroup["large"].Hours(), r.DowntimeBound.Hours(), r.Stranded.Hours(), r.StrandedBound.Hours(), r.InterruptedReplicas, r.Loads)
 	}
 	return nil
 }
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -40,8 +40,8 @@
 	ByGroup map[cluster.GroupName]time.Duration
 	// Stranded is VM-time of VMs that are up and not leaving but in no whole replica.
 	Stranded time.Duration
-	// Cuts counts replicas that were taken apart while streams ran on them.
-	Cuts int
+	// InterruptedReplicas counts replicas that were taken apart while streams ran on them.
+	InterruptedReplicas int
 	// Changes counts committed actions, Loads readings of weights.
 	Changes, Loads int
 	// DowntimeBound and StrandedBound are lower bounds for any policy.
@@ -232,7 +232,7 @@
 		return nil
 	}
 	if (a.Kind == placement.BreakUp || a.Kind == placement.Replace) && s.running(a.Replica) {
-		s.result.Cuts++
+		s.result.InterruptedReplicas++
 	}
 	s.nextID++
 	id := cluster.ReplicaID(fmt.Sprintf("r%06d", s.nextID))
--- a/internal/placement/replay/replay_test.go
+++ b/internal/placement/replay/replay_test.go
@@ -41,7 +41,7 @@
 				require.NoError(t, err)
 				require.Less(t, weighted.Downtime.Hours(), goal*naive.Downtime.Hours())
 				require.Less(t, weighted.Stranded.Hours(), tolerance*naive.Stranded.Hours())
-				require.Zero(t, weighted.Cuts, "streams cut by the policy")
+				require.Zero(t, weighted.InterruptedReplicas, "streams cut by the policy")
 				for _, r := range []Result{naive, weighted} {
 					require.GreaterOrEqual(t, r.Downtime, r.DowntimeBound)
 					require.GreaterOrEqual(t, r.Stranded, r.StrandedBound)
