--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -207,20 +207,20 @@
 			return nil
 		}
 	}
-	return &UnsettledError{Policy: s.policy.Name(), At: s.now}
+	return &ConvergenceError{Policy: s.policy.Name(), At: s.now}
 }
 
 // maxPlans bounds the plans at one time; a policy that needs more goes in circles.
 const maxPlans = 10
 
-// UnsettledError says that a policy keeps changing its mind without an event.
-type UnsettledError struct {
+// ConvergenceError says that a policy keeps changing its mind without an event.
+type ConvergenceError struct {
 	Policy string
 	At     time.Duration
 }
 
 // Error implements error.
-func (e *UnsettledError) Error() string {
+func (e *ConvergenceError) Error() string {
 	return fmt.Sprintf("replay: policy %s does not settle at %v", e.Policy, e.At)
 }
 
