--- a/internal/placement/affinity.go
+++ b/internal/placement/affinity.go
@@ -8,61 +8,61 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// affinityDomain is what a domain holds.
-type affinityDomain struct {
+// domainSummary is the part of a fabric domain's state on which affinity depends.
+type domainSummary struct {
 	id   cluster.DomainID
 	zone cluster.ZoneID
 	vms  int
-	// staged counts the VMs that have each group's weights.
+	// staged counts, by group, the VMs that have the group's weights.
 	staged map[cluster.GroupName]int
 }
 
-// affinities gives each domain the group whose weights its VMs read. A domain keeps
-// the one that most of its VMs have. Domains without weights go to the groups by
-// their demand, by D'Hondt's apportionment, and within a
-// group to the zone that has fewest domains of it.
-func affinities(in Input, vms map[cluster.VMID]*VM) map[cluster.DomainID]*rules.Group {
+// assignAffinities maps each fabric domain to the group whose weights its VMs load.
+// A domain keeps the group whose weights most of its VMs have. Domains without
+// weights are divided among the groups in proportion to demand by the D'Hondt
+// method; a group takes the domain in the zone where it has the fewest.
+func assignAffinities(in Input, vms map[cluster.VMID]*VM) map[cluster.DomainID]*rules.Group {
 	out := make(map[cluster.DomainID]*rules.Group)
-	given := make(map[cluster.GroupName]int)
-	zones := make(map[groupZone]int)
-	give := func(d affinityDomain, g *rules.Group) {
+	assignedVMs := make(map[cluster.GroupName]int)
+	domainsPerZone := make(map[groupZone]int)
+	assign := func(d domainSummary, g *rules.Group) {
 		out[d.id] = g
-		given[g.Name] += d.vms
-		zones[groupZone{g.Name, d.zone}]++
+		assignedVMs[g.Name] += d.vms
+		domainsPerZone[groupZone{g.Name, d.zone}]++
 	}
-	var open []affinityDomain
-	for _, d := range affinityDomains(in, vms) {
+	var unassigned []domainSummary
+	for _, d := range summarizeDomains(in, vms) {
 		if g := d.mostStaged(in.Groups); g != nil {
-			give(d, g)
+			assign(d, g)
 		} else {
-			open = append(open, d)
+			unassigned = append(unassigned, d)
 		}
 	}
-	for len(open) > 0 {
-		g := mostWanted(in.Groups, given, open[0].vms)
+	for len(unassigned) > 0 {
+		g := highestQuotient(in.Groups, assignedVMs, unassigned[0].vms)
 		if g == nil {
 			return out
 		}
-		at := 0
-		for i := range open {
-			if zones[groupZone{g.Name, open[i].zone}] < zones[groupZone{g.Name, open[at].zone}] {
-				at = i
+		chosen := 0
+		for i := range unassigned {
+			if domainsPerZone[groupZone{g.Name, unassigned[i].zone}] < domainsPerZone[groupZone{g.Name, unassigned[chosen].zone}] {
+				chosen = i
 			}
 		}
-		give(open[at], g)
-		open = slices.Delete(open, at, at+1)
+		assign(unassigned[chosen], g)
+		unassigned = slices.Delete(unassigned, chosen, chosen+1)
 	}
 	return out
 }
 
-// affinityDomains are the input's domains, ordered by id.
-func affinityDomains(in Input, vms map[cluster.VMID]*VM) []affinityDomain {
-	byID := make(map[cluster.DomainID]*affinityDomain)
+// summarizeDomains returns the domains of the input, ordered by id.
+func summarizeDomains(in Input, vms map[cluster.VMID]*VM) []domainSummary {
+	byID := make(map[cluster.DomainID]*domainSummary)
 	for i := range in.VMs {
 		vm := &in.VMs[i]
 		d := byID[vm.Domain]
 		if d == nil {
-			d = &affinityDomain{id: vm.Domain, zone: vm.Zone, staged: make(map[cluster.GroupName]int)}
+			d = &domainSummary{id: vm.Domain, zone: vm.Zone, staged: make(map[cluster.GroupName]int)}
 			byID[vm.Domain] = d
 		}
 		d.vms++
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	// VMs that load for a replica count as having its weights.
+	// Members that are still loading a replica's weights count as having them.
 	for i := range in.Replicas {
 		r := &in.Replicas[i]
 		for _, id := range r.Members {
@@ -81,16 +81,16 @@
 			}
 		}
 	}
-	out := make([]affinityDomain, 0, len(byID))
+	out := make([]domainSummary, 0, len(byID))
 	for _, d := range byID {
 		out = append(out, *d)
 	}
-	slices.SortFunc(out, func(a, b affinityDomain) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(out, func(a, b domainSummary) int { return cmp.Compare(a.id, b.id) })
 	return out
 }
 
-// mostStaged is the group whose weights most VMs of the domain have, nil for none.
-func (d affinityDomain) mostStaged(groups []rules.Group) (best *rules.Group) {
+// mostStaged returns the group whose weights most VMs of the domain have, or nil.
+func (d domainSummary) mostStaged(groups []rules.Group) (best *rules.Group) {
 	for i := range groups {
 		g := &groups[i]
 		if n := d.staged[g.Name]; n > 0 && (best == nil || n > d.staged[best.Name]) {
@@ -100,31 +100,32 @@
 	return best
 }
 
-// mostWanted is the group that is owed most for the VMs it was given.
-func mostWanted(groups []rules.Group, given map[cluster.GroupName]int, next int) (best *rules.Group) {
-	most := 0.0
+// highestQuotient returns the group with the highest D'Hondt quotient: adjusted
+// demand over the VMs assigned to it, including the next domain.
+func highestQuotient(groups []rules.Group, assignedVMs map[cluster.GroupName]int, domainSize int) (best *rules.Group) {
+	highest := 0.0
 	for i := range groups {
 		g := &groups[i]
 		if g.VMs < 1 {
 			continue
 		}
-		if owed := usableDemand(g, next) / float64(given[g.Name]+next); best == nil || owed > most {
-			best, most = g, owed
+		if quotient := adjustedDemand(g, domainSize) / float64(assignedVMs[g.Name]+domainSize); best == nil || quotient > highest {
+			best, highest = g, quotient
 		}
 	}
 	return best
 }
 
-// usableDemand is the group's demand for VMs with those that it can't use: of a
-// domain's VMs half a replica is idle on average.
-func usableDemand(g *rules.Group, domain int) float64 {
+// adjustedDemand returns the group's demand for VMs, increased to make up for those
+// that it cannot use: on average (VMs-1)/2 of a domain's VMs do not fill a replica.
+func adjustedDemand(g *rules.Group, domainSize int) float64 {
 	demand := g.Demand
 	if demand <= 0 {
 		demand = 1
 	}
-	idle := float64(g.VMs-1) / 2
-	if float64(domain) <= idle {
+	idleVMs := float64(g.VMs-1) / 2
+	if float64(domainSize) <= idleVMs {
 		return demand
 	}
-	return demand * float64(domain) / (float64(domain) - idle)
+	return demand * float64(domainSize) / (float64(domainSize) - idleVMs)
 }
--- a/internal/placement/assignments.go
+++ b/internal/placement/assignments.go
@@ -8,7 +8,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// AssignmentError says why Assignments refuses an action or a table.
+// AssignmentError reports why Assignments rejected an action or a table.
 type AssignmentError struct {
 	Action  Kind
 	Replica cluster.ReplicaID
@@ -20,25 +20,26 @@
 
 // Error implements error.
 func (e *AssignmentError) Error() string {
-	return fmt.Sprintf("placement %s: %s: replica=%s vm=%s holder=%s", e.Action, e.Problem, e.Replica, e.VM, e.AssignedTo)
+	return fmt.Sprintf("placement %s: %s: replica=%s vm=%s assigned_to=%s", e.Action, e.Problem, e.Replica, e.VM, e.AssignedTo)
 }
 
-// Assignments is a zone's grouping with an index from VM to replica. Every change of a
-// grouping, by whatever policy, goes through Apply: it refuses to put a VM into
-// two replicas, whatever the plan says.
+// Assignments is the grouping of a zone with an index from VM to replica. All
+// changes go through Apply, which rejects an action that would put a VM into two
+// replicas, whichever policy planned it.
 type Assignments struct {
-	zone     cluster.ZoneID
-	replicas map[cluster.ReplicaID]cluster.Replica
-	holder   map[cluster.VMID]cluster.ReplicaID
-	sorted   []cluster.Replica // what Replicas returned last; nil after a change
+	zone        cluster.ZoneID
+	replicas    map[cluster.ReplicaID]cluster.Replica
+	replicaByVM map[cluster.VMID]cluster.ReplicaID
+	sorted      []cluster.Replica // cached result of Replicas; nil after a change
 }
 
-// NewAssignments returns the Assignments of the given replicas, or a *AssignmentError if two share a VM.
+// NewAssignments indexes the given replicas. It returns an *AssignmentError if two
+// of them share a VM.
 func NewAssignments(zone cluster.ZoneID, replicas []cluster.Replica) (*Assignments, error) {
 	t := &Assignments{
-		zone:     zone,
-		replicas: make(map[cluster.ReplicaID]cluster.Replica, len(replicas)),
-		holder:   make(map[cluster.VMID]cluster.ReplicaID, len(replicas)),
+		zone:        zone,
+		replicas:    make(map[cluster.ReplicaID]cluster.Replica, len(replicas)),
+		replicaByVM: make(map[cluster.VMID]cluster.ReplicaID, len(replicas)),
 	}
 	for _, r := range replicas {
 		if err := t.add("load", r); err != nil {
@@ -48,16 +49,16 @@
 	return t, nil
 }
 
-// Replica returns one replica.
+// Replica returns the replica with the given id.
 func (t *Assignments) Replica(id cluster.ReplicaID) (cluster.Replica, bool) {
 	r, ok := t.replicas[id]
 	return r, ok
 }
 
 // ReplicaOf returns the replica that has the VM, or "".
-func (t *Assignments) ReplicaOf(vm cluster.VMID) cluster.ReplicaID { return t.holder[vm] }
+func (t *Assignments) ReplicaOf(vm cluster.VMID) cluster.ReplicaID { return t.replicaByVM[vm] }
 
-// Replicas returns all replicas ordered by id; callers must not change the slice.
+// Replicas returns all replicas, ordered by id. Callers must not modify the slice.
 func (t *Assignments) Replicas() []cluster.Replica {
 	if t.sorted != nil {
 		return t.sorted
@@ -71,58 +72,59 @@
 	return out
 }
 
-// Change is the outcome of an applied action: the replica as it is afterwards,
-// or Removed.
+// Change is the result of an applied action: the new value of the replica, or its
+// last value if Removed.
 type Change struct {
 	Replica cluster.Replica
 	Removed bool
 }
 
-// CommitMetadata gives the parts of a new or changed replica that no policy chooses.
+// CommitMetadata holds the fields of a new or changed replica that the policy does
+// not decide.
 type CommitMetadata struct {
-	// NewID names a formed replica; ids are never used twice.
+	// NewID is the id of a formed replica. Ids are never reused.
 	NewID cluster.ReplicaID
 	Model string
 	Fence cluster.Fence
 }
 
-// Apply changes the assignments by one action and returns the change to commit.
-func (t *Assignments) Apply(a Action, s CommitMetadata) (Change, error) {
+// Apply performs the action and returns the change to commit.
+func (t *Assignments) Apply(a Action, meta CommitMetadata) (Change, error) {
 	if a.Kind == Form {
-		return t.form(a, s)
+		return t.form(a, meta)
 	}
 	old, ok := t.replicas[a.Replica]
 	if !ok {
-		return Change{}, &AssignmentError{Action: a.Kind, Replica: a.Replica, Problem: "no such replica"}
+		return Change{}, &AssignmentError{Action: a.Kind, Replica: a.Replica, Problem: "replica does not exist"}
 	}
 	switch a.Kind {
 	case BreakUp:
 		t.remove(old)
 		return Change{Replica: old, Removed: true}, nil
 	case Drain:
-		// The generation stays: a new one would have the engines reassigned in
-		// the middle of the streams that the drain lets finish.
+		// Keep the generation: a new one would reassign the engines and so
+		// interrupt the streams that the drain lets finish.
 		old.Leaving = true
 		t.replicas[old.ID] = old
 		t.sorted = nil
 		return Change{Replica: old}, nil
 	case Replace:
-		return t.replace(a, old, s)
+		return t.replace(a, old, meta)
 	default:
-		return Change{}, &AssignmentError{Action: a.Kind, Replica: a.Replica, Problem: "action changes nothing"}
+		return Change{}, &AssignmentError{Action: a.Kind, Replica: a.Replica, Problem: "action does not change the table"}
 	}
 }
 
-func (t *Assignments) form(a Action, s CommitMetadata) (Change, error) {
+func (t *Assignments) form(a Action, meta CommitMetadata) (Change, error) {
 	if len(a.Members) == 0 {
-		return Change{}, &AssignmentError{Action: Form, Replica: s.NewID, Problem: "no members"}
+		return Change{}, &AssignmentError{Action: Form, Replica: meta.NewID, Problem: "no members"}
 	}
 	r := cluster.Replica{
-		ID: s.NewID, Group: a.Group, Model: s.Model, Zone: t.zone, Generation: 1, Fence: s.Fence,
+		ID: meta.NewID, Group: a.Group, Model: meta.Model, Zone: t.zone, Generation: 1, Fence: meta.Fence,
 		Members: slices.Clone(a.Members), Serving: a.Members[0],
 	}
-	if _, taken := t.replicas[r.ID]; taken || r.ID == "" {
-		return Change{}, &AssignmentError{Action: Form, Replica: r.ID, Problem: "replica id taken or empty"}
+	if _, exists := t.replicas[r.ID]; exists || r.ID == "" {
+		return Change{}, &AssignmentError{Action: Form, Replica: r.ID, Problem: "replica id is empty or already in use"}
 	}
 	if err := t.add(Form, r); err != nil {
 		return Change{}, err
@@ -130,9 +132,9 @@
 	return Change{Replica: r}, nil
 }
 
-func (t *Assignments) replace(a Action, old cluster.Replica, s CommitMetadata) (Change, error) {
+func (t *Assignments) replace(a Action, old cluster.Replica, meta CommitMetadata) (Change, error) {
 	if len(a.OldMembers) != len(a.NewMembers) {
-		return Change{}, &AssignmentError{Action: Replace, Replica: old.ID, Problem: "sizes differ"}
+		return Change{}, &AssignmentError{Action: Replace, Replica: old.ID, Problem: "replacement has a different number of VMs"}
 	}
 	next := old
 	next.Members = slices.Clone(old.Members)
@@ -146,7 +148,7 @@
 	next.Leaving = false
 	next.Serving = next.Members[0]
 	next.Generation = old.Generation + 1
-	next.Fence = s.Fence
+	next.Fence = meta.Fence
 	t.remove(old)
 	if err := t.add(Replace, next); err != nil {
 		t.insert(old)
@@ -155,15 +157,15 @@
 	return Change{Replica: next}, nil
 }
 
-// add checks that no member is held already, then inserts.
+// add inserts the replica after checking that no member is assigned already.
 func (t *Assignments) add(kind Kind, r cluster.Replica) error {
 	seen := make(map[cluster.VMID]struct{}, len(r.Members))
 	for _, vm := range r.Members {
-		if holder, held := t.holder[vm]; held {
-			return &AssignmentError{Action: kind, Replica: r.ID, VM: vm, AssignedTo: holder, Problem: "VM is in another replica"}
+		if other, assigned := t.replicaByVM[vm]; assigned {
+			return &AssignmentError{Action: kind, Replica: r.ID, VM: vm, AssignedTo: other, Problem: "VM is in another replica"}
 		}
-		if _, twice := seen[vm]; twice {
-			return &AssignmentError{Action: kind, Replica: r.ID, VM: vm, AssignedTo: r.ID, Problem: "VM named twice"}
+		if _, duplicate := seen[vm]; duplicate {
+			return &AssignmentError{Action: kind, Replica: r.ID, VM: vm, AssignedTo: r.ID, Problem: "VM is listed twice"}
 		}
 		seen[vm] = struct{}{}
 	}
@@ -178,7 +180,7 @@
 	t.sorted = nil
 	t.replicas[r.ID] = r
 	for _, vm := range r.Members {
-		t.holder[vm] = r.ID
+		t.replicaByVM[vm] = r.ID
 	}
 }
 
@@ -186,6 +188,6 @@
 	t.sorted = nil
 	delete(t.replicas, r.ID)
 	for _, vm := range r.Members {
-		delete(t.holder, vm)
+		delete(t.replicaByVM, vm)
 	}
 }
--- a/internal/placement/assignments_test.go
+++ b/internal/placement/assignments_test.go
@@ -9,16 +9,16 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// A policy with a fault plans a VM into two replicas, or twice into one. Both
-// replicas would load over each other's weights and mix up callers' answers, so
-// Assignments refuses the action and stays as it was.
+// A faulty policy plans a VM into two replicas, or twice into one. Both replicas would
+// load over each other's weights and mix up callers' answers, so Assignments must reject
+// the action and stay unchanged.
 func TestAssignmentsRefuseSharedVMs(t *testing.T) {
 	assignments, err := NewAssignments("z", nil)
 	require.NoError(t, err)
 	_, err = assignments.Apply(Action{Kind: Form, Group: "g", Members: []cluster.VMID{"a", "b"}}, CommitMetadata{NewID: "r1", Fence: 3})
 	require.NoError(t, err)
 	before := assignments.Replicas()
-	bad := []struct {
+	refused := []struct {
 		action Action
 		id     cluster.ReplicaID
 	}{
@@ -32,7 +32,7 @@
 		{Action{Kind: BreakUp, Replica: "r9"}, ""},
 		{Action{Kind: Wait, Replica: "r1"}, ""},
 	}
-	for _, b := range bad {
+	for _, b := range refused {
 		_, err := assignments.Apply(b.action, CommitMetadata{NewID: b.id, Fence: 3})
 		_, ok := errors.Into[*AssignmentError](err)
 		require.True(t, ok, "%+v: %v", b.action, err)
@@ -56,7 +56,7 @@
 	drained, err := assignments.Apply(Action{Kind: Drain, Replica: "r1"}, CommitMetadata{Fence: 4})
 	require.NoError(t, err)
 	require.True(t, drained.Replica.Leaving)
-	require.Equal(t, int64(1), drained.Replica.Generation, "a drain reassigns no engine")
+	require.Equal(t, int64(1), drained.Replica.Generation, "a drain must not reassign engines")
 
 	replaced, err := assignments.Apply(Action{Kind: Replace, Replica: "r1", OldMembers: []cluster.VMID{"a"}, NewMembers: []cluster.VMID{"c"}}, CommitMetadata{Fence: 4})
 	require.NoError(t, err)
@@ -64,7 +64,7 @@
 	require.Equal(t, cluster.VMID("c"), replaced.Replica.Serving)
 	require.False(t, replaced.Replica.Leaving)
 	require.Equal(t, int64(2), replaced.Replica.Generation)
-	require.Equal(t, []cluster.VMID{"a", "b"}, formed.Replica.Members, "committed values are never changed")
+	require.Equal(t, []cluster.VMID{"a", "b"}, formed.Replica.Members, "committed values must not change")
 
 	removed, err := assignments.Apply(Action{Kind: BreakUp, Replica: "r1"}, CommitMetadata{})
 	require.NoError(t, err)
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// benchInput is a zone of n replicas of size VMs each, 20 to a domain with two
-// VMs left over, of which one in a hundred has lost a VM.
+// benchInput returns a zone of n replicas with size VMs each. A domain has 20 replicas and
+// two spare VMs; one replica in a hundred has lost a VM.
 func benchInput(n, size int) Input {
 	const perDomain = 20
 	now := time.Unix(1000, 0)
--- a/internal/placement/mix.go
+++ b/internal/placement/mix.go
@@ -9,20 +9,19 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// Mix forms replicas of several models in proportion to the work that each is
-// asked for, where a broken replica is not kept together but formed anew: joining
-// again costs its survivors a fraction of a second, and they may serve better
-// with other VMs.
+// Mix forms replicas of several models in proportion to their demand. It does not
+// preserve a broken replica but forms new ones from the survivors: rejoining costs
+// them a fraction of a second, and they may be more useful together with other VMs.
 //
-// Every fabric domain has an affinity to one model, whose weights all its VMs read. Then the
-// survivors of broken replicas in a domain make up replicas with each other at
-// once, and what can't be used is at most a replica less one VM in each domain. With
-// several models in a domain it is that much for each of them, and a survivor
-// waits for weights to be read, which takes as long as several VMs take to fail.
+// Each fabric domain has an affinity to one model, whose weights all its VMs load. The
+// survivors of broken replicas in a domain can then form replicas with each other at
+// once, and at most one replica less one VM per domain is left unused. With several
+// models in a domain that much would be left for each of them, and a survivor would
+// wait for weights to load, which takes as long as several further VMs take to fail.
 //
-// Among the places for a replica it weighs, in this order: how many VMs must read
-// weights from the weight store; which model lacks replicas most; how soon the VMs
-// could serve; and how evenly the model's replicas lie over the zones.
+// Replicas are chosen by, in this order: the number of VMs that must load weights from
+// the weight store; the shortage of the model; how soon the VMs can serve; and how
+// evenly the model's replicas are spread over the zones.
 type Mix struct{}
 
 // Name implements Policy.
@@ -34,31 +33,31 @@
 	m.breakUp()
 	m.form(0)
 	if in.CheapLoads {
-		m.stage(m.leftOver)
-		m.form(m.largest())
+		m.preload(m.hasRemainder)
+		m.form(m.maxGroupSize())
 	}
-	m.stageAhead()
+	m.preloadSpares()
 	return Plan{Actions: m.actions}
 }
 
-// mixPlan is the working state of one Plan call.
+// mixPlan is the working state of a Plan call.
 type mixPlan struct {
 	in      Input
 	vms     map[cluster.VMID]*VM
 	free    map[cluster.DomainID][]*VM
 	domains []cluster.DomainID
-	// places has what placeIn found, as long as the domain's free VMs are the same.
-	places map[groupDomain]*place
-	// searches counts the domains looked through for places.
+	// proposals caches the results of proposalIn until the free VMs of the domain change.
+	proposals map[groupDomain]*proposal
+	// searches counts the domains that were searched for a proposal.
 	searches int
-	// affinity is the group whose weights the VMs of a domain read.
+	// affinity maps a domain to the group whose weights its VMs load.
 	affinity map[cluster.DomainID]*rules.Group
 	// serving counts replicas by group, perZone by group and zone.
 	serving map[cluster.GroupName]int
 	perZone map[groupZone]int
 	actions []Action
-	// staging are the VMs that the plan has read weights ahead.
-	staging map[cluster.VMID]bool
+	// preloading holds the VMs for which this plan has ordered a preload.
+	preloading map[cluster.VMID]bool
 }
 
 type groupZone struct {
@@ -72,18 +71,18 @@
 }
 
 func newMixPlan(in Input) *mixPlan {
-	m := &mixPlan{in: in, vms: make(map[cluster.VMID]*VM, len(in.VMs)), free: make(map[cluster.DomainID][]*VM), places: make(map[groupDomain]*place),
-		serving: make(map[cluster.GroupName]int), perZone: make(map[groupZone]int), staging: make(map[cluster.VMID]bool)}
-	held := make(map[cluster.VMID]bool, len(in.VMs))
+	m := &mixPlan{in: in, vms: make(map[cluster.VMID]*VM, len(in.VMs)), free: make(map[cluster.DomainID][]*VM), proposals: make(map[groupDomain]*proposal),
+		serving: make(map[cluster.GroupName]int), perZone: make(map[groupZone]int), preloading: make(map[cluster.VMID]bool)}
+	assigned := make(map[cluster.VMID]bool, len(in.VMs))
 	for i := range in.Replicas {
 		for _, vm := range in.Replicas[i].Members {
-			held[vm] = true
+			assigned[vm] = true
 		}
 	}
 	for i := range in.VMs {
 		vm := &in.VMs[i]
 		m.vms[vm.ID] = vm
-		if held[vm.ID] || !vm.Usable() {
+		if assigned[vm.ID] || !vm.Usable() {
 			continue
 		}
 		if _, known := m.free[vm.Domain]; !known {
@@ -92,12 +91,12 @@
 		m.free[vm.Domain] = append(m.free[vm.Domain], vm)
 	}
 	slices.Sort(m.domains)
-	m.affinity = affinities(in, m.vms)
+	m.affinity = assignAffinities(in, m.vms)
 	return m
 }
 
-// breakUp ends the replicas that lost a member or whose rule is gone, and counts
-// the others.
+// breakUp breaks up the replicas that have a lost or leaving member or whose rule was
+// removed, and counts the others as serving.
 func (m *mixPlan) breakUp() {
 	for _, r := range m.in.Replicas {
 		g := FindGroup(m.in.Groups, r.Group)
@@ -105,16 +104,16 @@
 			m.add(Action{Kind: BreakUp, Replica: r.ID, Reason: "no-rule"})
 			continue
 		}
-		if reason := m.missing(r); reason != "" {
+		if reason := m.lossReason(r); reason != "" {
 			m.add(Action{Kind: BreakUp, Group: r.Group, Replica: r.ID, Reason: reason})
 			continue
 		}
-		m.count(g, m.zoneOf(r.Members))
+		m.countServing(g, m.zoneOf(r.Members))
 	}
 }
 
-// missing says why the replica can't go on; empty if it can.
-func (m *mixPlan) missing(r cluster.Replica) string {
+// lossReason returns why the replica cannot continue, or "".
+func (m *mixPlan) lossReason(r cluster.Replica) string {
 	reason := ""
 	for _, id := range r.Members {
 		vm, known := m.vms[id]
@@ -137,63 +136,63 @@
 	return ""
 }
 
-func (m *mixPlan) count(g *rules.Group, zone cluster.ZoneID) {
+func (m *mixPlan) countServing(g *rules.Group, zone cluster.ZoneID) {
 	m.serving[g.Name]++
 	m.perZone[groupZone{g.Name, zone}]++
 }
 
-// place is where one more replica of a group could be formed.
-type place struct {
+// proposal is a possible new replica of a group.
+type proposal struct {
 	group   *rules.Group
 	domain  cluster.DomainID
 	members []*VM
-	// ready is how long the members take to be ready, cold how many of them must
-	// read weights from the weight store.
-	ready time.Duration
-	cold  int
-	// near is how many replicas of the group the zone has already.
-	near int
+	// ready is how long the members take to be ready; coldMembers is how many of
+	// them must load weights from the weight store.
+	ready       time.Duration
+	coldMembers int
+	// replicasInZone is how many replicas of the group the zone has already.
+	replicasInZone int
 }
 
-// form adds replicas with at most so many members that must read weights from the
-// weight store, until no group finds a place.
+// form adds replicas in which at most maxCold members must load weights from the
+// weight store, until no group has a proposal.
 //
-// The weight store is slow: a VM takes as long to load as several others take to
-// fail. Members that wait for one that loads could make up another replica
-// meanwhile. So only while loads are cheap are VMs without weights made members;
-// later they read weights first.
-func (m *mixPlan) form(cold int) {
+// The weight store is slow: one load takes as long as several VMs take to fail.
+// Members that wait for a loading VM could form another replica meanwhile. VMs
+// without weights therefore become members only while loads are cheap; later they
+// load weights first.
+func (m *mixPlan) form(maxCold int) {
 	for {
-		best := m.bestPlace(cold)
+		best := m.bestProposal(maxCold)
 		if best == nil {
 			return
 		}
-		m.take(best)
+		m.accept(best)
 	}
 }
 
-// largest is the size of the largest replica.
-func (m *mixPlan) largest() (size int) {
+// maxGroupSize returns the number of VMs of the largest replica.
+func (m *mixPlan) maxGroupSize() (size int) {
 	for i := range m.in.Groups {
 		size = max(size, m.in.Groups[i].VMs)
 	}
 	return size
 }
 
-// bestPlace is the best place of the group that lacks replicas most and has one; nil
-// if there is none.
-func (m *mixPlan) bestPlace(cold int) *place {
-	for _, g := range m.byNeed() {
+// bestProposal returns the best proposal of the group with the largest shortage that
+// has any, or nil.
+func (m *mixPlan) bestProposal(maxCold int) *proposal {
+	for _, g := range m.groupsByShortage() {
 		if g.Replicas > 0 && m.serving[g.Name] >= g.Replicas {
 			continue
 		}
-		var best *place
+		var best *proposal
 		for _, d := range m.domains {
-			p := m.placeIn(g, d)
-			if p == nil || p.cold > cold || p.cold > 0 && m.affinity[d] != g {
+			p := m.proposalIn(g, d)
+			if p == nil || p.coldMembers > maxCold || p.coldMembers > 0 && m.affinity[d] != g {
 				continue
 			}
-			p.near = m.perZone[groupZone{g.Name, p.members[0].Zone}]
+			p.replicasInZone = m.perZone[groupZone{g.Name, p.members[0].Zone}]
 			if best == nil || better(p, best) {
 				best = p
 			}
@@ -205,8 +204,8 @@
 	return nil
 }
 
-// byNeed orders the groups by how much work waits for each of its replicas.
-func (m *mixPlan) byNeed() []*rules.Group {
+// groupsByShortage returns the groups in descending order of shortage.
+func (m *mixPlan) groupsByShortage() []*rules.Group {
 	groups := make([]*rules.Group, 0, len(m.in.Groups))
 	for i := range m.in.Groups {
 		if m.in.Groups[i].VMs > 0 {
@@ -214,14 +213,14 @@
 		}
 	}
 	slices.SortStableFunc(groups, func(a, b *rules.Group) int {
-		return cmp.Compare(m.need(b), m.need(a))
+		return cmp.Compare(m.shortage(b), m.shortage(a))
 	})
 	return groups
 }
 
-// need is the group's part of all replicas, by its demand, over the replicas that
-// it would have with one more.
-func (m *mixPlan) need(g *rules.Group) float64 {
+// shortage returns the number of replicas that the group's demand amounts to, divided
+// by the number that it would have with one more.
+func (m *mixPlan) shortage(g *rules.Group) float64 {
 	demand := g.Demand
 	if demand <= 0 {
 		demand = 1
@@ -229,61 +228,62 @@
 	return demand / float64(g.VMs) / float64(m.serving[g.Name]+1)
 }
 
-func better(a, b *place) bool {
-	return cmp.Or(cmp.Compare(a.cold, b.cold), cmp.Compare(a.ready, b.ready), cmp.Compare(a.near, b.near)) < 0
+func better(a, b *proposal) bool {
+	return cmp.Or(cmp.Compare(a.coldMembers, b.coldMembers), cmp.Compare(a.ready, b.ready), cmp.Compare(a.replicasInZone, b.replicasInZone)) < 0
 }
 
-// placeIn is the place for one more replica in the domain; nil if it has too few VMs.
-// A plan asks for the same places again after each replica that it forms: in a large
-// deployment only the domain that gave its VMs is looked through anew.
-func (m *mixPlan) placeIn(g *rules.Group, d cluster.DomainID) *place {
+// proposalIn returns the proposal for one more replica of the group in the domain; nil
+// if it has too few VMs. Proposals are cached: a plan asks for all of them again after
+// each replica that it forms, and only the domain that gave VMs is searched again.
+func (m *mixPlan) proposalIn(g *rules.Group, d cluster.DomainID) *proposal {
 	key := groupDomain{g.Name, d}
-	found, known := m.places[key]
+	found, known := m.proposals[key]
 	if !known {
 		m.searches++
-		found = m.findPlace(g, d)
-		m.places[key] = found
+		found = m.propose(g, d)
+		m.proposals[key] = found
 	}
 	return found
 }
 
-// findPlace finds the members of one more replica in the domain: those that are
-// ready soonest, and among equals those whose weights no other group could use.
-func (m *mixPlan) findPlace(g *rules.Group, d cluster.DomainID) *place {
-	fit := make([]candidate, 0, len(m.free[d]))
+// propose selects the members of one more replica in the domain: the VMs that are
+// ready soonest and, among equals, those with weights for the fewest models, which
+// leaves the VMs that other groups could use.
+func (m *mixPlan) propose(g *rules.Group, d cluster.DomainID) *proposal {
+	candidates := make([]candidate, 0, len(m.free[d]))
 	for _, vm := range m.free[d] {
 		if g.Servers == "" || vm.Service == g.Servers {
-			fit = append(fit, candidate{vm, readyIn(vm, g)})
+			candidates = append(candidates, candidate{vm, readyTime(vm, g)})
 		}
 	}
-	if len(fit) < g.VMs {
+	if len(candidates) < g.VMs {
 		return nil
 	}
-	slices.SortStableFunc(fit, func(a, b candidate) int {
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.ready, b.ready), cmp.Compare(len(a.vm.Staged), len(b.vm.Staged)))
 	})
-	p := &place{group: g, domain: d, ready: fit[g.VMs-1].ready, members: make([]*VM, 0, g.VMs)}
-	for _, c := range fit[:g.VMs] {
+	p := &proposal{group: g, domain: d, ready: candidates[g.VMs-1].ready, members: make([]*VM, 0, g.VMs)}
+	for _, c := range candidates[:g.VMs] {
 		p.members = append(p.members, c.vm)
 		if c.vm.Model != g.Model && !slices.Contains(c.vm.Staged, g.Model) {
-			p.cold++
+			p.coldMembers++
 		}
 	}
 	return p
 }
 
-// candidate is a VM that a replica could take, with how long it takes to be ready.
+// candidate is a free VM with the time that it takes to be ready.
 type candidate struct {
 	vm    *VM
 	ready time.Duration
 }
 
-// rejoinTime is how long a VM takes to be ready for the model that it has loaded;
-// only its order against the other times counts.
+// rejoinTime is how long a VM takes to be ready with the model that it has loaded.
+// Only its order relative to the load times matters.
 const rejoinTime = 200 * time.Millisecond
 
-// readyIn is how long the VM takes until it is ready to serve the group's model.
-func readyIn(vm *VM, g *rules.Group) time.Duration {
+// readyTime returns how long the VM takes to be ready for the group's model.
+func readyTime(vm *VM, g *rules.Group) time.Duration {
 	switch {
 	case vm.Model == g.Model:
 		return rejoinTime
@@ -294,7 +294,7 @@
 	}
 }
 
-func (m *mixPlan) take(p *place) {
+func (m *mixPlan) accept(p *proposal) {
 	members := make([]cluster.VMID, 0, len(p.members))
 	taken := make(map[cluster.VMID]bool, len(p.members))
 	for _, vm := range p.members {
@@ -303,45 +303,44 @@
 	}
 	m.free[p.domain] = slices.DeleteFunc(m.free[p.domain], func(vm *VM) bool { return taken[vm.ID] })
 	for i := range m.in.Groups {
-		delete(m.places, groupDomain{m.in.Groups[i].Name, p.domain})
+		delete(m.proposals, groupDomain{m.in.Groups[i].Name, p.domain})
 	}
-	m.count(p.group, p.members[0].Zone)
+	m.countServing(p.group, p.members[0].Zone)
 	reason := "weights-at-hand"
-	if p.cold > 0 {
+	if p.coldMembers > 0 {
 		reason = "weights-to-load"
 	}
 	m.add(Action{Kind: Form, Group: p.group.Name, Members: members, Reason: reason})
 }
 
-// leftOver reports whether the domain has replicas and too few free VMs for one
-// more. Its free VMs are what makes its replicas whole again after a loss; with
-// their weights read ahead that takes a second, without as long as many VMs take
-// to fail.
-func (m *mixPlan) leftOver(d cluster.DomainID) bool {
+// hasRemainder reports whether the domain has replicas of its group and too few free
+// VMs for another. These VMs complete a replica after a loss: within a second if their
+// weights are preloaded, otherwise only after many more VMs have failed.
+func (m *mixPlan) hasRemainder(d cluster.DomainID) bool {
 	g := m.affinity[d]
 	return len(m.free[d]) < g.VMs && slices.ContainsFunc(m.in.Replicas, func(r cluster.Replica) bool {
 		return r.Group == g.Name && m.domainOf(r) == d
 	})
 }
 
-// stage has free VMs without weights read those that their domain has an affinity to, in the
-// domains that are asked for.
-func (m *mixPlan) stage(in func(cluster.DomainID) bool) {
+// preload has the free VMs without weights load those of their domain's affinity, in
+// the selected domains.
+func (m *mixPlan) preload(selected func(cluster.DomainID) bool) {
 	for _, d := range m.domains {
 		g := m.affinity[d]
-		if g == nil || !in(d) {
+		if g == nil || !selected(d) {
 			continue
 		}
 		for _, vm := range m.free[d] {
-			if len(vm.Staged) == 0 && !m.staging[vm.ID] && (g.Servers == "" || g.Servers == vm.Service) {
-				m.staging[vm.ID] = true
+			if len(vm.Staged) == 0 && !m.preloading[vm.ID] && (g.Servers == "" || g.Servers == vm.Service) {
+				m.preloading[vm.ID] = true
 				m.add(Action{Kind: Preload, Group: g.Name, VM: vm.ID, Reason: "spare"})
 			}
 		}
 	}
 }
 
-// domainOf is where the replica's serving member is; empty if that is not known.
+// domainOf returns the domain of the replica's first member; "" if it is unknown.
 func (m *mixPlan) domainOf(r cluster.Replica) cluster.DomainID {
 	if len(r.Members) == 0 || m.vms[r.Members[0]] == nil {
 		return ""
--- a/internal/placement/mix_test.go
+++ b/internal/placement/mix_test.go
@@ -21,8 +21,8 @@
 	start = time.Unix(1_000_000, 0)
 )
 
-// site returns VMs of so many domains, two a zone, each with so many VMs.
-func site(domains, vms int) (out []placement.VM) {
+// newVMs returns VMs in the given number of domains, two domains to a zone.
+func newVMs(domains, vms int) (out []placement.VM) {
 	for d := range domains {
 		for i := range vms {
 			out = append(out, placement.VM{ID: cluster.VMID(fmt.Sprintf("vm-%d-%d", d, i)), Domain: cluster.DomainID(fmt.Sprintf("d%d", d)),
@@ -32,15 +32,15 @@
 	return out
 }
 
-// played applies plans to an input as a holder would, with loads that end at once.
-type played struct {
+// simulation applies plans to an input as a lease holder would. Loads complete at once.
+type simulation struct {
 	in  placement.Input
 	seq int
 }
 
-func (p *played) plan() placement.Plan { return placement.Mix{}.Plan(p.in, start) }
+func (p *simulation) plan() placement.Plan { return placement.Mix{}.Plan(p.in, start) }
 
-func (p *played) vm(id cluster.VMID) *placement.VM {
+func (p *simulation) vm(id cluster.VMID) *placement.VM {
 	at := slices.IndexFunc(p.in.VMs, func(vm placement.VM) bool { return vm.ID == id })
 	if at < 0 {
 		return nil
@@ -48,8 +48,8 @@
 	return &p.in.VMs[at]
 }
 
-// apply carries a plan out; only so many loads may go on.
-func (p *played) apply(plan placement.Plan, loads int) {
+// apply executes a plan with at most the given number of preloads.
+func (p *simulation) apply(plan placement.Plan, loads int) {
 	for _, a := range plan.Actions {
 		switch a.Kind {
 		case placement.BreakUp:
@@ -69,7 +69,7 @@
 	}
 }
 
-func (p *played) serving(group cluster.GroupName) (n int) {
+func (p *simulation) serving(group cluster.GroupName) (n int) {
 	for _, r := range p.in.Replicas {
 		if r.Group == group {
 			n++
@@ -78,15 +78,15 @@
 	return n
 }
 
-func (p *played) lose(id cluster.VMID) {
+func (p *simulation) lose(id cluster.VMID) {
 	p.in.VMs = slices.DeleteFunc(p.in.VMs, func(vm placement.VM) bool { return vm.ID == id })
 }
 
 func TestMixFillsAnEmptySite(t *testing.T) {
-	p := &played{in: placement.Input{Groups: mixed, VMs: site(6, 9), CheapLoads: true}}
+	p := &simulation{in: placement.Input{Groups: mixed, VMs: newVMs(6, 9), CheapLoads: true}}
 	p.apply(p.plan(), 100)
 	p.apply(p.plan(), 100)
-	require.Equal(t, 8, p.serving("four"), "four domains have the affinity of the larger model, which strands more")
+	require.Equal(t, 8, p.serving("four"), "four domains must have an affinity to the larger model, which strands more VMs")
 	require.Equal(t, 6, p.serving("three"))
 	zones := map[cluster.ZoneID]map[cluster.GroupName]bool{}
 	for _, r := range p.in.Replicas {
@@ -102,17 +102,17 @@
 	}
 }
 
-// Two replicas of a domain lose a VM each. The survivors make up one replica with
-// each other at once; waiting for weights would leave both models without it for
-// as long as several more VMs take to fail.
+// Two replicas of a domain lose a VM each. The survivors must form a replica with each
+// other at once: waiting for weights would leave both models without it for as long as
+// several more VMs take to fail.
 func TestMixPoolsSurvivors(t *testing.T) {
-	p := &played{in: placement.Input{Groups: mixed[:1], VMs: site(1, 8), CheapLoads: true}}
+	p := &simulation{in: placement.Input{Groups: mixed[:1], VMs: newVMs(1, 8), CheapLoads: true}}
 	p.apply(p.plan(), 100)
 	require.Equal(t, 2, p.serving("four"))
 	p.in.CheapLoads = false
 	p.lose(p.in.Replicas[0].Members[0])
 	p.lose(p.in.Replicas[1].Members[3])
-	p.apply(p.plan(), 0) // broken up
+	p.apply(p.plan(), 0) // breaks up both replicas
 	require.Zero(t, p.serving("four"))
 	plan := p.plan()
 	p.apply(plan, 0)
@@ -120,10 +120,10 @@
 	require.Equal(t, "weights-at-hand", plan.Actions[0].Reason)
 }
 
-// A domain misses one VM for a replica, another all of them. The weight store is
-// slow: the one load that makes a replica whole goes first.
+// One domain lacks one load for a replica, another lacks all. The weight store is slow, so
+// the load that completes a replica must come first.
 func TestMixLoadsWhatCompletesAReplica(t *testing.T) {
-	vms := site(2, 4)
+	vms := newVMs(2, 4)
 	for i := range 3 {
 		vms[4+i].Staged = []string{"four"}
 	}
@@ -134,10 +134,10 @@
 	require.False(t, plan.Actions[1].CompletesReplica)
 }
 
-// While loads are cheap the last VM of a full domain reads its weights too: after
-// a loss it is what makes a replica whole within a second.
-func TestMixStagesLeftOversWhileLoadsAreCheap(t *testing.T) {
-	p := &played{in: placement.Input{Groups: mixed[:1], VMs: site(1, 9), CheapLoads: true}}
+// While loads are cheap, the VM that does not fit into a replica must load weights too:
+// with them it completes a replica within a second after a loss.
+func TestMixPreloadsRemainderWhileLoadsAreCheap(t *testing.T) {
+	p := &simulation{in: placement.Input{Groups: mixed[:1], VMs: newVMs(1, 9), CheapLoads: true}}
 	p.apply(p.plan(), 0)
 	require.Equal(t, 2, p.serving("four"))
 	plan := p.plan()
@@ -145,10 +145,10 @@
 	require.Equal(t, placement.Preload, plan.Actions[0].Kind)
 }
 
-// A member that the list lacks answers: it is cut off from the store alone, and
-// its replica works on. Taking it apart would be an outage of our own making.
+// A member that is not listed but answers is only cut off from the store, and its replica
+// still serves. Breaking it up would cause an unnecessary outage.
 func TestMixKeepsAReplicaWhoseMemberAnswers(t *testing.T) {
-	p := &played{in: placement.Input{Groups: mixed[:1], VMs: site(1, 4), CheapLoads: true}}
+	p := &simulation{in: placement.Input{Groups: mixed[:1], VMs: newVMs(1, 4), CheapLoads: true}}
 	p.apply(p.plan(), 100)
 	member := p.vm(p.in.Replicas[0].Members[2])
 	member.Listed = false
@@ -158,20 +158,21 @@
 }
 
 func TestMixEndsReplicasWithoutARule(t *testing.T) {
-	p := &played{in: placement.Input{Groups: mixed[:1], VMs: site(1, 4), CheapLoads: true}}
+	p := &simulation{in: placement.Input{Groups: mixed[:1], VMs: newVMs(1, 4), CheapLoads: true}}
 	p.apply(p.plan(), 100)
 	p.in.Groups = mixed[1:]
 	require.Equal(t, "no-rule", p.plan().Actions[0].Reason)
 }
 
-// Whatever dies, drains, falls silent or comes anew: no VM is in two replicas,
-// members are of one domain and usable, and a plan asked for twice is the same.
+// Random histories in which VMs are lost, leave, fail, restart and are added: no VM may be
+// in two replicas, members must be usable and of one domain, and planning the same input
+// twice must give the same plan.
 func TestMixHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		groups := []rules.Group{four, three}
 		groups[0].VMs = rapid.IntRange(1, 5).Draw(t, "size of one")
 		groups[1].VMs = rapid.IntRange(1, 5).Draw(t, "size of the other")
-		p := &played{in: placement.Input{Groups: groups, VMs: site(rapid.IntRange(1, 4).Draw(t, "domains"), rapid.IntRange(1, 9).Draw(t, "VMs")), CheapLoads: true}}
+		p := &simulation{in: placement.Input{Groups: groups, VMs: newVMs(rapid.IntRange(1, 4).Draw(t, "domains"), rapid.IntRange(1, 9).Draw(t, "VMs")), CheapLoads: true}}
 		for step := range rapid.IntRange(1, 12).Draw(t, "steps") {
 			p.in.CheapLoads = p.in.CheapLoads && rapid.Bool().Draw(t, "cheap")
 			if len(p.in.VMs) > 0 {
@@ -190,19 +191,19 @@
 				}
 			}
 			plan := p.plan()
-			require.Equal(t, plan, p.plan(), "a plan depends on its input alone")
+			require.Equal(t, plan, p.plan(), "a plan must depend on its input alone")
 			for _, a := range plan.Actions {
 				if a.Kind == placement.Form {
 					checkForm(t, p, a)
 				}
 			}
 			p.apply(plan, rapid.IntRange(0, 6).Draw(t, "loads"))
-			checkHeldOnce(t, p)
+			checkAssignedOnce(t, p)
 		}
 	})
 }
 
-func checkForm(t *rapid.T, p *played, a placement.Action) {
+func checkForm(t *rapid.T, p *simulation, a placement.Action) {
 	g := placement.FindGroup(p.in.Groups, a.Group)
 	require.Len(t, a.Members, g.VMs)
 	for _, id := range a.Members {
@@ -213,44 +214,44 @@
 	}
 }
 
-func checkHeldOnce(t *rapid.T, p *played) {
-	held := map[cluster.VMID]cluster.ReplicaID{}
+func checkAssignedOnce(t *rapid.T, p *simulation) {
+	assigned := map[cluster.VMID]cluster.ReplicaID{}
 	for _, r := range p.in.Replicas {
 		for _, id := range r.Members {
-			require.Empty(t, held[id], "%s is in %s too", id, r.ID)
-			held[id] = r.ID
+			require.Empty(t, assigned[id], "%s is in %s too", id, r.ID)
+			assigned[id] = r.ID
 		}
 	}
 }
 
-// The users' calm day in virtual time: two VMs that serve fail every three
-// seconds, two empty ones come every three and a half, and the weight store loads
-// six at a time. The policy is compared with one that forms what it can of
-// whatever lies about, each in its own copy of the day.
-func TestMixServesThroughTheDay(t *testing.T) {
-	mix := playDay(t, true)
-	scattered := playDay(t, false)
-	t.Logf("replicas of both models, mean over the day: %.1f with domains that have an affinity to one model, %.1f without", mix, scattered)
-	require.Greater(t, mix, 7.0)
-	require.Greater(t, mix, scattered)
+// Simulates the users' calm day: two serving VMs fail every three seconds, two
+// empty ones arrive every three and a half, and the weight store serves six loads at once.
+// Domains with an affinity to one model must serve more replicas than domains whose VMs
+// have mixed weights.
+func TestMixAffinityServesMoreReplicas(t *testing.T) {
+	withAffinity := meanServingReplicas(t, true)
+	withoutAffinity := meanServingReplicas(t, false)
+	t.Logf("mean number of replicas of both models: %.1f with an affinity of each domain to one model, %.1f without", withAffinity, withoutAffinity)
+	require.Greater(t, withAffinity, 7.0)
+	require.Greater(t, withAffinity, withoutAffinity)
 }
 
-// playDay returns the mean number of replicas of the model that has fewer, times two.
-// Without affinity, VMs were loaded alternately with both models.
-func playDay(t *testing.T, affinity bool) float64 {
+// meanServingReplicas returns twice the mean number of replicas of the model that has
+// fewer. Without affinity, the VMs start with weights of both models in alternation.
+func meanServingReplicas(t *testing.T, affinity bool) float64 {
 	t.Helper()
-	vms := site(6, 9)
+	vms := newVMs(6, 9)
 	if !affinity {
 		for i := range vms {
 			vms[i].Staged = []string{[]string{"four", "three"}[i%2]}
 		}
 	}
-	p := &played{in: placement.Input{Groups: mixed, VMs: vms, CheapLoads: true}}
+	p := &simulation{in: placement.Input{Groups: mixed, VMs: vms, CheapLoads: true}}
 	p.apply(p.plan(), 100)
 	p.apply(p.plan(), 100)
 	p.in.CheapLoads = false
-	const steps, load = 68, 28 // half seconds; a load takes 14 s
-	loading := map[cluster.VMID]int{}
+	const steps, load = 68, 28 // in half seconds: a load takes 14 s
+	loadDone := map[cluster.VMID]int{}
 	sum := 0.0
 	for step := range steps {
 		if step%6 == 5 {
@@ -268,10 +269,10 @@
 					Domain: cluster.DomainID(fmt.Sprintf("d%d", d)), Zone: cluster.ZoneID(fmt.Sprintf("z%d", d/2))})
 			}
 		}
-		for id, until := range loading {
+		for id, until := range loadDone {
 			vm := p.vm(id)
 			if vm == nil || step >= until {
-				delete(loading, id)
+				delete(loadDone, id)
 			}
 			if vm != nil && step >= until {
 				vm.Staged, vm.Loading = []string{vm.Loading}, ""
@@ -279,8 +280,8 @@
 		}
 		plan := p.plan()
 		for _, a := range plan.Actions {
-			if a.Kind == placement.Preload && len(loading) < 6 {
-				loading[a.VM] = step + load
+			if a.Kind == placement.Preload && len(loadDone) < 6 {
+				loadDone[a.VM] = step + load
 				p.vm(a.VM).Loading = string(a.Group)
 			}
 		}
--- a/internal/placement/mix_work_test.go
+++ b/internal/placement/mix_work_test.go
@@ -11,7 +11,9 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// A plan's work must grow with the replicas that it forms, not with these times the domains: a holder of a thousand VMs lost its lease over it.
+// The work of a plan must grow with the number of replicas that it forms, not with that
+// number times the number of domains. When it did, a lease holder with a thousand VMs
+// planned for so long that it lost its lease.
 func TestPlanSearchesOnlyDomainsThatGaveVMs(t *testing.T) {
 	const perDomain = 73
 	groups := []rules.Group{
@@ -24,7 +26,7 @@
 			in.VMs = append(in.VMs, VM{ID: cluster.VMID(fmt.Sprintf("vm%05d", i)), Domain: cluster.DomainID(fmt.Sprintf("d%03d", i/perDomain)), Listed: true, LastSeen: time.Unix(1, 0)})
 		}
 		m := newMixPlan(in)
-		m.form(m.largest())
+		m.form(m.maxGroupSize())
 		formed := len(m.actions)
 		require.Greater(t, formed, 2*domains)
 		require.LessOrEqual(t, m.searches, len(groups)*(domains+formed))
--- a/internal/placement/naive.go
+++ b/internal/placement/naive.go
@@ -7,9 +7,9 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// Naive breaks up a replica as soon as one member is missing and forms replicas
-// first-fit from whatever is free, at once. It keeps no spares and looks at no
-// weights. It is kept as the yardstick of the differential tests.
+// Naive breaks up a replica as soon as one member is missing and immediately forms
+// replicas first-fit from all free VMs. It keeps no spares and ignores which weights
+// are loaded. It is the baseline of the differential tests.
 type Naive struct{}
 
 // Name implements Policy.
@@ -48,12 +48,12 @@
 	return plan
 }
 
-// brokenReason says why a replica cannot go on, or "".
+// brokenReason returns why the replica cannot continue, or "".
 func brokenReason(r cluster.Replica, vms map[cluster.VMID]VM, groups []rules.Group) string {
 	if r.Leaving {
 		return "replica-leaving"
 	}
-	if !fitsRule(r, FindGroup(groups, r.Group), vms) {
+	if !matchesRule(r, FindGroup(groups, r.Group), vms) {
 		return "group-rule-changed"
 	}
 	for _, id := range r.Members {
@@ -64,8 +64,9 @@
 	return ""
 }
 
-// fitsRule reports whether the replica is as its group's rule wants replicas.
-func fitsRule(r cluster.Replica, g *rules.Group, vms map[cluster.VMID]VM) bool {
+// matchesRule reports whether the replica has the size, model and domain that the
+// group's rule requires.
+func matchesRule(r cluster.Replica, g *rules.Group, vms map[cluster.VMID]VM) bool {
 	if g == nil || g.VMs != len(r.Members) || g.Model != r.Model {
 		return false
 	}
@@ -83,8 +84,8 @@
 	return true
 }
 
-// firstFit takes the first g.VMs free VMs, all of one domain if the group asks
-// for it, and marks them taken. It returns nil when there are not enough.
+// firstFit takes the first g.VMs free VMs, from one domain if the group requires
+// it, and marks them taken. It returns nil if there are not enough.
 func firstFit(vms []VM, taken map[cluster.VMID]bool, g rules.Group) []cluster.VMID {
 	picked := make(map[cluster.DomainID][]cluster.VMID)
 	for _, vm := range vms {
@@ -114,7 +115,7 @@
 	return index
 }
 
-// FindGroup returns the group's rule, or nil.
+// FindGroup returns the rule of the named group, or nil.
 func FindGroup(groups []rules.Group, name cluster.GroupName) *rules.Group {
 	for i := range groups {
 		if groups[i].Name == name {
--- a/internal/placement/policy_test.go
+++ b/internal/placement/policy_test.go
@@ -14,8 +14,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// TestMain fixes the seed of the random histories, so that every run gives the
-// same verdict; -rapid.seed on the command line wins.
+// TestMain fixes the seed of the random histories, so that every run gives the same result.
+// -rapid.seed on the command line takes precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
@@ -25,9 +25,9 @@
 	m.Run()
 }
 
-// zone is a random history: VMs come, go, leave and return, streams start and
-// end, and rules change, while a policy plans and Assignments applies.
-type zone struct {
+// history is a random history of a zone: VMs fail, recover, leave and stay, streams start and
+// end, and rules change, while a policy plans and Assignments applies the plans.
+type history struct {
 	t           *rapid.T
 	policy      Policy
 	groups      []rules.Group
@@ -53,14 +53,14 @@
 	return groups
 }
 
-func (z *zone) event() {
-	z.now = z.now.Add(time.Duration(rapid.IntRange(1, 600).Draw(z.t, "seconds")) * time.Second)
-	vm := &z.vms[rapid.IntRange(0, len(z.vms)-1).Draw(z.t, "vm")]
-	switch rapid.SampledFrom([]string{"down", "up", "leave", "stay", "unlist", "rack", "load", "rules"}).Draw(z.t, "event") {
+func (h *history) randomEvent() {
+	h.now = h.now.Add(time.Duration(rapid.IntRange(1, 600).Draw(h.t, "seconds")) * time.Second)
+	vm := &h.vms[rapid.IntRange(0, len(h.vms)-1).Draw(h.t, "vm")]
+	switch rapid.SampledFrom([]string{"down", "up", "leave", "stay", "unlist", "rack", "load", "rules"}).Draw(h.t, "event") {
 	case "down":
-		vm.DownSince, vm.Model = z.now, ""
+		vm.DownSince, vm.Model = h.now, ""
 	case "up":
-		vm.DownSince, vm.LastSeen = time.Time{}, z.now
+		vm.DownSince, vm.LastSeen = time.Time{}, h.now
 	case "leave":
 		vm.Leaving = true
 	case "stay":
@@ -68,117 +68,117 @@
 	case "unlist":
 		vm.Listed = !vm.Listed
 	case "rack":
-		for i := range z.vms {
-			if z.vms[i].Domain == vm.Domain {
-				z.vms[i].DownSince = z.now
+		for i := range h.vms {
+			if h.vms[i].Domain == vm.Domain {
+				h.vms[i].DownSince = h.now
 			}
 		}
 	case "load":
-		for _, r := range z.assignments.Replicas() {
-			z.load[r.ID] = Load{Running: rapid.IntRange(0, 1).Draw(z.t, "running")}
+		for _, r := range h.assignments.Replicas() {
+			h.load[r.ID] = Load{Running: rapid.IntRange(0, 1).Draw(h.t, "running")}
 		}
 	case "rules":
-		z.groups = drawGroups(z.t)
+		h.groups = drawGroups(h.t)
 	}
 }
 
-// settle plans until nothing changes and checks every action and the outcome.
-func (z *zone) settle() {
+// converge plans until nothing changes, and checks every action and the result.
+func (h *history) converge() {
 	for range 20 {
-		in := Input{Zone: "z", Groups: z.groups, VMs: slices.Clone(z.vms), Replicas: z.assignments.Replicas(), Load: z.load}
-		plan := z.policy.Plan(in, z.now)
+		in := Input{Zone: "z", Groups: h.groups, VMs: slices.Clone(h.vms), Replicas: h.assignments.Replicas(), Load: h.load}
+		plan := h.policy.Plan(in, h.now)
 		changed := false
 		for _, a := range plan.Actions {
 			if a.ChangesTable() {
-				z.apply(a)
+				h.apply(a)
 				changed = true
 			}
 		}
 		if !changed {
-			z.checkSettled()
+			h.checkConverged()
 			return
 		}
 	}
-	require.Fail(z.t, "the policy goes in circles")
+	require.Fail(h.t, "the policy does not converge")
 }
 
-func (z *zone) apply(a Action) {
-	if z.policy.Name() != (Naive{}).Name() && (a.Kind == BreakUp || a.Kind == Replace) {
-		z.checkNotCut(a)
+func (h *history) apply(a Action) {
+	if h.policy.Name() != (Naive{}).Name() && (a.Kind == BreakUp || a.Kind == Replace) {
+		h.checkNotInterrupted(a)
 	}
-	z.nextID++
+	h.nextID++
 	model := ""
-	if g := FindGroup(z.groups, a.Group); g != nil {
+	if g := FindGroup(h.groups, a.Group); g != nil {
 		model = g.Model
 	}
-	change, err := z.assignments.Apply(a, CommitMetadata{NewID: cluster.ReplicaID(fmt.Sprintf("r%d", z.nextID)), Model: model, Fence: 1})
-	require.NoError(z.t, err, "%+v", a)
+	change, err := h.assignments.Apply(a, CommitMetadata{NewID: cluster.ReplicaID(fmt.Sprintf("r%d", h.nextID)), Model: model, Fence: 1})
+	require.NoError(h.t, err, "%+v", a)
 	if a.Kind == Form || a.Kind == Replace {
-		z.checkMembers(change.Replica, slices.Concat(a.Members, a.NewMembers))
-		delete(z.load, change.Replica.ID)
+		h.checkMembers(change.Replica, slices.Concat(a.Members, a.NewMembers))
+		delete(h.load, change.Replica.ID)
 	}
 }
 
-// checkNotCut: streams on a replica whose VMs are all up are never cut.
-func (z *zone) checkNotCut(a Action) {
-	r, ok := z.assignments.Replica(a.Replica)
-	require.True(z.t, ok)
-	index := indexVMs(z.vms)
+// checkNotInterrupted checks that the action interrupts no stream on a replica whose VMs
+// are all up.
+func (h *history) checkNotInterrupted(a Action) {
+	r, ok := h.assignments.Replica(a.Replica)
+	require.True(h.t, ok)
+	index := indexVMs(h.vms)
 	for _, id := range r.Members {
 		if !index[id].DownSince.IsZero() {
 			return
 		}
 	}
-	require.Zero(z.t, z.load[r.ID].Running, "%+v cuts streams", a)
+	require.Zero(h.t, h.load[r.ID].Running, "%+v interrupts streams", a)
 }
 
-// checkMembers: a formed or mended replica has the rule's number of VMs, none of
-// them down or leaving, the new ones listed, and all in one fabric domain if the
-// rule asks for it.
-func (z *zone) checkMembers(r cluster.Replica, added []cluster.VMID) {
-	g := FindGroup(z.groups, r.Group)
-	require.Len(z.t, r.Members, g.VMs)
-	index := indexVMs(z.vms)
+// checkMembers checks that a formed or repaired replica has the rule's number of VMs, none of
+// them down or leaving, the added ones usable, and all in one domain if the rule requires it.
+func (h *history) checkMembers(r cluster.Replica, added []cluster.VMID) {
+	g := FindGroup(h.groups, r.Group)
+	require.Len(h.t, r.Members, g.VMs)
+	index := indexVMs(h.vms)
 	for _, id := range r.Members {
-		require.False(z.t, index[id].Unavailable(), "%s in %+v", id, r)
-		require.True(z.t, index[id].Usable() || !slices.Contains(added, id), "%s in %+v", id, r)
-		require.True(z.t, !g.SameDomain || index[id].Domain == index[r.Members[0]].Domain, "%+v", r)
+		require.False(h.t, index[id].Unavailable(), "%s in %+v", id, r)
+		require.True(h.t, index[id].Usable() || !slices.Contains(added, id), "%s in %+v", id, r)
+		require.True(h.t, !g.SameDomain || index[id].Domain == index[r.Members[0]].Domain, "%+v", r)
 	}
 }
 
-// checkSettled: no VM in two replicas, never more replicas than wanted, and
-// whoever serves fits the rules.
-func (z *zone) checkSettled() {
-	_, err := NewAssignments("z", z.assignments.Replicas())
-	require.NoError(z.t, err)
+// checkConverged checks that no VM is in two replicas and that no group has more serving
+// replicas than wanted.
+func (h *history) checkConverged() {
+	_, err := NewAssignments("z", h.assignments.Replicas())
+	require.NoError(h.t, err)
 	count := make(map[cluster.GroupName]int)
-	for _, r := range z.assignments.Replicas() {
-		if r.Leaving || brokenReason(r, indexVMs(z.vms), z.groups) == "member-missing" {
+	for _, r := range h.assignments.Replicas() {
+		if r.Leaving || brokenReason(r, indexVMs(h.vms), h.groups) == "member-missing" {
 			continue
 		}
 		count[r.Group]++
-		g := FindGroup(z.groups, r.Group)
-		require.True(z.t, g.Replicas == 0 || count[r.Group] <= g.Replicas, "%+v", r)
+		g := FindGroup(h.groups, r.Group)
+		require.True(h.t, g.Replicas == 0 || count[r.Group] <= g.Replicas, "%+v", r)
 	}
 }
 
-// Whatever VMs do, no policy may put one into two replicas or call a replica
-// complete that is not, or callers get answers out of a broken model; and the
-// weighted one may not cut a stream that could have finished.
+// Whatever happens to VMs, no policy may put one into two replicas or form a replica that is
+// incomplete: callers would get answers from a broken model. Weighted must not interrupt a
+// stream that could have finished either.
 func TestPoliciesOverRandomHistories(t *testing.T) {
 	for _, policy := range []Policy{Naive{}, Weighted{}} {
 		t.Run(policy.Name(), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				z := &zone{t: t, policy: policy, load: make(map[cluster.ReplicaID]Load), now: time.Unix(0, 0), groups: drawGroups(t)}
-				z.assignments, _ = NewAssignments("z", nil)
+				h := &history{t: t, policy: policy, load: make(map[cluster.ReplicaID]Load), now: time.Unix(0, 0), groups: drawGroups(t)}
+				h.assignments, _ = NewAssignments("z", nil)
 				for i := range rapid.IntRange(1, 14).Draw(t, "vms") {
 					domain := cluster.DomainID(fmt.Sprintf("d%d", rapid.IntRange(0, 2).Draw(t, "domain")))
-					z.vms = append(z.vms, VM{ID: cluster.VMID(fmt.Sprintf("v%02d", i)), Domain: domain, Listed: true, LastSeen: z.now})
+					h.vms = append(h.vms, VM{ID: cluster.VMID(fmt.Sprintf("v%02d", i)), Domain: domain, Listed: true, LastSeen: h.now})
 				}
-				z.settle()
+				h.converge()
 				for range rapid.IntRange(1, 25).Draw(t, "events") {
-					z.event()
-					z.settle()
+					h.randomEvent()
+					h.converge()
 				}
 			})
 		})
--- a/internal/placement/stage.go
+++ b/internal/placement/stage.go
@@ -8,80 +8,80 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// stageable is a domain with free VMs without weights.
-type stageable struct {
+// preloadDomain is a fabric domain with free VMs that lack weights.
+type preloadDomain struct {
 	domain cluster.DomainID
 	group  *rules.Group
-	// cold are the VMs that may read weights; staged counts the free ones that have
-	// them or are reading.
-	cold   []*VM
-	staged int
+	// eligible are the VMs that can load weights; staged counts the free VMs that have
+	// them or are loading them.
+	eligible []*VM
+	staged   int
 }
 
-// missing is how many loads the next replica of the domain waits for.
-func (s stageable) missing() int { return s.group.VMs - s.staged%s.group.VMs }
+// missingLoads returns how many loads the domain's next replica still needs.
+func (s preloadDomain) missingLoads() int { return s.group.VMs - s.staged%s.group.VMs }
 
-// stageAhead orders the loads of free VMs: first those that let a replica be
-// formed with the fewest loads, and among these those of the group that lacks
-// replicas most. A load that can't complete a replica is a spare for the next loss.
-func (m *mixPlan) stageAhead() {
-	domains := m.stageables()
-	serving := make(map[cluster.GroupName]int)
+// preloadSpares orders the loads of free VMs. Domains whose next replica needs the
+// fewest loads come first, and among these the group with the largest shortage.
+// A load that does not complete a replica provides a spare for the next loss.
+func (m *mixPlan) preloadSpares() {
+	domains := m.preloadDomains()
+	completed := make(map[cluster.GroupName]int)
 	for len(domains) > 0 {
-		at := m.nextToStage(domains, serving)
-		d := &domains[at]
-		missing := d.missing()
-		if missing == 1 {
-			serving[d.group.Name]++
+		next := m.nextToPreload(domains, completed)
+		d := &domains[next]
+		loadsLeft := d.missingLoads()
+		if loadsLeft == 1 {
+			completed[d.group.Name]++
 		}
-		m.add(Action{Kind: Preload, Group: d.group.Name, VM: d.cold[0].ID, CompletesReplica: missing == 1, Reason: stageReason(missing)})
-		d.cold = d.cold[1:]
+		m.add(Action{Kind: Preload, Group: d.group.Name, VM: d.eligible[0].ID, CompletesReplica: loadsLeft == 1, Reason: preloadReason(loadsLeft)})
+		d.eligible = d.eligible[1:]
 		d.staged++
-		if len(d.cold) == 0 {
-			domains = slices.Delete(domains, at, at+1)
+		if len(d.eligible) == 0 {
+			domains = slices.Delete(domains, next, next+1)
 		}
 	}
 }
 
-func stageReason(missing int) string {
-	if missing == 1 {
+func preloadReason(loadsLeft int) string {
+	if loadsLeft == 1 {
 		return "completes-a-replica"
 	}
 	return "spare"
 }
 
-func (m *mixPlan) stageables() (out []stageable) {
+func (m *mixPlan) preloadDomains() (out []preloadDomain) {
 	for _, d := range m.domains {
 		g := m.affinity[d]
 		if g == nil {
 			continue
 		}
-		s := stageable{domain: d, group: g}
+		s := preloadDomain{domain: d, group: g}
 		for _, vm := range m.free[d] {
 			switch {
-			case g.Servers != "" && g.Servers != vm.Service, m.staging[vm.ID]:
+			case g.Servers != "" && g.Servers != vm.Service, m.preloading[vm.ID]:
 			case slices.Contains(vm.Staged, g.Model), vm.Loading == g.Model:
 				s.staged++
 			case vm.Loading == "":
-				s.cold = append(s.cold, vm)
+				s.eligible = append(s.eligible, vm)
 			}
 		}
-		if len(s.cold) > 0 {
+		if len(s.eligible) > 0 {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// nextToStage is the domain whose load comes first. formed counts the replicas
-// that loads ordered before this one make possible.
-func (m *mixPlan) nextToStage(domains []stageable, formed map[cluster.GroupName]int) (best int) {
-	lack := func(g *rules.Group) float64 {
-		return m.need(g) * float64(m.serving[g.Name]+1) / float64(m.serving[g.Name]+formed[g.Name]+1)
+// nextToPreload returns the index of the domain that loads next. completed counts
+// the replicas that become possible with the loads ordered so far.
+func (m *mixPlan) nextToPreload(domains []preloadDomain, completed map[cluster.GroupName]int) (best int) {
+	shortage := func(g *rules.Group) float64 {
+		return m.shortage(g) * float64(m.serving[g.Name]+1) / float64(m.serving[g.Name]+completed[g.Name]+1)
 	}
 	for i := range domains {
 		a, b := &domains[i], &domains[best]
-		if cmp.Or(cmp.Compare(a.missing(), b.missing()), cmp.Compare(lack(b.group), lack(a.group))) < 0 {
+		if cmp.Or(cmp.Compare(a.missingLoads(), b.missingLoads()), cmp.Compare(shortage(b.group), shortage(a.group))) < 0 {
 			best = i
 		}
 	}
--- a/internal/placement/weighted.go
+++ b/internal/placement/weighted.go
@@ -9,11 +9,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// Weighted keeps a broken replica together and swaps only the missing members,
-// from spares that have loaded the model ahead, or from the broken replica that
-// is worst off. It trades group downtime against stranded accelerators by the
-// group's weigh: with WeighDowntime groups that take as many VMs as fit leave
-// the group's spares idle, with WeighStranded they don't.
+// Weighted preserves a broken replica and replaces only its missing members, with
+// spares that have preloaded the model or else with members of the broken replica
+// that is worst off. Each group's weigh= decides between group downtime and stranded
+// accelerators: groups without a wanted number of replicas leave the spares of
+// groups with WeighDowntime idle, but not those of groups with WeighStranded.
 type Weighted struct{}
 
 // Name implements Policy.
@@ -22,37 +22,37 @@
 // Plan implements Policy.
 func (Weighted) Plan(in Input, now time.Time) Plan {
 	p := newPlanner(in)
-	p.review()
+	p.classify()
 	p.repair()
-	p.makeRoom(now)
-	p.resume()
+	p.defragment(now)
+	p.resumeDrained()
 	for i := range in.Groups {
 		p.form(&in.Groups[i])
 	}
-	p.hold()
+	p.preloadSpares()
 	return Plan{Actions: p.actions}
 }
 
-// planner is the working state of one Plan call.
+// planner is the working state of a Plan call.
 type planner struct {
 	in      Input
 	vms     map[cluster.VMID]VM
-	free    map[cluster.DomainID][]VM // usable VMs of no replica
-	domains []cluster.DomainID        // in order, for plans that do not depend on map order
-	broken  []brokenReplica
-	intact  []brokenReplica           // no member is missing; drained ones too
-	waiting []brokenReplica           // broken and not to be repaired now
-	serving map[cluster.GroupName]int // replicas with no missing member, and those repaired
+	free    map[cluster.DomainID][]VM // usable VMs that are in no replica
+	domains []cluster.DomainID        // sorted, so that plans do not depend on map order
+	broken  []replicaState
+	intact  []replicaState            // no member is missing; may be draining
+	waiting []replicaState            // broken, and cannot be repaired now
+	serving map[cluster.GroupName]int // replicas by group without missing members, including repaired ones
 	actions []Action
 }
 
-// brokenReplica is a replica with members that are down or leaving.
-type brokenReplica struct {
+// replicaState is a replica with its rule and the members that are down or leaving.
+type replicaState struct {
 	cluster.Replica
-	group   *rules.Group
-	missing []cluster.VMID
-	since   time.Time // when the last of the missing went
-	busy    bool      // it drains and streams still run on it
+	group     *rules.Group
+	missing   []cluster.VMID
+	lostAt    time.Time // when the last missing member went down
+	streaming bool      // requests run on it and no member is down
 }
 
 func newPlanner(in Input) *planner {
@@ -60,22 +60,22 @@
 		in: in, vms: indexVMs(in.VMs), free: make(map[cluster.DomainID][]VM),
 		serving: make(map[cluster.GroupName]int),
 	}
-	held := make(map[cluster.VMID]bool)
+	assigned := make(map[cluster.VMID]bool)
 	for _, r := range in.Replicas {
 		for _, vm := range r.Members {
-			held[vm] = true
+			assigned[vm] = true
 		}
 	}
 	for _, vm := range in.VMs {
-		if !held[vm.ID] && vm.Usable() {
-			p.release(vm)
+		if !assigned[vm.ID] && vm.Usable() {
+			p.addFree(vm)
 		}
 	}
 	return p
 }
 
-// release puts a VM into the free pool.
-func (p *planner) release(vm VM) {
+// addFree adds a VM to the free pool.
+func (p *planner) addFree(vm VM) {
 	if _, known := p.free[vm.Domain]; !known {
 		at, _ := slices.BinarySearch(p.domains, vm.Domain)
 		p.domains = slices.Insert(p.domains, at, vm.Domain)
@@ -83,12 +83,12 @@
 	p.free[vm.Domain] = append(p.free[vm.Domain], vm)
 }
 
-// review sorts the replicas into those that serve, those that are broken and
-// those that the rules no longer ask for.
-func (p *planner) review() {
+// classify sorts the replicas into intact ones, broken ones and those that the
+// rules no longer require, which it retires.
+func (p *planner) classify() {
 	for _, r := range p.in.Replicas {
 		g := FindGroup(p.in.Groups, r.Group)
-		if !fitsRule(r, g, p.vms) {
+		if !matchesRule(r, g, p.vms) {
 			p.retire(r, "group-rule-changed")
 			continue
 		}
@@ -108,8 +108,8 @@
 	}
 }
 
-func (p *planner) inspect(r cluster.Replica, g *rules.Group) brokenReplica {
-	b := brokenReplica{Replica: r, group: g}
+func (p *planner) inspect(r cluster.Replica, g *rules.Group) replicaState {
+	b := replicaState{Replica: r, group: g}
 	down := false
 	for _, id := range r.Members {
 		vm, known := p.vms[id]
@@ -119,21 +119,21 @@
 		b.missing = append(b.missing, id)
 		if !vm.Leaving || !vm.DownSince.IsZero() {
 			down = true
-			b.since = later(b.since, vm.DownSince)
+			b.lostAt = latest(b.lostAt, vm.DownSince)
 		}
 	}
-	b.busy = !down && p.in.Load[r.ID].Running > 0
+	b.streaming = !down && p.in.Load[r.ID].Running > 0
 	return b
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-// retire drains a replica that is whole and breaks it up once it is idle.
+// retire drains an intact replica, and breaks it up once it is idle.
 func (p *planner) retire(r cluster.Replica, reason string) {
 	if p.in.Load[r.ID].Running == 0 {
 		p.breakUp(r, reason)
@@ -154,61 +154,62 @@
 	p.add(Action{Kind: BreakUp, Group: r.Group, Replica: r.ID, Reason: reason})
 	for _, id := range r.Members {
 		if vm, known := p.vms[id]; known && vm.Usable() {
-			p.release(vm)
+			p.addFree(vm)
 		}
 	}
 }
 
 func (p *planner) add(a Action) { p.actions = append(p.actions, a) }
 
-// repair fills broken replicas, those with the fewest missing members and the
-// newest loss first. What cannot be filled from spares is filled by breaking up
-// the replica that is worst off: its survivors would otherwise idle until the
-// last of its missing VMs is back.
+// repair replaces missing members, starting with the replicas that miss the fewest
+// and, among these, with the latest loss. If the spares do not suffice, it breaks up
+// the replica that is worst off: otherwise the survivors would be idle until the
+// last of the missing VMs is back.
 func (p *planner) repair() {
-	slices.SortStableFunc(p.broken, func(a, b brokenReplica) int {
-		return cmp.Or(cmp.Compare(len(a.missing), len(b.missing)), b.since.Compare(a.since), cmp.Compare(a.ID, b.ID))
+	slices.SortStableFunc(p.broken, func(a, b replicaState) int {
+		return cmp.Or(cmp.Compare(len(a.missing), len(b.missing)), b.lostAt.Compare(a.lostAt), cmp.Compare(a.ID, b.ID))
 	})
-	var open []brokenReplica
+	var unrepaired []replicaState
 	for _, b := range p.broken {
-		if !p.handle(b) {
-			open = append(open, b)
+		if !p.repairInPlace(b) {
+			unrepaired = append(unrepaired, b)
 		}
 	}
-	for len(open) > 0 {
-		first := open[0]
-		open = open[1:]
-		at := p.donorFor(first, open)
+	for len(unrepaired) > 0 {
+		first := unrepaired[0]
+		unrepaired = unrepaired[1:]
+		at := p.findDonor(first, unrepaired)
 		if at < 0 {
 			p.waiting = append(p.waiting, first)
 			continue
 		}
-		p.breakUp(open[at].Replica, "gives-members-to-"+string(first.ID))
-		open = slices.Delete(open, at, at+1)
-		p.fill(first, "member-from-broken-replica")
+		p.breakUp(unrepaired[at].Replica, "gives-members-to-"+string(first.ID))
+		unrepaired = slices.Delete(unrepaired, at, at+1)
+		p.replaceMissing(first, "member-from-broken-replica")
 	}
 }
 
-// handle deals with a broken replica without touching others; it reports
-// whether nothing is left to do.
-func (p *planner) handle(b brokenReplica) bool {
+// repairInPlace handles a broken replica without affecting other replicas. It
+// returns false if the replica still needs members.
+func (p *planner) repairInPlace(b replicaState) bool {
 	g := b.group
 	switch {
-	case b.busy:
-		// The leaving VM still generates: its streams finish before the swap.
+	case b.streaming:
+		// The leaving VM is still generating: replace it after its streams end.
 		p.drain(b.Replica, "member-leaving")
 		return true
 	case g.Replicas > 0 && p.serving[g.Name] >= g.Replicas:
 		p.breakUp(b.Replica, "more-than-wanted")
 		return true
 	default:
-		return p.fill(b, "spare-replaces-member")
+		return p.replaceMissing(b, "spare-replaces-member")
 	}
 }
 
-// fill swaps all missing members for free VMs, if there are enough in reach.
-func (p *planner) fill(b brokenReplica, reason string) bool {
-	in := p.take(len(b.missing), p.reach(b), b.group)
+// replaceMissing replaces all missing members with free VMs, if there are enough in
+// the required domain.
+func (p *planner) replaceMissing(b replicaState, reason string) bool {
+	in := p.takeFree(len(b.missing), p.requiredDomain(b), b.group)
 	if in == nil {
 		return false
 	}
@@ -217,11 +218,11 @@
 	return true
 }
 
-// resume puts replicas back to work that were drained for a reason that has gone
-// since, and says of the others that are broken why they are left as they are.
-func (p *planner) resume() {
+// resumeDrained returns replicas to service whose reason for draining is gone, and
+// adds the reason why the remaining broken replicas stay as they are.
+func (p *planner) resumeDrained() {
 	for _, r := range p.intact {
-		if r.Leaving && !r.busy {
+		if r.Leaving && !r.streaming {
 			p.add(Action{Kind: Replace, Group: r.Group, Replica: r.ID, Reason: "members-are-back"})
 		}
 	}
@@ -230,8 +231,9 @@
 	}
 }
 
-// reach is the domain that the replica's VMs must come from, or "" for any.
-func (p *planner) reach(b brokenReplica) cluster.DomainID {
+// requiredDomain returns the domain from which the replica's VMs must come, or ""
+// for any.
+func (p *planner) requiredDomain(b replicaState) cluster.DomainID {
 	if !b.group.SameDomain {
 		return ""
 	}
@@ -247,14 +249,15 @@
 	return ""
 }
 
-// donorFor picks the worst off of the replicas whose survivors can fill b, or -1.
-func (p *planner) donorFor(b brokenReplica, others []brokenReplica) int {
-	domain := p.reach(b)
+// findDonor returns the index of the worst-off replica whose survivors suffice to
+// repair b, or -1.
+func (p *planner) findDonor(b replicaState, others []replicaState) int {
+	domain := p.requiredDomain(b)
 	for at := len(others) - 1; at >= 0; at-- {
 		if others[at].group.VMs > b.group.VMs {
 			continue
 		}
-		survivors := p.count(domain)
+		survivors := p.countFree(domain)
 		for _, id := range others[at].Members {
 			if vm := p.vms[id]; vm.Usable() && (domain == "" || vm.Domain == domain) {
 				survivors++
@@ -267,8 +270,8 @@
 	return -1
 }
 
-// count is the number of free VMs in the domain, "" for all.
-func (p *planner) count(domain cluster.DomainID) int {
+// countFree returns the number of free VMs in the domain, or in all domains for "".
+func (p *planner) countFree(domain cluster.DomainID) int {
 	if domain != "" {
 		return len(p.free[domain])
 	}
@@ -279,17 +282,18 @@
 	return n
 }
 
-// take removes n VMs from the free pool of the domain, "" for any, those with
-// the group's model loaded first; nil when there are not enough.
-func (p *planner) take(n int, domain cluster.DomainID, g *rules.Group) []cluster.VMID {
-	if p.count(domain) < n || n == 0 {
+// takeFree removes n VMs from the free pool of the domain, or of any domain for "",
+// preferring those that have the group's model loaded. It returns nil if there are
+// not enough.
+func (p *planner) takeFree(n int, domain cluster.DomainID, g *rules.Group) []cluster.VMID {
+	if p.countFree(domain) < n || n == 0 {
 		return nil
 	}
 	out := make([]cluster.VMID, 0, n)
 	for len(out) < n {
 		from := domain
 		if from == "" {
-			from = p.richestDomain()
+			from = p.largestRemainderDomain()
 		}
 		at := max(0, slices.IndexFunc(p.free[from], func(vm VM) bool { return vm.Model == g.Model }))
 		out = append(out, p.free[from][at].ID)
@@ -298,26 +302,26 @@
 	return out
 }
 
-// richestDomain is the one with the most free VMs beyond whole multiples of the
-// zone's largest same-domain group, so that a group that may spread over domains
-// takes what others cannot use and leaves each domain a spare.
-func (p *planner) richestDomain() cluster.DomainID {
-	size := p.largestSameDomain()
+// largestRemainderDomain returns the domain with the most free VMs beyond whole
+// multiples of the zone's largest same-domain group. Groups that may span domains
+// thereby take VMs that others cannot use, and leave each domain a spare.
+func (p *planner) largestRemainderDomain() cluster.DomainID {
+	size := p.maxSameDomainSize()
 	var best cluster.DomainID
-	bestRest, bestFree := -1, 0
+	bestRemainder, bestFree := -1, 0
 	for _, d := range p.domains {
 		n := len(p.free[d])
 		if n == 0 {
 			continue
 		}
-		if rest := n % size; rest > bestRest || rest == bestRest && n > bestFree {
-			best, bestRest, bestFree = d, rest, n
+		if remainder := n % size; remainder > bestRemainder || remainder == bestRemainder && n > bestFree {
+			best, bestRemainder, bestFree = d, remainder, n
 		}
 	}
 	return best
 }
 
-func (p *planner) largestSameDomain() int {
+func (p *planner) maxSameDomainSize() int {
 	size := 1
 	for _, g := range p.in.Groups {
 		if g.SameDomain {
--- a/internal/placement/weighted_form.go
+++ b/internal/placement/weighted_form.go
@@ -5,14 +5,14 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// form makes as many new replicas of the group as the free VMs, the wanted
-// number and the spares to keep allow.
+// form adds as many replicas of the group as the free VMs, the wanted number and
+// the reserved spares allow.
 func (p *planner) form(g *rules.Group) {
 	if g.VMs < 1 {
 		return
 	}
-	for n := p.formable(g); n > 0; n-- {
-		domain, ok := p.fullestDomain(g)
+	for n := p.formableReplicas(g); n > 0; n-- {
+		domain, ok := p.mostFreeDomain(g)
 		if !ok {
 			return
 		}
@@ -20,9 +20,10 @@
 	}
 }
 
-// formIn forms a replica of free VMs of the domain, "" for any, if there are enough.
+// formIn forms a replica from free VMs of the domain, or of any domain for "", if
+// there are enough.
 func (p *planner) formIn(g *rules.Group, domain cluster.DomainID, reason string) {
-	members := p.take(g.VMs, domain, g)
+	members := p.takeFree(g.VMs, domain, g)
 	if members == nil {
 		return
 	}
@@ -30,27 +31,27 @@
 	p.add(Action{Kind: Form, Group: g.Name, Members: members, Reason: reason})
 }
 
-// formable is how many replicas of the group to form now. VMs that make up a
-// whole replica are never held back as spares: one replica more serves whatever
-// domain breaks next, spares only their own (docs/placement.md has the figures).
-func (p *planner) formable(g *rules.Group) int {
+// formableReplicas returns how many replicas of the group to form now. VMs that
+// suffice for a replica are never held back as spares: a further replica serves
+// whichever domain fails next, spares only their own (figures in docs/placement.md).
+func (p *planner) formableReplicas(g *rules.Group) int {
 	fits := 0
 	if g.SameDomain {
 		for _, d := range p.domains {
 			fits += len(p.free[d]) / g.VMs
 		}
 	} else {
-		fits = p.count("") / g.VMs
+		fits = p.countFree("") / g.VMs
 	}
 	if g.Replicas > 0 {
 		return min(fits, g.Replicas-p.serving[g.Name])
 	}
-	return min(fits, (p.count("")-p.sparesOfOthers(g))/g.VMs)
+	return min(fits, (p.countFree("")-p.reservedSpares(g))/g.VMs)
 }
 
-// sparesOfOthers is how many VMs other groups that weigh downtime higher keep
-// idle. A group without a wanted number of replicas leaves them alone.
-func (p *planner) sparesOfOthers(g *rules.Group) int {
+// reservedSpares returns how many VMs stay idle as spares of other groups that
+// prefer less downtime. Only groups without a wanted number of replicas respect them.
+func (p *planner) reservedSpares(g *rules.Group) int {
 	n := 0
 	for i := range p.in.Groups {
 		if other := &p.in.Groups[i]; other.Name != g.Name && other.Weigh != rules.WeighStranded {
@@ -60,11 +61,11 @@
 	return n
 }
 
-// fullestDomain is the domain with the most free VMs that has room for a
-// replica; "" for a group that may spread over domains.
-func (p *planner) fullestDomain(g *rules.Group) (cluster.DomainID, bool) {
+// mostFreeDomain returns the domain with the most free VMs that has enough for a
+// replica; "" for a group that may span domains.
+func (p *planner) mostFreeDomain(g *rules.Group) (cluster.DomainID, bool) {
 	if !g.SameDomain {
-		return "", p.count("") >= g.VMs
+		return "", p.countFree("") >= g.VMs
 	}
 	var best cluster.DomainID
 	most := g.VMs - 1
@@ -76,9 +77,9 @@
 	return best, most >= g.VMs
 }
 
-// hold has the remaining free VMs load the model that is served most in their
-// domain, so that a swap costs no reading of weights.
-func (p *planner) hold() {
+// preloadSpares has the remaining free VMs load the model with the most replicas in
+// their domain, so that a replacement need not wait for weights.
+func (p *planner) preloadSpares() {
 	served := make(map[cluster.DomainID]map[cluster.GroupName]int)
 	for _, r := range p.in.Replicas {
 		d := p.domainOf(r)
@@ -88,7 +89,7 @@
 		served[d][r.Group]++
 	}
 	for _, d := range p.domains {
-		g := p.groupToHold(served[d])
+		g := p.groupToPreload(served[d])
 		if g == nil {
 			continue
 		}
@@ -98,8 +99,8 @@
 	}
 }
 
-// groupToHold is the group with the most replicas; the earlier rule wins a tie.
-func (p *planner) groupToHold(served map[cluster.GroupName]int) *rules.Group {
+// groupToPreload returns the group with the most replicas; in a tie, the earlier rule.
+func (p *planner) groupToPreload(served map[cluster.GroupName]int) *rules.Group {
 	var best *rules.Group
 	for i := range p.in.Groups {
 		g := &p.in.Groups[i]
