--- a/internal/placement/replay/cmd/main.go
+++ b/internal/placement/replay/cmd/main.go
@@ -1,5 +1,5 @@
-// Command cmd writes the recorded failure traces, or replays them and prints the
-// tables of docs/placement.md.
+// Command cmd writes the recorded failure traces, or replays them and prints the tables
+// of docs/placement.md.
 //
 //	go run ./internal/placement/replay/cmd -write
 //	go run ./internal/placement/replay/cmd
@@ -17,7 +17,7 @@
 
 func main() {
 	dir := flag.String("dir", "internal/placement/replay/testdata", "directory of the traces")
-	write := flag.Bool("write", false, "write the traces anew")
+	write := flag.Bool("write", false, "regenerate the traces")
 	flag.Parse()
 	run := printTables
 	if *write {
--- a/internal/placement/replay/generate.go
+++ b/internal/placement/replay/generate.go
@@ -9,10 +9,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// Rates are the letter's: over fleetSize accelerators 48 VM failures and 1,200
-// restarts or replacements a day, a rack or switch each week, a zone a few times
-// a year. A quarter of the 1,200 are taken to be announced replacements; the
-// letter does not say. Durations are assumptions too: see docs/placement.md.
+// Failure rates and durations. The rates are the users' figures for fleetSize
+// accelerators: 48 VM failures and 1,200 restarts or replacements a day, a rack or
+// switch failure each week and a zone failure a few times a year. They do not say how
+// many of the 1,200 are announced replacements; a quarter is assumed. The durations are
+// assumptions too, see docs/placement.md.
 const (
 	fleetSize        = 4500
 	failuresPerDay   = 48
@@ -36,7 +37,7 @@
 // Layout is the number of VMs in each fabric domain of a zone.
 type Layout []int
 
-// Generate makes a trace of the given length for a zone with the letter's rates
+// Generate returns a trace of the given length for a zone with the users' failure rates
 // per VM. The same seed gives the same trace.
 func Generate(seed uint64, layout Layout, length time.Duration) Trace {
 	g := generator{rng: rand.New(rand.NewPCG(seed, 0)), trace: Trace{Length: length}}
@@ -48,13 +49,13 @@
 			})
 		}
 	}
-	share := float64(len(g.trace.VMs)) / fleetSize
+	fleetFraction := float64(len(g.trace.VMs)) / fleetSize
 	days := length.Hours() / 24
-	g.each(share*failuresPerDay*days, func() { g.one(Fail, 0, shortestFailure, longestFailure) })
-	g.each(share*restartsPerDay*days, func() { g.one(Restart, 0, shortestRestart, longestRestart) })
-	g.each(share*leavesPerDay*days, func() { g.one(Leave, leaveNotice, leaveDown, leaveDown) })
-	g.each(share*racksPerWeek*days/7, g.rack)
-	g.each(zonesPerYear*days/365, g.zone)
+	g.poisson(fleetFraction*failuresPerDay*days, func() { g.addSingle(Fail, 0, shortestFailure, longestFailure) })
+	g.poisson(fleetFraction*restartsPerDay*days, func() { g.addSingle(Restart, 0, shortestRestart, longestRestart) })
+	g.poisson(fleetFraction*leavesPerDay*days, func() { g.addSingle(Leave, leaveNotice, leaveDown, leaveDown) })
+	g.poisson(fleetFraction*racksPerWeek*days/7, g.failRack)
+	g.poisson(zonesPerYear*days/365, g.failZone)
 	slices.SortStableFunc(g.trace.Events, func(a, b Event) int { return int(a.At - b.At) })
 	return g.trace
 }
@@ -64,14 +65,15 @@
 	trace Trace
 }
 
-// each calls fn as often as a Poisson process does that is expected to n times.
-func (g *generator) each(n float64, fn func()) {
-	for t := g.rng.ExpFloat64(); t < n; t += g.rng.ExpFloat64() {
+// poisson calls fn for each event of a Poisson process with the expected number of
+// events.
+func (g *generator) poisson(expected float64, fn func()) {
+	for t := g.rng.ExpFloat64(); t < expected; t += g.rng.ExpFloat64() {
 		fn()
 	}
 }
 
-func (g *generator) when() time.Duration { return g.between(0, g.trace.Length) }
+func (g *generator) randomTime() time.Duration { return g.between(0, g.trace.Length) }
 
 func (g *generator) between(low, high time.Duration) time.Duration {
 	if high <= low {
@@ -80,27 +82,27 @@
 	return (low + time.Duration(g.rng.Int64N(int64(high-low)))).Truncate(time.Second)
 }
 
-func (g *generator) one(kind Kind, notice, low, high time.Duration) {
+func (g *generator) addSingle(kind Kind, notice, low, high time.Duration) {
 	vm := g.trace.VMs[g.rng.IntN(len(g.trace.VMs))]
-	g.add(Event{At: g.when(), Kind: kind, VM: vm.ID, Down: g.between(low, high), Notice: notice})
+	g.add(Event{At: g.randomTime(), Kind: kind, VM: vm.ID, Down: g.between(low, high), Notice: notice})
 }
 
 func (g *generator) add(e Event) { g.trace.Events = append(g.trace.Events, e) }
 
-// rack takes a whole fabric domain down.
-func (g *generator) rack() {
+// failRack takes a whole fabric domain down.
+func (g *generator) failRack() {
 	domain := g.trace.VMs[g.rng.IntN(len(g.trace.VMs))].Domain
-	g.together(g.between(shortestRackLoss, longestRackLoss), func(vm cluster.VM) bool { return vm.Domain == domain })
+	g.addCorrelated(g.between(shortestRackLoss, longestRackLoss), func(vm cluster.VM) bool { return vm.Domain == domain })
 }
 
-func (g *generator) zone() {
-	g.together(g.between(shortestZoneLoss, longestZoneLoss), func(cluster.VM) bool { return true })
+func (g *generator) failZone() {
+	g.addCorrelated(g.between(shortestZoneLoss, longestZoneLoss), func(cluster.VM) bool { return true })
 }
 
-func (g *generator) together(down time.Duration, which func(cluster.VM) bool) {
-	at := g.when()
+func (g *generator) addCorrelated(down time.Duration, affected func(cluster.VM) bool) {
+	at := g.randomTime()
 	for _, vm := range g.trace.VMs {
-		if which(vm) {
+		if affected(vm) {
 			g.add(Event{At: at, Kind: Fail, VM: vm.ID, Down: down})
 		}
 	}
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -11,70 +11,71 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// Timings are the times that things take in a replay.
+// Timings are the delays and rates of a replay.
 type Timings struct {
 	// Detect is the time from a VM's loss until the policy sees it.
 	Detect time.Duration
-	// Load is the reading of weights by one VM.
+	// Load is the time in which a VM loads weights.
 	Load time.Duration
-	// Join is from the last member loaded until the replica serves.
+	// Join is the time from the last member's load until the replica serves.
 	Join time.Duration
-	// StreamDrain is how long streams run on after a replica stops taking work.
+	// StreamDrain is how long streams run on after a replica stops accepting requests.
 	StreamDrain time.Duration
-	// LoadsPerSecond is how many VMs a second may start to read weights.
+	// LoadsPerSecond is how many VMs per second may start to load weights.
 	LoadsPerSecond float64
 }
 
-// DefaultTimings are assumptions; docs/placement.md says which and why.
+// DefaultTimings returns assumed values; docs/placement.md explains them.
 func DefaultTimings() Timings {
 	return Timings{Detect: 9 * time.Second, Load: 2 * time.Minute, Join: 30 * time.Second, StreamDrain: 20 * time.Second, LoadsPerSecond: 0.5}
 }
 
-// Result is what a replay measured.
+// Result holds the measurements of a replay.
 type Result struct {
 	Policy string
-	// Downtime is replica-time lost against the number of replicas that fit the
-	// zone at full health.
+	// Downtime is the replica-time lost, measured against the number of replicas that
+	// fit into the zone at full health.
 	Downtime time.Duration
-	// ByGroup is Downtime of each group.
+	// ByGroup is Downtime by group.
 	ByGroup map[cluster.GroupName]time.Duration
-	// Stranded is VM-time of VMs that are up and not leaving but in no whole replica.
+	// Stranded is the VM-time of VMs that are up and not leaving but in no whole replica.
 	Stranded time.Duration
-	// InterruptedReplicas counts replicas that were taken apart while streams ran on them.
+	// InterruptedReplicas counts replicas that were broken up or changed while streams
+	// ran on them.
 	InterruptedReplicas int
-	// Changes counts committed actions, Loads readings of weights.
+	// Changes counts committed actions, Loads the loads of weights.
 	Changes, Loads int
 	// DowntimeBound and StrandedBound are lower bounds for any policy.
 	DowntimeBound, StrandedBound time.Duration
 }
 
-// vm is a VM in the replay.
+// vm is the simulated state of a VM.
 type vm struct {
 	cluster.VM
-	lost    []int // indexes of the trace's losses that hold it down now
-	downAt  time.Duration
-	upAt    time.Duration
-	leaving int
-	model   string        // loaded or being loaded
-	loaded  time.Duration // when the weights are there
+	losses   []int // indexes of the trace events that keep it down now
+	downAt   time.Duration
+	upAt     time.Duration
+	leaving  int
+	model    string        // loaded or loading
+	loadedAt time.Duration // when the load is complete
 }
 
-func (v *vm) up() bool { return len(v.lost) == 0 }
+func (v *vm) up() bool { return len(v.losses) == 0 }
 
-// sim is one replay. Times are offsets from the trace's start.
+// sim is the state of a replay. Times are offsets from the start of the trace.
 type sim struct {
-	policy placement.Policy
-	groups []rules.Group
-	costs  Timings
-	trace  Trace
+	policy  placement.Policy
+	groups  []rules.Group
+	timings Timings
+	trace   Trace
 
 	now         time.Duration
-	wakes       wakes
+	timers      timers
 	vms         []*vm
 	byID        map[cluster.VMID]*vm
 	assignments *placement.Assignments
-	joined      map[cluster.ReplicaID]time.Duration // when the members were last changed
-	draining    map[cluster.ReplicaID]time.Duration // when it stopped taking work
+	changedAt   map[cluster.ReplicaID]time.Duration // time of the last change of members
+	drainedAt   map[cluster.ReplicaID]time.Duration // when the replica stopped accepting requests
 	whole       map[cluster.ReplicaID]bool
 	nextLoad    time.Duration
 	nextID      int
@@ -82,21 +83,21 @@
 	result      Result
 }
 
-// epoch is the wall time of offset zero; only differences matter.
+// epoch is the wall time of offset zero. Only differences matter.
 var epoch = time.Unix(0, 0).UTC()
 
-// Run replays the trace under the policy. It starts with all VMs up and loaded.
-func Run(t Trace, policy placement.Policy, groups []rules.Group, costs Timings) (Result, error) {
-	s := newSim(t, policy, groups, costs)
-	s.targets = fitting(t, groups)
-	if err := s.settle(); err != nil {
+// Run replays the trace under the policy. Initially all VMs are up and loaded.
+func Run(t Trace, policy placement.Policy, groups []rules.Group, timings Timings) (Result, error) {
+	s := newSim(t, policy, groups, timings)
+	s.targets = fitAtFullHealth(t, groups)
+	if err := s.converge(); err != nil {
 		return Result{}, err
 	}
-	for id := range s.joined {
-		s.joined[id] = -costs.Join
+	for id := range s.changedAt {
+		s.changedAt[id] = -timings.Join
 	}
 	for _, v := range s.vms {
-		v.loaded = 0
+		v.loadedAt = 0
 	}
 	s.result = Result{Policy: policy.Name(), ByGroup: make(map[cluster.GroupName]time.Duration)}
 	next := 0
@@ -105,26 +106,26 @@
 		if next < len(t.Events) {
 			at = min(at, t.Events[next].At)
 		}
-		at = min(at, s.wakes.next())
+		at = min(at, s.timers.next())
 		s.advance(at)
 		if at >= t.Length {
 			return s.result, nil
 		}
 		for next < len(t.Events) && t.Events[next].At <= at {
-			s.begin(next)
+			s.applyEvent(next)
 			next++
 		}
-		s.wakes.fire(s.now)
-		if err := s.settle(); err != nil {
+		s.timers.runDue(s.now)
+		if err := s.converge(); err != nil {
 			return Result{}, err
 		}
 	}
 }
 
-func newSim(t Trace, policy placement.Policy, groups []rules.Group, costs Timings) *sim {
+func newSim(t Trace, policy placement.Policy, groups []rules.Group, timings Timings) *sim {
 	s := &sim{
-		policy: policy, groups: groups, costs: costs, trace: t, byID: make(map[cluster.VMID]*vm, len(t.VMs)),
-		joined: make(map[cluster.ReplicaID]time.Duration), draining: make(map[cluster.ReplicaID]time.Duration),
+		policy: policy, groups: groups, timings: timings, trace: t, byID: make(map[cluster.VMID]*vm, len(t.VMs)),
+		changedAt: make(map[cluster.ReplicaID]time.Duration), drainedAt: make(map[cluster.ReplicaID]time.Duration),
 		whole: make(map[cluster.ReplicaID]bool),
 	}
 	for _, listed := range t.VMs {
@@ -136,73 +137,73 @@
 	return s
 }
 
-// begin applies a trace event; a leave becomes a loss when its notice ends.
-func (s *sim) begin(i int) {
+// applyEvent applies a trace event. A leave becomes a loss when its notice ends.
+func (s *sim) applyEvent(i int) {
 	e := s.trace.Events[i]
 	v := s.byID[e.VM]
 	if e.Kind == Leave {
 		v.leaving++
-		s.wakes.add(s.now+e.Notice, func() { v.leaving--; s.lose(v, i, e.Down) })
+		s.timers.add(s.now+e.Notice, func() { v.leaving--; s.takeDown(v, i, e.Down) })
 		return
 	}
-	s.lose(v, i, e.Down)
+	s.takeDown(v, i, e.Down)
 }
 
-func (s *sim) lose(v *vm, i int, down time.Duration) {
+func (s *sim) takeDown(v *vm, i int, down time.Duration) {
 	if v.up() {
 		v.downAt = s.now
 	}
-	v.lost = append(v.lost, i)
+	v.losses = append(v.losses, i)
 	v.model = ""
-	s.wakes.add(s.now+s.costs.Detect, nil)
-	s.wakes.add(s.now+down, func() {
-		v.lost = slices.DeleteFunc(v.lost, func(l int) bool { return l == i })
+	s.timers.add(s.now+s.timings.Detect, nil)
+	s.timers.add(s.now+down, func() {
+		v.losses = slices.DeleteFunc(v.losses, func(l int) bool { return l == i })
 		v.upAt = s.now
 	})
 }
 
-// advance moves the clock and adds up the measures for the time passed.
+// advance moves the clock forward and accumulates the measurements.
 func (s *sim) advance(to time.Duration) {
-	span := to - s.now
+	elapsed := to - s.now
 	s.now = to
-	if span == 0 {
+	if elapsed == 0 {
 		return
 	}
-	have := make(map[cluster.GroupName]int)
-	busy := 0
+	serving := make(map[cluster.GroupName]int)
+	used := 0
 	for _, r := range s.assignments.Replicas() {
 		if s.whole[r.ID] {
-			have[r.Group]++
-			busy += len(r.Members)
+			serving[r.Group]++
+			used += len(r.Members)
 		}
 	}
-	live, bound := s.bounds()
+	live, bound := s.lowerBounds()
 	for name, target := range s.targets {
-		lost := span * time.Duration(max(0, target-have[name]))
-		s.result.Downtime += lost
-		s.result.ByGroup[name] += lost
+		shortfall := elapsed * time.Duration(max(0, target-serving[name]))
+		s.result.Downtime += shortfall
+		s.result.ByGroup[name] += shortfall
 	}
-	s.result.Stranded += span * time.Duration(live-busy)
-	s.result.DowntimeBound += span * time.Duration(bound.downtime)
-	s.result.StrandedBound += span * time.Duration(bound.stranded)
+	s.result.Stranded += elapsed * time.Duration(live-used)
+	s.result.DowntimeBound += elapsed * time.Duration(bound.downtime)
+	s.result.StrandedBound += elapsed * time.Duration(bound.stranded)
 }
 
-// settle lets the policy plan until it changes nothing more at this time.
-func (s *sim) settle() error {
-	for range maxPlans {
+// converge runs the policy at the current time until it changes nothing more.
+func (s *sim) converge() error {
+	for range maxPlanRounds {
 		plan := s.policy.Plan(s.input(), epoch.Add(s.now))
 		changed := false
 		for _, a := range plan.Actions {
-			if err := s.act(a); err != nil {
+			if err := s.applyAction(a); err != nil {
 				return err
 			}
 			changed = changed || a.ChangesTable()
 		}
 		if !plan.ReplanAt.IsZero() {
-			s.wakes.add(plan.ReplanAt.Sub(epoch), nil)
+			s.timers.add(plan.ReplanAt.Sub(epoch), nil)
 		}
-		s.load()
-		s.judge()
+		s.loadMembers()
+		s.updateWhole()
 		if !changed {
 			return nil
 		}
@@ -210,10 +211,11 @@
 	return &ConvergenceError{Policy: s.policy.Name(), At: s.now}
 }
 
-// maxPlans bounds the plans at one time; a policy that needs more goes in circles.
-const maxPlans = 10
+// maxPlanRounds limits the plans at one point in time. A policy that exceeds it does
+// not converge.
+const maxPlanRounds = 10
 
-// ConvergenceError says that a policy keeps changing its mind without an event.
+// ConvergenceError reports a policy that keeps changing the grouping without an event.
 type ConvergenceError struct {
 	Policy string
 	At     time.Duration
@@ -221,12 +223,12 @@
 
 // Error implements error.
 func (e *ConvergenceError) Error() string {
-	return fmt.Sprintf("replay: policy %s does not settle at %v", e.Policy, e.At)
+	return fmt.Sprintf("replay: policy %s does not converge at %v", e.Policy, e.At)
 }
 
-func (s *sim) act(a placement.Action) error {
+func (s *sim) applyAction(a placement.Action) error {
 	if a.Kind == placement.Preload {
-		s.want(s.byID[a.VM], s.model(a.Group))
+		s.startLoad(s.byID[a.VM], s.modelOf(a.Group))
 	}
 	if !a.ChangesTable() {
 		return nil
@@ -236,7 +238,7 @@
 	}
 	s.nextID++
 	id := cluster.ReplicaID(fmt.Sprintf("r%06d", s.nextID))
-	change, err := s.assignments.Apply(a, placement.CommitMetadata{NewID: id, Model: s.model(a.Group), Fence: 1})
+	change, err := s.assignments.Apply(a, placement.CommitMetadata{NewID: id, Model: s.modelOf(a.Group), Fence: 1})
 	if err != nil {
 		return err
 	}
@@ -244,80 +246,80 @@
 	r := change.Replica
 	switch {
 	case change.Removed:
-		delete(s.joined, r.ID)
-		delete(s.draining, r.ID)
+		delete(s.changedAt, r.ID)
+		delete(s.drainedAt, r.ID)
 	case a.Kind == placement.Drain:
-		s.draining[r.ID] = s.now
-		s.wakes.add(s.now+s.costs.StreamDrain, nil)
+		s.drainedAt[r.ID] = s.now
+		s.timers.add(s.now+s.timings.StreamDrain, nil)
 	default:
-		delete(s.draining, r.ID)
-		s.joined[r.ID] = s.now
+		delete(s.drainedAt, r.ID)
+		s.changedAt[r.ID] = s.now
 	}
 	return nil
 }
 
-func (s *sim) model(name cluster.GroupName) string {
+func (s *sim) modelOf(name cluster.GroupName) string {
 	if g := placement.FindGroup(s.groups, name); g != nil {
 		return g.Model
 	}
 	return ""
 }
 
-// running says whether streams run on the replica: all members are up, and it
-// serves or stopped taking work a short while ago.
+// running reports whether streams run on the replica: all members are up and loaded, and
+// the replica either serves or stopped accepting requests less than StreamDrain ago.
 func (s *sim) running(id cluster.ReplicaID) bool {
 	r, ok := s.assignments.Replica(id)
 	if !ok {
 		return false
 	}
 	for _, m := range r.Members {
-		if v := s.byID[m]; !v.up() || s.loading(v) || v.model != r.Model {
+		if v := s.byID[m]; !v.up() || s.isLoading(v) || v.model != r.Model {
 			return false
 		}
 	}
-	since, drains := s.draining[id]
-	return s.now >= s.joined[id]+s.costs.Join && (!drains || s.now < since+s.costs.StreamDrain)
+	since, draining := s.drainedAt[id]
+	return s.now >= s.changedAt[id]+s.timings.Join && (!draining || s.now < since+s.timings.StreamDrain)
 }
 
-func (s *sim) loading(v *vm) bool { return v.loaded > s.now }
+func (s *sim) isLoading(v *vm) bool { return v.loadedAt > s.now }
 
-// load starts reading weights on members that need them, replica by replica.
-func (s *sim) load() {
+// loadMembers starts to load weights on all members that lack them, in order of replicas.
+func (s *sim) loadMembers() {
 	for _, r := range s.assignments.Replicas() {
 		for _, m := range r.Members {
-			s.want(s.byID[m], r.Model)
+			s.startLoad(s.byID[m], r.Model)
 		}
 	}
 }
 
-// want makes the VM read a model's weights, within the weight store's rate.
-func (s *sim) want(v *vm, model string) {
+// startLoad has the VM load a model's weights, within the rate of the weight store.
+func (s *sim) startLoad(v *vm, model string) {
 	if !v.up() || v.model == model {
 		return
 	}
 	start := max(s.now, s.nextLoad)
-	if s.costs.LoadsPerSecond > 0 {
-		s.nextLoad = start + time.Duration(float64(time.Second)/s.costs.LoadsPerSecond)
+	if s.timings.LoadsPerSecond > 0 {
+		s.nextLoad = start + time.Duration(float64(time.Second)/s.timings.LoadsPerSecond)
 	}
-	v.model, v.loaded = model, start+s.costs.Load
+	v.model, v.loadedAt = model, start+s.timings.Load
 	s.result.Loads++
-	s.wakes.add(v.loaded, nil)
+	s.timers.add(v.loadedAt, nil)
 }
 
-// judge works out which replicas are whole and when others will be.
-func (s *sim) judge() {
+// updateWhole determines which replicas are whole, and schedules when others will be.
+func (s *sim) updateWhole() {
 	clear(s.whole)
 	for _, r := range s.assignments.Replicas() {
-		ready := s.joined[r.ID]
+		ready := s.changedAt[r.ID]
 		present := !r.Leaving
 		for _, m := range r.Members {
 			v := s.byID[m]
 			present = present && v.up() && v.leaving == 0 && v.model == r.Model
-			ready = max(ready, v.loaded)
+			ready = max(ready, v.loadedAt)
 		}
-		ready += s.costs.Join
+		ready += s.timings.Join
 		if present && ready > s.now {
-			s.wakes.add(ready, nil)
+			s.timers.add(ready, nil)
 		}
 		s.whole[r.ID] = present && ready <= s.now
 	}
@@ -330,14 +332,14 @@
 	}
 	now := epoch.Add(s.now)
 	for _, v := range s.vms {
-		seen := placement.VM{ID: v.ID, Domain: v.Domain, Listed: true, Leaving: v.leaving > 0, LastSeen: now}
-		if !v.up() && s.now >= v.downAt+s.costs.Detect {
-			seen.DownSince = epoch.Add(v.downAt)
+		observed := placement.VM{ID: v.ID, Domain: v.Domain, Listed: true, Leaving: v.leaving > 0, LastSeen: now}
+		if !v.up() && s.now >= v.downAt+s.timings.Detect {
+			observed.DownSince = epoch.Add(v.downAt)
 		}
-		if !s.loading(v) {
-			seen.Model = v.model
+		if !s.isLoading(v) {
+			observed.Model = v.model
 		}
-		in.VMs = append(in.VMs, seen)
+		in.VMs = append(in.VMs, observed)
 	}
 	for _, r := range in.Replicas {
 		if s.running(r.ID) {
@@ -347,36 +349,37 @@
 	return in
 }
 
-// wakes are the times at which something is to happen, with what.
-type wakes struct {
-	list []wake
+// timers holds the scheduled points in time, in order. A timer without a function only
+// triggers planning.
+type timers struct {
+	pending []timer
 }
 
-type wake struct {
+type timer struct {
 	at time.Duration
 	fn func()
 }
 
-func (w *wakes) add(at time.Duration, fn func()) {
-	i, _ := slices.BinarySearchFunc(w.list, at, func(a wake, at time.Duration) int { return int(a.at - at) })
-	if fn == nil && i < len(w.list) && w.list[i].at == at {
+func (t *timers) add(at time.Duration, fn func()) {
+	i, _ := slices.BinarySearchFunc(t.pending, at, func(a timer, at time.Duration) int { return int(a.at - at) })
+	if fn == nil && i < len(t.pending) && t.pending[i].at == at {
 		return
 	}
-	w.list = slices.Insert(w.list, i, wake{at: at, fn: fn})
+	t.pending = slices.Insert(t.pending, i, timer{at: at, fn: fn})
 }
 
-func (w *wakes) next() time.Duration {
-	if len(w.list) == 0 {
+func (t *timers) next() time.Duration {
+	if len(t.pending) == 0 {
 		return math.MaxInt64
 	}
-	return w.list[0].at
+	return t.pending[0].at
 }
 
-// fire removes all that is due and runs it.
-func (w *wakes) fire(now time.Duration) {
-	for len(w.list) > 0 && w.list[0].at <= now {
-		first := w.list[0]
-		w.list = w.list[1:]
+// runDue removes and runs the timers that are due.
+func (t *timers) runDue(now time.Duration) {
+	for len(t.pending) > 0 && t.pending[0].at <= now {
+		first := t.pending[0]
+		t.pending = t.pending[1:]
 		if first.fn != nil {
 			first.fn()
 		}
--- a/internal/placement/replay/replay_test.go
+++ b/internal/placement/replay/replay_test.go
@@ -16,22 +16,22 @@
 	require.NotEmpty(t, trace.Events)
 	var b bytes.Buffer
 	require.NoError(t, trace.Write(&b, "test"))
-	again, err := Read(&b)
+	parsed, err := Read(&b)
 	require.NoError(t, err)
-	require.Equal(t, trace, again)
+	require.Equal(t, trace, parsed)
 	_, err = Read(strings.NewReader("length 5\nnonsense\n"))
 	require.Equal(t, &LineError{Line: 2, Text: "nonsense"}, err)
 }
 
-// The goal that the users set: at least 30% less group downtime, and never more
-// than 10% worse on the other figure, on the recorded traces. A change of policy
-// that loses this shows here; docs/placement.md has the whole table.
+// The users' goal on the recorded traces: at least 30% less group downtime than Naive, and
+// the other figure never more than 10% worse. Guards against a change of policy that loses
+// this; docs/placement.md has the whole table.
 func TestWeightedAgainstNaive(t *testing.T) {
 	const goal, tolerance = 0.7, 1.1
 	for _, s := range Scenarios[:2] {
 		trace, err := s.Load("testdata")
 		require.NoError(t, err)
-		require.Equal(t, Generate(s.Seed, s.Layout, s.Length), trace, "the recorded trace is what its seed gives")
+		require.Equal(t, Generate(s.Seed, s.Layout, s.Length), trace, "the recorded trace must match its seed")
 		for _, weigh := range []rules.Weigh{rules.WeighDowntime, rules.WeighStranded} {
 			t.Run(s.Name+" "+string(weigh), func(t *testing.T) {
 				groups := Capped.Groups(weigh)
@@ -41,7 +41,7 @@
 				require.NoError(t, err)
 				require.Less(t, weighted.Downtime.Hours(), goal*naive.Downtime.Hours())
 				require.Less(t, weighted.Stranded.Hours(), tolerance*naive.Stranded.Hours())
-				require.Zero(t, weighted.InterruptedReplicas, "streams cut by the policy")
+				require.Zero(t, weighted.InterruptedReplicas, "the policy interrupted streams")
 				for _, r := range []Result{naive, weighted} {
 					require.GreaterOrEqual(t, r.Downtime, r.DowntimeBound)
 					require.GreaterOrEqual(t, r.Stranded, r.StrandedBound)
--- a/internal/placement/replay/trace.go
+++ b/internal/placement/replay/trace.go
@@ -1,5 +1,5 @@
-// Package replay runs a placement policy over a recorded failure trace in
-// virtual time and measures group downtime and stranded accelerators.
+// Package replay runs a placement policy against a recorded failure trace in virtual
+// time and measures group downtime and stranded accelerators.
 package replay
 
 import (
@@ -13,19 +13,18 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// Kind says what happens to a VM.
+// Kind is the type of a trace event.
 type Kind string
 
-// Kinds of trace events. A fail and a restart come without notice; a leave is
-// announced for Notice and the VM is gone after it. In all cases a VM is back,
-// with nothing in memory, Down after it went.
+// Event kinds. Fail and Restart come without notice. A Leave is announced for Notice
+// before the VM goes down. In all cases the VM is back after Down, with empty memory.
 const (
 	Fail    Kind = "fail"
 	Restart Kind = "restart"
 	Leave   Kind = "leave"
 )
 
-// Event is one line of a trace: at <seconds> <kind> <vm> down=<seconds> notice=<seconds>.
+// Event is a line of a trace: at <seconds> <kind> <vm> down=<seconds> notice=<seconds>.
 type Event struct {
 	At     time.Duration
 	Kind   Kind
@@ -34,16 +33,16 @@
 	Notice time.Duration
 }
 
-// Trace is a zone's VMs, by domain, and what happens to them in order of time.
-// A rack or switch, and a zone that goes dark, are many fail lines at one time.
+// Trace lists the VMs of a zone, by domain, and the events in order of time. The failure
+// of a rack, a switch or a zone is recorded as many fail lines with the same time.
 type Trace struct {
 	Length time.Duration
-	VMs    []cluster.VM // only ID and Domain
+	VMs    []cluster.VM // only ID and Domain are set
 	Events []Event
 }
 
-// Write prints the trace: a line "length <seconds>", a line "vm <id> <domain>"
-// for each VM and a line for each event. Lines that start with # are comments.
+// Write writes the trace: a line "length <seconds>", a line "vm <id> <domain>" for each
+// VM and a line for each event. Lines that start with # are comments.
 func (t Trace) Write(w io.Writer, comment string) error {
 	b := bufio.NewWriter(w)
 	fmt.Fprintf(b, "# %s\nlength %d\n", comment, seconds(t.Length))
@@ -58,7 +57,7 @@
 
 func seconds(d time.Duration) int64 { return int64(d / time.Second) }
 
-// LineError says which line of a trace cannot be read.
+// LineError reports a line of a trace that cannot be parsed.
 type LineError struct {
 	Line int
 	Text string
@@ -66,10 +65,10 @@
 
 // Error implements error.
 func (e *LineError) Error() string {
-	return "trace line " + strconv.Itoa(e.Line) + ": cannot read: " + e.Text
+	return "trace line " + strconv.Itoa(e.Line) + ": cannot parse: " + e.Text
 }
 
-// Read reads what Write printed.
+// Read parses a trace in the format of Write.
 func Read(r io.Reader) (Trace, error) {
 	var t Trace
 	lines := bufio.NewScanner(r)
