--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,85 +1,88 @@
-// Package cluster holds the vocabulary that the other packages share: VMs,
-// availability zones, replicas, teams and the identifiers that name them.
-// It has no behaviour beyond small helpers on its own values.
+// Package cluster defines the types that the other packages share: VMs,
+// availability zones, replicas, the grouping of a zone, and their identifiers.
 package cluster
 
 import "time"
 
-// VMID names a VM.
+// VMID identifies a VM.
 type VMID string
 
-// ZoneID names an availability zone.
+// ZoneID identifies an availability zone.
 type ZoneID string
 
-// DomainID names a fabric domain.
+// DomainID identifies a fabric domain: VMs joined by a fast interconnect.
 type DomainID string
 
-// ReplicaID names a replica.
+// ReplicaID identifies a replica.
 type ReplicaID string
 
-// GroupName is the name= of a group rule.
+// GroupName is the value of name= in a group rule.
 type GroupName string
 
-// Service names a plain service beside the model engines.
+// Service is the name of a plain service, as opposed to a model engine.
 type Service string
 
-// TeamID names a team.
+// TeamID identifies the team to which requests are charged.
 type TeamID string
 
-// NodeID names one fenneld.
+// NodeID identifies a fenneld process.
 type NodeID string
 
-// Fence is a fencing number: the store's create revision of the lease key under
-// which an order or write was made. Higher wins; zero means none.
+// Fence is a fencing number (fencing token): the create revision of the lease
+// key under which an order or a write was issued. The higher number wins; zero
+// means none.
 type Fence int64
 
-// VMState is a VM's state in the platform's VM list.
+// VMState is the state of a VM in the platform's VM list.
 type VMState string
 
-// The list lags, so "live" is a claim and not a proof.
+// VM states. The list lags behind the VMs, so VMLive does not prove that a VM is up.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one entry of the platform's VM list: a backend server VM that hosts a
-// model engine, or one that hosts a plain service (Service set).
+// VM is an entry of the platform's VM list. It hosts a model engine, or a plain
+// service if Service is set.
 type VM struct {
 	ID     VMID     `json:"id"`
 	Zone   ZoneID   `json:"zone"`
 	Domain DomainID `json:"domain"`
-	// Addr is the ip:port of the engine or service on this VM.
+	// Addr is the ip:port of the engine or service.
 	Addr    string  `json:"addr"`
 	Service Service `json:"service,omitempty"`
 	State   VMState `json:"state"`
 }
 
-// VMList is the platform's answer: what it believed at AsOf.
+// VMList is the platform's VM list as of AsOf.
 type VMList struct {
 	AsOf time.Time `json:"as_of"`
 	VMs  []VM      `json:"vms"`
 }
 
-// Replica is one committed assignment of VMs to a model replica. Its value is
-// immutable: regrouping commits a new Generation.
+// Replica is the committed assignment of VMs to a model replica. Values are
+// immutable: reassigning a replica commits a new Generation.
 type Replica struct {
 	ID    ReplicaID `json:"id"`
 	Group GroupName `json:"group"`
 	Model string    `json:"model"`
 	Zone  ZoneID    `json:"zone"`
-	// Generation is the grouping revision: it rises with every commit that
-	// changes this replica, and every member must confirm exactly this number.
+	// Generation is incremented by every commit that reassigns the replica; draining
+	// keeps it. A member counts as present only if it confirms exactly this generation.
 	Generation int64 `json:"generation"`
-	// Fence is the fencing number of the placement lease that committed it.
+	// Fence is the fencing number of the placement lease under which the replica
+	// was committed.
 	Fence   Fence  `json:"fence"`
 	Members []VMID `json:"members"`
-	// Serving is the member that accepts requests (rank 0 of the engine).
+	// Serving is the member that accepts requests: rank 0 of the engine.
 	Serving VMID `json:"serving"`
-	// Leaving marks a replica with a leaving member: no new work, streams finish.
+	// Leaving marks a replica that drains, for instance because a member leaves: it
+	// gets no new requests, and its streams run to the end.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Grouping is the committed table of one availability zone as read at Revision.
+// Grouping is the committed table of replicas of one availability zone, as read
+// at Revision.
 type Grouping struct {
 	Zone     ZoneID    `json:"zone"`
 	Revision int64     `json:"revision"`
