--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -222,7 +222,7 @@
 		t.tableLoaded = true
 	}
 	assignments := t.committer.assignments
-	t.engines.update(list, func(vm cluster.VMID) bool { return assignments.HolderOf(vm) != "" }, time.Now())
+	t.engines.update(list, func(vm cluster.VMID) bool { return assignments.ReplicaOf(vm) != "" }, time.Now())
 	t.engines.poll(ctx, c.enginesToPoll(t, set, time.Now()))
 	if err := c.applyPlan(ctx, t, set); err != nil {
 		commitsFailedTotal.Inc()
@@ -248,10 +248,10 @@
 	t.spareGroups = make(map[cluster.VMID]cluster.GroupName)
 	var batch []placement.Change
 	for _, action := range plan.Actions {
-		if action.Kind == placement.Hold {
+		if action.Kind == placement.Preload {
 			t.spareGroups[action.VM] = action.Group
 		}
-		if !action.Changes() {
+		if !action.ChangesTable() {
 			c.opts.Log.Debug("placement", "zone", c.opts.Zone, "action", action.Kind, "group", action.Group, "vm", action.VM, "reason", action.Reason)
 			continue
 		}
@@ -319,8 +319,8 @@
 	return nil
 }
 
-func (c *Controller) stamp(t *term, set *rules.Set, a placement.Action) placement.Stamp {
-	stamp := placement.Stamp{Fence: t.lease.Fence()}
+func (c *Controller) stamp(t *term, set *rules.Set, a placement.Action) placement.CommitMetadata {
+	stamp := placement.CommitMetadata{Fence: t.lease.Fence()}
 	if a.Kind == placement.Form {
 		stamp.NewID = cluster.ReplicaID(t.ids.next(string(a.Group)))
 		if g := placement.FindGroup(set.Groups, a.Group); g != nil {
--- a/internal/placement/replay/cmd/main.go
+++ b/internal/placement/replay/cmd/main.go
@@ -1,5 +1,5 @@
-// Command cmd writes the recorded failure traces, or replays them and prints the
-// tables of docs/placement.md.
+// Command cmd writes the recorded failure traces, or replays them and prints the tables
+// of docs/placement.md.
 //
 //	go run ./internal/placement/replay/cmd -write
 //	go run ./internal/placement/replay/cmd
@@ -17,7 +17,7 @@
 
 func main() {
 	dir := flag.String("dir", "internal/placement/replay/testdata", "directory of the traces")
-	write := flag.Bool("write", false, "write the traces anew")
+	write := flag.Bool("write", false, "regenerate the traces")
 	flag.Parse()
 	run := printTables
 	if *write {
@@ -67,12 +67,12 @@
 
 func printPair(s replay.Scenario, trace replay.Trace, set replay.RuleSet, weigh rules.Weigh) error {
 	for _, policy := range []placement.Policy{placement.Naive{}, placement.Weighted{}} {
-		r, err := replay.Run(trace, policy, set.Groups(weigh), replay.DefaultCosts())
+		r, err := replay.Run(trace, policy, set.Groups(weigh), replay.DefaultTimings())
 		if err != nil {
 			return err
 		}
 		fmt.Printf("| %s | %s | %s | %s | %.1f | %.1f | %.1f | %.0f | %.0f | %d | %d |\n", s.Name, set, weigh, r.Policy,
-			r.Downtime.Hours(), r.ByGroup["large"].Hours(), r.DowntimeBound.Hours(), r.Stranded.Hours(), r.StrandedBound.Hours(), r.Cuts, r.Loads)
+			r.Downtime.Hours(), r.ByGroup["large"].Hours(), r.DowntimeBound.Hours(), r.Stranded.Hours(), r.StrandedBound.Hours(), r.InterruptedReplicas, r.Loads)
 	}
 	return nil
 }
