--- a/internal/lifecycle/bench_test.go
+++ b/internal/lifecycle/bench_test.go
@@ -40,7 +40,7 @@
 }
 
 // carryOut answers the orders of an output and shows their effect in the list.
-func carryOut(list *fleet.List, out Output, now time.Time) (answered []Answered) {
+func carryOut(list *fleet.List, out Output, now time.Time) (answered []OrderResult) {
 	for _, sending := range out.Send {
 		s := list.Find(sending.To.ID)
 		order := sending.Order
@@ -59,12 +59,12 @@
 			member.State = fleet.Open
 			s.Membership = &member
 		}
-		answered = append(answered, Answered{To: sending.To, Order: order, Answer: Begun, At: now})
+		answered = append(answered, OrderResult{To: sending.To, Order: order, Answer: Begun, At: now})
 	}
 	return answered
 }
 
-func benchInput(list fleet.List, now time.Time, answered []Answered) Input {
+func benchInput(list fleet.List, now time.Time, answered []OrderResult) Input {
 	list.ReadAt = now
 	return Input{Now: now, List: list, Rules: twoModels, FreeLoads: true, LeaseLeft: time.Hour, Answered: answered}
 }
@@ -92,7 +92,7 @@
 			b.Run(fmt.Sprintf("%s/vms=%d", name, vms), func(b *testing.B) {
 				list, now := fleetOf(vms, start), start
 				m := newBenchMachine(list)
-				var answered []Answered
+				var answered []OrderResult
 				for range 100 {
 					now = now.Add(100 * time.Millisecond)
 					list.Changed++
--- a/internal/lifecycle/ending.go
+++ b/internal/lifecycle/ending.go
@@ -214,7 +214,7 @@
 // takeLeave notes that the head or another member has left. Misfit says that the VM is
 // not in the replica any more. The answer of another VM at the address says nothing of
 // this one.
-func (m *Machine) takeLeave(id cluster.ReplicaID, e *ending, a Answered, now time.Time) {
+func (m *Machine) takeLeave(id cluster.ReplicaID, e *ending, a OrderResult, now time.Time) {
 	switch a.Answer {
 	case Begun, Done, Misfit:
 	default:
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -236,7 +236,7 @@
 	}
 }
 
-func (m *Machine) takeAnswer(a Answered, now time.Time) {
+func (m *Machine) takeAnswer(a OrderResult, now time.Time) {
 	id := fleet.ReplicaID(a.Order.Replica, a.Order.Epoch)
 	log := m.opts.Log.With("order", a.Order.Kind, "vm", a.To.ID, "born", a.To.Born, "replica", id)
 	if a.NotSent {
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -68,15 +68,15 @@
 	// Suspected are replicas that stand still as callers' requests show.
 	Suspected map[cluster.ReplicaID]bool
 	// Answered are the orders whose outcome came since the last step.
-	Answered []Answered
+	Answered []OrderResult
 	// Silent are listed VMs that probes found not to answer, Answering those that the
 	// list lacks and that answered.
 	Silent    []fleet.Server
 	Answering []cluster.VMID
 }
 
-// Answered is an order with what came of it.
-type Answered struct {
+// OrderResult is an order with what came of it.
+type OrderResult struct {
 	// To is the VM as it was listed when the order was sent.
 	To     fleet.Server
 	Order  Order
--- a/internal/lifecycle/quiescence_test.go
+++ b/internal/lifecycle/quiescence_test.go
@@ -31,7 +31,7 @@
 	policy := &countingPolicy{Policy: placement.Mix{}}
 	m := newBenchMachine(list)
 	m.opts.Policy = policy
-	var answered []Answered
+	var answered []OrderResult
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		list.Changed++
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -46,7 +46,7 @@
 
 type pendingOrder struct {
 	at      time.Time
-	outcome Answered
+	outcome OrderResult
 }
 
 type readyKey struct {
@@ -190,7 +190,7 @@
 
 // deliver brings an order to its VM, or not.
 func (w *world) deliver(s Sending) {
-	outcome := Answered{To: s.To, Order: s.Order, At: w.now}
+	outcome := OrderResult{To: s.To, Order: s.Order, At: w.now}
 	v := w.find(s.To.ID)
 	switch {
 	case v == nil || !v.alive || v.silent:
