--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -83,7 +83,7 @@
 	answer, err := t.sendNow(ctx, s)
 	started()
 	outcome := lifecycle.OrderResult{To: s.To, Order: s.Order, Answer: answer, Err: err, NotSent: errors.Is(err, errLeaseShort), At: time.Now()}
-	t.report(func(in *lifecycle.Input) { in.Answered = append(in.Answered, outcome) })
+	t.report(func(in *lifecycle.Input) { in.OrderResults = append(in.OrderResults, outcome) })
 }
 
 // sendNow sends an order unless the lease may end before the answer: it may have waited
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -66,12 +66,12 @@
 	term.step(t.Context(), fleet.List{Revision: 9, ReadAt: now, Servers: servers("a", "b")}, time.Minute, nil, now)
 	term.wait()
 	in := term.takeReports()
-	require.Len(t, in.Answered, 2)
-	for _, a := range in.Answered {
+	require.Len(t, in.OrderResults, 2)
+	for _, a := range in.OrderResults {
 		require.Equal(t, lifecycle.Join, a.Order.Kind)
 		require.Equal(t, a.To.ID == "b", a.Err != nil)
 	}
-	require.Empty(t, term.takeReports().Answered, "each outcome is told once")
+	require.Empty(t, term.takeReports().OrderResults, "each outcome is told once")
 }
 
 // Why a VM counts as down must be in the log: a refused connection is another matter than a timeout.
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -230,7 +230,7 @@
 
 // takeAnswers acts on what came of orders.
 func (m *Machine) takeAnswers(in Input) {
-	for _, a := range in.Answered {
+	for _, a := range in.OrderResults {
 		delete(m.inFlight, a.To.ID)
 		m.takeAnswer(a, in.Now)
 	}
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -99,7 +99,7 @@
 	out := s.machine.Step(in)
 	for _, o := range out.Send {
 		answer, err := s.orders.send(o.To, o.Order)
-		s.next.Answered = append(s.next.Answered, OrderResult{To: o.To, Order: o.Order, Answer: answer, Err: err, At: s.now})
+		s.next.OrderResults = append(s.next.OrderResults, OrderResult{To: o.To, Order: o.Order, Answer: answer, Err: err, At: s.now})
 	}
 	for _, vm := range out.ProbeMissing {
 		if !s.orders.dead[vm.ID] && !s.orders.refusing[vm.ID] {
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -67,8 +67,8 @@
 	LeaseLeft time.Duration
 	// Suspected are replicas that stand still as callers' requests show.
 	Suspected map[cluster.ReplicaID]bool
-	// Answered are the orders whose outcome came since the last step.
-	Answered []OrderResult
+	// OrderResults are the orders whose outcome came since the last step.
+	OrderResults []OrderResult
 	// Silent are listed VMs that probes found not to answer, Answering those that the
 	// list lacks and that answered.
 	Silent    []fleet.Server
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -137,7 +137,7 @@
 			w.next.Answering = append(w.next.Answering, v.id)
 		}
 	}
-	return eventful || len(out.Send) > 0 || len(in.Answered) > 0
+	return eventful || len(out.Send) > 0 || len(in.OrderResults) > 0
 }
 
 func (w *world) noteReady(v *modelVM) {
@@ -183,7 +183,7 @@
 			kept = append(kept, p)
 			continue
 		}
-		w.next.Answered = append(w.next.Answered, p.outcome)
+		w.next.OrderResults = append(w.next.OrderResults, p.outcome)
 	}
 	w.pending = kept
 }
@@ -197,7 +197,7 @@
 		outcome.Err = context.DeadlineExceeded
 	case v.frozen:
 		outcome.Err = syscall.ECONNREFUSED
-		w.next.Answered = append(w.next.Answered, outcome)
+		w.next.OrderResults = append(w.next.OrderResults, outcome)
 		return
 	case v.late:
 		v.queue = append(v.queue, s.Order)
@@ -205,7 +205,7 @@
 	default:
 		outcome.Answer = w.carryOut(v, s.Order, true)
 		if !v.mute {
-			w.next.Answered = append(w.next.Answered, outcome)
+			w.next.OrderResults = append(w.next.OrderResults, outcome)
 			return
 		}
 		outcome.Answer, outcome.Err = "", context.DeadlineExceeded
@@ -346,7 +346,7 @@
 	c.machine = w.machine.clone(c.seen)
 	c.ready = maps.Clone(w.ready)
 	c.pending, c.loadsAt = slices.Clone(w.pending), slices.Clone(w.loadsAt)
-	c.next.Answered, c.next.Answering = slices.Clone(w.next.Answered), slices.Clone(w.next.Answering)
+	c.next.OrderResults, c.next.Answering = slices.Clone(w.next.OrderResults), slices.Clone(w.next.Answering)
 	return &c
 }
 
@@ -426,7 +426,7 @@
 	for _, p := range w.pending {
 		fmt.Fprint(h, "p", age(p.at), p.outcome.To.ID, order(p.outcome.Order))
 	}
-	for _, a := range w.next.Answered {
+	for _, a := range w.next.OrderResults {
 		fmt.Fprint(h, "a", a.To.ID, order(a.Order), a.Answer, a.Err != nil)
 	}
 	fmt.Fprint(h, w.next.Answering)
@@ -454,7 +454,7 @@
 	for _, p := range w.pending {
 		note(p.outcome.Order.Replica, p.outcome.Order.Epoch)
 	}
-	for _, a := range w.next.Answered {
+	for _, a := range w.next.OrderResults {
 		note(a.Order.Replica, a.Order.Epoch)
 	}
 	for id, r := range w.machine.records {
