--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -58,7 +58,7 @@
 	for _, s := range silent {
 		t.opts.Log.Info("probe", "replica", p.Replica, "vm", s.vm.ID, "born", s.vm.Born, "outcome", "down", "err", s.err.Error())
 	}
-	t.report(func(in *lifecycle.Input) { in.Silent = append(in.Silent, serversOf(silent)...) })
+	t.report(func(in *lifecycle.Input) { in.Unresponsive = append(in.Unresponsive, serversOf(silent)...) })
 }
 
 // probeMissing asks a VM that the list lacks.
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -109,7 +109,7 @@
 			term := newTestTerm(t, orders)
 			term.probeMembers(t.Context(), lifecycle.Probing{Replica: "m/1.1", Members: servers("a", "b", "c")})
 			var down []cluster.VMID
-			for _, s := range term.takeReports().Silent {
+			for _, s := range term.takeReports().Unresponsive {
 				down = append(down, s.ID)
 			}
 			require.Equal(t, c.down, down)
--- a/internal/lifecycle/liveness.go
+++ b/internal/lifecycle/liveness.go
@@ -89,7 +89,7 @@
 
 // takeProbes notes what probes have found.
 func (m *Machine) takeProbes(in Input) {
-	for _, s := range in.Silent {
+	for _, s := range in.Unresponsive {
 		m.down[s.ID] = silence{born: s.Born, since: in.Now}
 	}
 	for _, vm := range in.Answering {
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -69,9 +69,9 @@
 	Suspected map[cluster.ReplicaID]bool
 	// OrderResults are the orders whose outcome came since the last step.
 	OrderResults []OrderResult
-	// Silent are listed VMs that probes found not to answer, Answering those that the
+	// Unresponsive are listed VMs that probes found not to answer, Answering those that the
 	// list lacks and that answered.
-	Silent    []fleet.Server
+	Unresponsive    []fleet.Server
 	Answering []cluster.VMID
 }
 
--- a/internal/lifecycle/quiescence_test.go
+++ b/internal/lifecycle/quiescence_test.go
@@ -60,7 +60,7 @@
 		"list":      func(in *Input) { in.List.Changed++ },
 		"rules":     func(in *Input) { in.Rules = rules.Assemble(rules.Set{Groups: twoModels.Groups}) },
 		"loads":     func(in *Input) { in.FreeLoads = false },
-		"silent":    func(in *Input) { in.Silent = in.List.Servers[:1] },
+		"silent":    func(in *Input) { in.Unresponsive = in.List.Servers[:1] },
 		"suspected": func(in *Input) { in.Suspected = map[cluster.ReplicaID]bool{"large/1.1": true} },
 	} {
 		t.Run(name, func(t *testing.T) {
