--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -67,7 +67,7 @@
 		t.opts.Log.Info("probe", "vm", vm.ID, "born", vm.Born, "outcome", "unlisted VM does not answer", "err", silent[0].err.Error())
 		return
 	}
-	t.report(func(in *lifecycle.Input) { in.Answering = append(in.Answering, vm.ID) })
+	t.report(func(in *lifecycle.Input) { in.RespondingUnlisted = append(in.RespondingUnlisted, vm.ID) })
 }
 
 // unanswered is a probe without an answer.
--- a/internal/lifecycle/liveness.go
+++ b/internal/lifecycle/liveness.go
@@ -92,7 +92,7 @@
 	for _, s := range in.Unresponsive {
 		m.down[s.ID] = silence{born: s.Born, since: in.Now}
 	}
-	for _, vm := range in.Answering {
+	for _, vm := range in.RespondingUnlisted {
 		if p := m.present[vm]; p != nil {
 			p.answeredAt = in.Now
 		}
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -103,7 +103,7 @@
 	}
 	for _, vm := range out.ProbeMissing {
 		if !s.orders.dead[vm.ID] && !s.orders.refusing[vm.ID] {
-			s.next.Answering = append(s.next.Answering, vm.ID)
+			s.next.RespondingUnlisted = append(s.next.RespondingUnlisted, vm.ID)
 		}
 	}
 }
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -72,7 +72,7 @@
 	// Unresponsive are listed VMs that probes found not to answer, Answering those that the
 	// list lacks and that answered.
 	Unresponsive    []fleet.Server
-	Answering []cluster.VMID
+	RespondingUnlisted []cluster.VMID
 }
 
 // OrderResult is an order with what came of it.
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -134,7 +134,7 @@
 	}
 	for _, p := range out.ProbeMissing {
 		if v := w.find(p.ID); v != nil && v.runs() && !v.silent && !v.mute {
-			w.next.Answering = append(w.next.Answering, v.id)
+			w.next.RespondingUnlisted = append(w.next.RespondingUnlisted, v.id)
 		}
 	}
 	return eventful || len(out.Send) > 0 || len(in.OrderResults) > 0
@@ -346,7 +346,7 @@
 	c.machine = w.machine.clone(c.seen)
 	c.ready = maps.Clone(w.ready)
 	c.pending, c.loadsAt = slices.Clone(w.pending), slices.Clone(w.loadsAt)
-	c.next.OrderResults, c.next.Answering = slices.Clone(w.next.OrderResults), slices.Clone(w.next.Answering)
+	c.next.OrderResults, c.next.RespondingUnlisted = slices.Clone(w.next.OrderResults), slices.Clone(w.next.RespondingUnlisted)
 	return &c
 }
 
@@ -429,7 +429,7 @@
 	for _, a := range w.next.OrderResults {
 		fmt.Fprint(h, "a", a.To.ID, order(a.Order), a.Answer, a.Err != nil)
 	}
-	fmt.Fprint(h, w.next.Answering)
+	fmt.Fprint(h, w.next.RespondingUnlisted)
 	w.machine.print(h, age, name, member)
 	return h.Sum64()
 }
