--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -63,7 +63,7 @@
 	}
 	in := t.takeReports()
 	in.Now, in.List, in.Rules, in.FreeLoads = now, list, set, t.opts.FreeLoads()
-	in.LeaseLeft, in.Suspected = leaseLeft, suspected
+	in.LeaseLeft, in.Stalled = leaseLeft, suspected
 	out := t.machine.Step(in)
 	for _, s := range out.Send {
 		t.sending.Go(func() { t.send(ctx, s) })
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -100,7 +100,7 @@
 	replicas := fleet.Replicas(in.List, in.Rules.Groups)
 	m.takeProbes(in)
 	m.probeMissing(in.List, replicas, in.Now)
-	m.probe(replicas, in.Suspected, in.Now)
+	m.probe(replicas, in.Stalled, in.Now)
 	m.review(in.List, replicas, in.Now)
 	view := m.view(in, replicas)
 	m.logInventory(view, in.Now)
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -65,8 +65,8 @@
 	FreeLoads bool
 	// LeaseLeft is how long this holder may still act.
 	LeaseLeft time.Duration
-	// Suspected are replicas that stand still as callers' requests show.
-	Suspected map[cluster.ReplicaID]bool
+	// Stalled are replicas that stand still as callers' requests show.
+	Stalled map[cluster.ReplicaID]bool
 	// OrderResults are the orders whose outcome came since the last step.
 	OrderResults []OrderResult
 	// Unresponsive are listed VMs that probes found not to answer, Answering those that the
--- a/internal/lifecycle/quiescence.go
+++ b/internal/lifecycle/quiescence.go
@@ -25,7 +25,7 @@
 
 // holds reports whether a step would find what the earlier one found.
 func (q quiescence) holds(in Input) bool {
-	if q.changed == 0 || len(in.OrderResults)+len(in.Suspected)+len(in.Unresponsive)+len(in.RespondingUnlisted) > 0 {
+	if q.changed == 0 || len(in.OrderResults)+len(in.Stalled)+len(in.Unresponsive)+len(in.RespondingUnlisted) > 0 {
 		return false
 	}
 	if !q.until.IsZero() && !in.Now.Before(q.until) {
--- a/internal/lifecycle/quiescence_test.go
+++ b/internal/lifecycle/quiescence_test.go
@@ -61,7 +61,7 @@
 		"rules":     func(in *Input) { in.Rules = rules.Assemble(rules.Set{Groups: twoModels.Groups}) },
 		"loads":     func(in *Input) { in.FreeLoads = false },
 		"silent":    func(in *Input) { in.Unresponsive = in.List.Servers[:1] },
-		"suspected": func(in *Input) { in.Suspected = map[cluster.ReplicaID]bool{"large/1.1": true} },
+		"suspected": func(in *Input) { in.Stalled = map[cluster.ReplicaID]bool{"large/1.1": true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			m, policy, list, now := settledFleet(t, 2*fabricDomain)
