--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -90,12 +90,12 @@
 		return m.out
 	}
 	m.quiescent = quiescence{}
-	m.freeLoad = in.FreeLoads
+	m.freeLoad = in.UnmeteredLoads
 	m.indexForming()
 	m.logSightings(in.List, in.Now)
 	m.takeAnswers(in)
 	m.adoptLoads(in.Rules, in.List, in.Now)
-	m.loads.set(in.Rules.Weights, in.FreeLoads, in.Now)
+	m.loads.set(in.Rules.Weights, in.UnmeteredLoads, in.Now)
 	m.loads.review(in.Now, func(vm cluster.VMID) bool { return m.loaded(in.List, vm) })
 	replicas := fleet.Replicas(in.List, in.Rules.Groups)
 	m.takeProbes(in)
@@ -136,7 +136,7 @@
 // view is what the policy decides on. Members of ending replicas count as held;
 // a replica whose member is missing has an unknown one in its place.
 func (m *Machine) view(in Input, replicas []fleet.Replica) placement.Input {
-	view := placement.Input{Zone: m.opts.Scope, Groups: in.Rules.Groups, CheapLoads: in.FreeLoads, VMs: make([]placement.VM, 0, len(in.List.Servers))}
+	view := placement.Input{Zone: m.opts.Scope, Groups: in.Rules.Groups, CheapLoads: in.UnmeteredLoads, VMs: make([]placement.VM, 0, len(in.List.Servers))}
 	engines := make(map[cluster.Service]bool)
 	for _, g := range in.Rules.Groups {
 		engines[g.Servers] = true
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -61,8 +61,8 @@
 	Now   time.Time
 	List  fleet.List
 	Rules *rules.Set
-	// FreeLoads is true while loads do not count yet: nobody has sent a request.
-	FreeLoads bool
+	// UnmeteredLoads is true while loads do not count yet: nobody has sent a request.
+	UnmeteredLoads bool
 	// LeaseLeft is how long this holder may still act.
 	LeaseLeft time.Duration
 	// Stalled are replicas that stand still as callers' requests show.
--- a/internal/lifecycle/quiescence.go
+++ b/internal/lifecycle/quiescence.go
@@ -20,7 +20,7 @@
 }
 
 func quiescenceAt(in Input, until time.Time) quiescence {
-	return quiescence{changed: in.List.Changed, rules: in.Rules, freeLoads: in.FreeLoads, until: until}
+	return quiescence{changed: in.List.Changed, rules: in.Rules, freeLoads: in.UnmeteredLoads, until: until}
 }
 
 // holds reports whether a step would find what the earlier one found.
--- a/internal/lifecycle/quiescence_test.go
+++ b/internal/lifecycle/quiescence_test.go
@@ -59,7 +59,7 @@
 	for name, change := range map[string]func(in *Input){
 		"list":      func(in *Input) { in.List.Changed++ },
 		"rules":     func(in *Input) { in.Rules = rules.Assemble(rules.Set{Groups: twoModels.Groups}) },
-		"loads":     func(in *Input) { in.FreeLoads = false },
+		"loads":     func(in *Input) { in.UnmeteredLoads = false },
 		"silent":    func(in *Input) { in.Unresponsive = in.List.Servers[:1] },
 		"suspected": func(in *Input) { in.Stalled = map[cluster.ReplicaID]bool{"large/1.1": true} },
 	} {
