--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -63,7 +63,7 @@
 	}
 	in := t.takeReports()
 	in.Now, in.List, in.Rules, in.UnmeteredLoads = now, list, set, t.opts.FreeLoads()
-	in.LeaseLeft, in.Stalled = leaseLeft, suspected
+	in.LeaseRemaining, in.Stalled = leaseLeft, suspected
 	out := t.machine.Step(in)
 	for _, s := range out.Send {
 		t.sending.Go(func() { t.send(ctx, s) })
--- a/internal/lifecycle/bench_test.go
+++ b/internal/lifecycle/bench_test.go
@@ -66,7 +66,7 @@
 
 func benchInput(list fleet.List, now time.Time, answered []OrderResult) Input {
 	list.ReadAt = now
-	return Input{Now: now, List: list, Rules: twoModels, UnmeteredLoads: true, LeaseLeft: time.Hour, OrderResults: answered}
+	return Input{Now: now, List: list, Rules: twoModels, UnmeteredLoads: true, LeaseRemaining: time.Hour, OrderResults: answered}
 }
 
 // BenchmarkStep measures one look at the list: the first of a holder, one while replicas
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -105,7 +105,7 @@
 	view := m.view(in, replicas)
 	m.logInventory(view, in.Now)
 	plan := m.opts.Policy.Plan(view, in.Now)
-	if in.LeaseLeft < leaseSpare {
+	if in.LeaseRemaining < leaseSpare {
 		return m.out
 	}
 	m.carryOut(in, plan)
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -93,7 +93,7 @@
 		s.machine.seen[one.ID] = one
 	}
 	in := s.next
-	in.Now, in.Rules, in.UnmeteredLoads, in.LeaseLeft = s.now, sceneRules, true, time.Hour
+	in.Now, in.Rules, in.UnmeteredLoads, in.LeaseRemaining = s.now, sceneRules, true, time.Hour
 	in.List = fleet.List{Revision: 1 << 40, ReadAt: s.now, Servers: s.servers}
 	s.next = Input{}
 	out := s.machine.Step(in)
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -63,8 +63,8 @@
 	Rules *rules.Set
 	// UnmeteredLoads is true while loads do not count yet: nobody has sent a request.
 	UnmeteredLoads bool
-	// LeaseLeft is how long this holder may still act.
-	LeaseLeft time.Duration
+	// LeaseRemaining is how long this holder may still act.
+	LeaseRemaining time.Duration
 	// Stalled are replicas that stand still as callers' requests show.
 	Stalled map[cluster.ReplicaID]bool
 	// OrderResults are the orders whose outcome came since the last step.
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -127,7 +127,7 @@
 	w.timeOut()
 	in := w.next
 	w.next = Input{}
-	in.Now, in.Rules, in.UnmeteredLoads, in.LeaseLeft, in.List = w.now, w.set, w.free, time.Hour, w.list
+	in.Now, in.Rules, in.UnmeteredLoads, in.LeaseRemaining, in.List = w.now, w.set, w.free, time.Hour, w.list
 	out := w.machine.Step(in)
 	for _, s := range out.Send {
 		w.deliver(s)
