--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -65,7 +65,7 @@
 	in.Now, in.List, in.Rules, in.UnmeteredLoads = now, list, set, t.opts.FreeLoads()
 	in.LeaseRemaining, in.Stalled = leaseLeft, suspected
 	out := t.machine.Step(in)
-	for _, s := range out.Send {
+	for _, s := range out.SendOrders {
 		t.sending.Go(func() { t.send(ctx, s) })
 	}
 	for _, p := range out.Probe {
--- a/internal/lifecycle/bench_test.go
+++ b/internal/lifecycle/bench_test.go
@@ -41,7 +41,7 @@
 
 // carryOut answers the orders of an output and shows their effect in the list.
 func carryOut(list *fleet.List, out Output, now time.Time) (answered []OrderResult) {
-	for _, sending := range out.Send {
+	for _, sending := range out.SendOrders {
 		s := list.Find(sending.To.ID)
 		order := sending.Order
 		switch order.Kind {
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -97,7 +97,7 @@
 	in.List = fleet.List{Revision: 1 << 40, ReadAt: s.now, Servers: s.servers}
 	s.next = Input{}
 	out := s.machine.Step(in)
-	for _, o := range out.Send {
+	for _, o := range out.SendOrders {
 		answer, err := s.orders.send(o.To, o.Order)
 		s.next.OrderResults = append(s.next.OrderResults, OrderResult{To: o.To, Order: o.Order, Answer: answer, Err: err, At: s.now})
 	}
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -91,7 +91,7 @@
 
 // Output is what a step asks to be done.
 type Output struct {
-	Send []Sending
+	SendOrders []Sending
 	// Probe are replicas whose members are to be probed.
 	Probe []Probing
 	// ProbeMissing are VMs that the list lacks, to be probed.
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -129,7 +129,7 @@
 	w.next = Input{}
 	in.Now, in.Rules, in.UnmeteredLoads, in.LeaseRemaining, in.List = w.now, w.set, w.free, time.Hour, w.list
 	out := w.machine.Step(in)
-	for _, s := range out.Send {
+	for _, s := range out.SendOrders {
 		w.deliver(s)
 	}
 	for _, p := range out.ProbeMissing {
@@ -137,7 +137,7 @@
 			w.next.RespondingUnlisted = append(w.next.RespondingUnlisted, v.id)
 		}
 	}
-	return eventful || len(out.Send) > 0 || len(in.OrderResults) > 0
+	return eventful || len(out.SendOrders) > 0 || len(in.OrderResults) > 0
 }
 
 func (w *world) noteReady(v *modelVM) {
