--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -68,7 +68,7 @@
 	for _, s := range out.SendOrders {
 		t.sending.Go(func() { t.send(ctx, s) })
 	}
-	for _, p := range out.Probe {
+	for _, p := range out.ProbeReplicas {
 		t.sending.Go(func() { t.probeMembers(ctx, p) })
 	}
 	for _, vm := range out.ProbeMissing {
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -92,8 +92,8 @@
 // Output is what a step asks to be done.
 type Output struct {
 	SendOrders []Sending
-	// Probe are replicas whose members are to be probed.
-	Probe []Probing
+	// ProbeReplicas are replicas whose members are to be probed.
+	ProbeReplicas []Probing
 	// ProbeMissing are VMs that the list lacks, to be probed.
 	ProbeMissing []fleet.Server
 }
