--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -71,7 +71,7 @@
 	for _, p := range out.ProbeReplicas {
 		t.sending.Go(func() { t.probeMembers(ctx, p) })
 	}
-	for _, vm := range out.ProbeMissing {
+	for _, vm := range out.ProbeUnlisted {
 		t.sending.Go(func() { t.probeMissing(ctx, vm) })
 	}
 }
--- a/internal/lifecycle/liveness.go
+++ b/internal/lifecycle/liveness.go
@@ -84,7 +84,7 @@
 		m.present[s.ID] = p
 	}
 	p.probedAt = now
-	m.out.ProbeMissing = append(m.out.ProbeMissing, s)
+	m.out.ProbeUnlisted = append(m.out.ProbeUnlisted, s)
 }
 
 // takeProbes notes what probes have found.
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -101,7 +101,7 @@
 		answer, err := s.orders.send(o.To, o.Order)
 		s.next.OrderResults = append(s.next.OrderResults, OrderResult{To: o.To, Order: o.Order, Answer: answer, Err: err, At: s.now})
 	}
-	for _, vm := range out.ProbeMissing {
+	for _, vm := range out.ProbeUnlisted {
 		if !s.orders.dead[vm.ID] && !s.orders.refusing[vm.ID] {
 			s.next.RespondingUnlisted = append(s.next.RespondingUnlisted, vm.ID)
 		}
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -94,8 +94,8 @@
 	SendOrders []Sending
 	// ProbeReplicas are replicas whose members are to be probed.
 	ProbeReplicas []Probing
-	// ProbeMissing are VMs that the list lacks, to be probed.
-	ProbeMissing []fleet.Server
+	// ProbeUnlisted are VMs that the list lacks, to be probed.
+	ProbeUnlisted []fleet.Server
 }
 
 // Sending is an order with its VM.
--- a/internal/lifecycle/quiescence.go
+++ b/internal/lifecycle/quiescence.go
@@ -38,7 +38,7 @@
 // watched.
 func (m *Machine) busy() bool {
 	return len(m.records)+len(m.loads.until)+len(m.down)+len(m.present)+len(m.inFlight) > 0 ||
-		len(m.out.SendOrders)+len(m.out.ProbeReplicas)+len(m.out.ProbeMissing) > 0
+		len(m.out.SendOrders)+len(m.out.ProbeReplicas)+len(m.out.ProbeUnlisted) > 0
 }
 
 // indexForming notes which replica each VM is being made a member of.
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -132,7 +132,7 @@
 	for _, s := range out.SendOrders {
 		w.deliver(s)
 	}
-	for _, p := range out.ProbeMissing {
+	for _, p := range out.ProbeUnlisted {
 		if v := w.find(p.ID); v != nil && v.runs() && !v.silent && !v.mute {
 			w.next.RespondingUnlisted = append(w.next.RespondingUnlisted, v.id)
 		}
