--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func (t *term) send(ctx context.Context, s lifecycle.Sending) {
+func (t *term) send(ctx context.Context, s lifecycle.OutgoingOrder) {
 	t.starting <- struct{}{}
 	started := sync.OnceFunc(func() { <-t.starting })
 	defer time.AfterFunc(startTime, started).Stop()
@@ -88,7 +88,7 @@
 
 // sendNow sends an order unless the lease may end before the answer: it may have waited
 // for others.
-func (t *term) sendNow(ctx context.Context, s lifecycle.Sending) (lifecycle.Answer, error) {
+func (t *term) sendNow(ctx context.Context, s lifecycle.OutgoingOrder) (lifecycle.Answer, error) {
 	if t.lease.Left(time.Now()) < lifecycle.OrderTimeout {
 		return "", &SendError{VM: s.To.ID, NotSent: true, Err: errLeaseShort}
 	}
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -224,7 +224,7 @@
 		return false
 	}
 	m.inFlight[to.ID] = true
-	m.out.SendOrders = append(m.out.SendOrders, Sending{to, order})
+	m.out.SendOrders = append(m.out.SendOrders, OutgoingOrder{to, order})
 	return true
 }
 
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -91,15 +91,15 @@
 
 // Output is what a step asks to be done.
 type Output struct {
-	SendOrders []Sending
+	SendOrders []OutgoingOrder
 	// ProbeReplicas are replicas whose members are to be probed.
 	ProbeReplicas []Probing
 	// ProbeUnlisted are VMs that the list lacks, to be probed.
 	ProbeUnlisted []fleet.Server
 }
 
-// Sending is an order with its VM.
-type Sending struct {
+// OutgoingOrder is an order with its VM.
+type OutgoingOrder struct {
 	To    fleet.Server
 	Order Order
 }
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -189,7 +189,7 @@
 }
 
 // deliver brings an order to its VM, or not.
-func (w *world) deliver(s Sending) {
+func (w *world) deliver(s OutgoingOrder) {
 	outcome := OrderResult{To: s.To, Order: s.Order, At: w.now}
 	v := w.find(s.To.ID)
 	switch {
