--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -40,7 +40,7 @@
 
 // probeMembers asks the members of a replica that stands still; those without an
 // answer are asked twice.
-func (t *term) probeMembers(ctx context.Context, p lifecycle.Probing) {
+func (t *term) probeMembers(ctx context.Context, p lifecycle.ReplicaProbe) {
 	silent := t.silentOf(ctx, p.Members)
 	if len(silent) == 0 {
 		t.opts.Log.Info("probe", "replica", p.Replica, "outcome", "every member answers")
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -79,7 +79,7 @@
 	var out bytes.Buffer
 	term := newTestTerm(t, &fakeOrders{silent: map[cluster.VMID]bool{"b": true}})
 	term.opts.Log = slog.New(slog.NewTextHandler(&out, nil))
-	term.probeMembers(t.Context(), lifecycle.Probing{Replica: "m/1.1", Members: servers("a", "b")})
+	term.probeMembers(t.Context(), lifecycle.ReplicaProbe{Replica: "m/1.1", Members: servers("a", "b")})
 	require.Contains(t, out.String(), context.DeadlineExceeded.Error())
 	out.Reset()
 	term.probeMissing(t.Context(), servers("b")[0])
@@ -107,7 +107,7 @@
 				orders.once[vm] = true
 			}
 			term := newTestTerm(t, orders)
-			term.probeMembers(t.Context(), lifecycle.Probing{Replica: "m/1.1", Members: servers("a", "b", "c")})
+			term.probeMembers(t.Context(), lifecycle.ReplicaProbe{Replica: "m/1.1", Members: servers("a", "b", "c")})
 			var down []cluster.VMID
 			for _, s := range term.takeReports().Unresponsive {
 				down = append(down, s.ID)
--- a/internal/lifecycle/liveness.go
+++ b/internal/lifecycle/liveness.go
@@ -48,7 +48,7 @@
 			continue
 		}
 		m.suspectedAt[id] = now
-		m.out.ProbeReplicas = append(m.out.ProbeReplicas, Probing{id, r.Members})
+		m.out.ProbeReplicas = append(m.out.ProbeReplicas, ReplicaProbe{id, r.Members})
 	}
 }
 
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -93,7 +93,7 @@
 type Output struct {
 	SendOrders []OutgoingOrder
 	// ProbeReplicas are replicas whose members are to be probed.
-	ProbeReplicas []Probing
+	ProbeReplicas []ReplicaProbe
 	// ProbeUnlisted are VMs that the list lacks, to be probed.
 	ProbeUnlisted []fleet.Server
 }
@@ -104,8 +104,8 @@
 	Order Order
 }
 
-// Probing is a replica with the members to probe.
-type Probing struct {
+// ReplicaProbe is a replica with the members to probe.
+type ReplicaProbe struct {
 	Replica cluster.ReplicaID
 	Members []fleet.Server
 }
