--- a/internal/lifecycle/ending.go
+++ b/internal/lifecycle/ending.go
@@ -198,7 +198,7 @@
 	if e.reason == reasonLeaving && list.Find(e.head) != nil {
 		switch head.Membership.State {
 		case fleet.Open:
-			order.Kind, order.Finish = Close, true
+			order.Kind, order.Graceful = Close, true
 		case fleet.Closing:
 			return
 		}
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -38,8 +38,8 @@
 	// serving one first.
 	Model   string
 	Members []cluster.VMID
-	// Finish has a Close let running requests end; without it they are cut.
-	Finish bool
+	// Graceful has a Close let running requests end; without it they are cut.
+	Graceful bool
 }
 
 // Answer is what a VM said to an order.
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -219,7 +219,7 @@
 	if m == nil || m.Epoch != o.Epoch || m.State != fleet.Open {
 		return lifecycle.Misfit
 	}
-	if !o.Finish {
+	if !o.Graceful {
 		v.head.fail()
 	}
 	v.setState(fleet.Closing)
