--- a/internal/formation/holder_test.go
+++ b/internal/formation/holder_test.go
@@ -54,7 +54,7 @@
 		return "", &SendError{VM: to.ID, Err: ctx.Err()}
 	}
 	o.answered.Add(1)
-	return lifecycle.Begun, nil
+	return lifecycle.Accepted, nil
 }
 
 func (o *busyOrders) Probe(context.Context, fleet.Server) error { return nil }
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -31,7 +31,7 @@
 	if f.silent[to.ID] {
 		return "", &SendError{VM: to.ID, Err: context.DeadlineExceeded}
 	}
-	return lifecycle.Begun, nil
+	return lifecycle.Accepted, nil
 }
 
 func (f *fakeOrders) Probe(_ context.Context, vm fleet.Server) error {
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -254,7 +254,7 @@
 	switch {
 	case a.Answer == Fenced:
 		m.fenced = true
-	case a.Order.Kind == Join && (a.Answer == Begun || a.Answer == Done):
+	case a.Order.Kind == Join && (a.Answer == Accepted || a.Answer == Done):
 		if f := m.formingOf(id); f != nil {
 			f.joined[a.To.ID] = true
 		}
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -48,7 +48,7 @@
 // Answers. Misfit: the order does not fit the VM's state. Fenced: the VM has seen
 // a higher fencing number or epoch. Elsewhere: another VM has the address.
 const (
-	Begun     Answer = "begun"
+	Accepted     Answer = "begun"
 	Done      Answer = "done"
 	Misfit    Answer = "misfit"
 	Fenced    Answer = "fenced"
--- a/internal/lifecycle/vm_test.go
+++ b/internal/lifecycle/vm_test.go
@@ -94,7 +94,7 @@
 			v.staging, v.stagedAt = o.Model, now.Add(vmCold)
 			*loads++
 		}
-		return Begun
+		return Accepted
 	case Join:
 		return v.join(o, now, loads)
 	case Open:
@@ -105,13 +105,13 @@
 			return Done
 		}
 		v.dueAt = now.Add(vmForm)
-		return Begun
+		return Accepted
 	case Close:
 		if !v.in(id) || v.member.State != fleet.Open {
 			return Misfit
 		}
 		v.member.State, v.dueAt = fleet.Closing, now.Add(vmClose)
-		return Begun
+		return Accepted
 	case Leave:
 		if v.in(id) {
 			v.leave()
@@ -149,7 +149,7 @@
 		v.dueAt = now.Add(vmCold)
 		v.staging, v.stagedAt = o.Model, v.dueAt
 	}
-	return Begun
+	return Accepted
 }
 
 // advance brings the VM's own steps that are due.
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -217,10 +217,10 @@
 func (w *world) carryOut(v *modelVM, o Order, counts bool) Answer {
 	before, loads := v.clone(), 0
 	answer := v.carryOut(o, w.now, &loads)
-	if o.Kind == Join && answer == Begun {
+	if o.Kind == Join && answer == Accepted {
 		w.checkJoin(before, o)
 	}
-	if o.Kind == Open && answer == Begun {
+	if o.Kind == Open && answer == Accepted {
 		w.checkOpen(v)
 	}
 	for range loads {
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -193,7 +193,7 @@
 		}
 		v.publish()
 	})
-	return lifecycle.Begun
+	return lifecycle.Accepted
 }
 
 func (v *vm) open(o lifecycle.Order) lifecycle.Answer {
@@ -211,7 +211,7 @@
 		v.head = &head{replica: enginemodel.Replica{Figures: v.w.scenario.figures(v.w.model(v.model))}, jobs: make(map[*enginemodel.Job]*answer)}
 		v.publish()
 	})
-	return lifecycle.Begun
+	return lifecycle.Accepted
 }
 
 func (v *vm) close(o lifecycle.Order) lifecycle.Answer {
@@ -225,7 +225,7 @@
 	v.setState(fleet.Closing)
 	v.publish()
 	v.settle()
-	return lifecycle.Begun
+	return lifecycle.Accepted
 }
 
 // setState replaces the membership rather than changing it: its entry may be on the
