--- a/internal/lifecycle/ending.go
+++ b/internal/lifecycle/ending.go
@@ -216,7 +216,7 @@
 // this one.
 func (m *Machine) takeLeave(id cluster.ReplicaID, e *ending, a OrderResult, now time.Time) {
 	switch a.Answer {
-	case Accepted, Done, Misfit:
+	case Accepted, Done, Conflict:
 	default:
 		e.headSilent = e.headSilent || a.To.ID == e.head
 		return
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -45,12 +45,12 @@
 // Answer is what a VM said to an order.
 type Answer string
 
-// Answers. Misfit: the order does not fit the VM's state. Fenced: the VM has seen
+// Answers. Conflict: the order does not fit the VM's state. Fenced: the VM has seen
 // a higher fencing number or epoch. Elsewhere: another VM has the address.
 const (
 	Accepted     Answer = "begun"
 	Done      Answer = "done"
-	Misfit    Answer = "misfit"
+	Conflict    Answer = "misfit"
 	Fenced    Answer = "fenced"
 	Elsewhere Answer = "elsewhere"
 	Invalid   Answer = "invalid"
--- a/internal/lifecycle/vm_test.go
+++ b/internal/lifecycle/vm_test.go
@@ -100,7 +100,7 @@
 	case Open:
 		switch {
 		case !v.in(id) || v.member.Rank != 0 || v.member.State == fleet.Joining || v.member.State == fleet.Broken:
-			return Misfit
+			return Conflict
 		case v.member.State != fleet.Ready:
 			return Done
 		}
@@ -108,7 +108,7 @@
 		return Accepted
 	case Close:
 		if !v.in(id) || v.member.State != fleet.Open {
-			return Misfit
+			return Conflict
 		}
 		v.member.State, v.dueAt = fleet.Closing, now.Add(vmClose)
 		return Accepted
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -199,7 +199,7 @@
 func (v *vm) open(o lifecycle.Order) lifecycle.Answer {
 	m := v.entry.Membership
 	if m == nil || m.Epoch != o.Epoch || m.Rank != 0 || m.State != fleet.Ready {
-		return lifecycle.Misfit
+		return lifecycle.Conflict
 	}
 	order := v.order
 	v.after(form, func() {
@@ -217,7 +217,7 @@
 func (v *vm) close(o lifecycle.Order) lifecycle.Answer {
 	m := v.entry.Membership
 	if m == nil || m.Epoch != o.Epoch || m.State != fleet.Open {
-		return lifecycle.Misfit
+		return lifecycle.Conflict
 	}
 	if !o.Graceful {
 		v.head.fail()
