--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -43,7 +43,7 @@
 	case r.refusing[to.ID]:
 		return "", syscall.ECONNREFUSED
 	case r.elsewhere[to.ID]:
-		return Elsewhere, nil
+		return WrongVM, nil
 	}
 	return r.answer, nil
 }
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -46,13 +46,13 @@
 type Answer string
 
 // Answers. Conflict: the order does not fit the VM's state. Fenced: the VM has seen
-// a higher fencing number or epoch. Elsewhere: another VM has the address.
+// a higher fencing number or epoch. WrongVM: another VM has the address.
 const (
 	Accepted     Answer = "begun"
 	Done      Answer = "done"
 	Conflict    Answer = "misfit"
 	Fenced    Answer = "fenced"
-	Elsewhere Answer = "elsewhere"
+	WrongVM Answer = "elsewhere"
 	Invalid   Answer = "invalid"
 )
 
