--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -51,7 +51,7 @@
 var errLeaseShort = errors.New("the lease may end before the order's answer")
 
 func newTerm(opts Options, lease *grouping.Lease, seen map[cluster.VMID]fleet.Server) *term {
-	machine := lifecycle.NewMachine(lifecycle.Options{Scope: opts.Scope, Fence: lease.Fence(), Policy: opts.Policy, Log: opts.Log, Seen: seen})
+	machine := lifecycle.NewMachine(lifecycle.Options{Scope: opts.Scope, Fence: lease.Fence(), Policy: opts.Policy, Log: opts.Log, LastListed: seen})
 	return &term{opts: opts, lease: lease, machine: machine, starting: make(chan struct{}, ordersAtOnce), woken: make(chan struct{}, 1)}
 }
 
--- a/internal/lifecycle/bench_test.go
+++ b/internal/lifecycle/bench_test.go
@@ -36,7 +36,7 @@
 	for _, s := range list.Servers {
 		seen[s.ID] = s
 	}
-	return NewMachine(Options{Scope: "here", Fence: 2, Policy: placement.Mix{}, Log: quiet, Seen: seen})
+	return NewMachine(Options{Scope: "here", Fence: 2, Policy: placement.Mix{}, Log: quiet, LastListed: seen})
 }
 
 // carryOut answers the orders of an output and shows their effect in the list.
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -33,9 +33,9 @@
 	Fence  cluster.Fence
 	Policy placement.Policy
 	Log    *slog.Logger
-	// Seen is each VM as last listed, kept up to date by the caller, also for the time
+	// LastListed is each VM as last listed, kept up to date by the caller, also for the time
 	// before this Machine: the heads of replicas may not be listed any more.
-	Seen map[cluster.VMID]fleet.Server
+	LastListed map[cluster.VMID]fleet.Server
 }
 
 // Machine is the replicas of a scope as one holder of the placement lease knows them.
@@ -76,7 +76,7 @@
 // NewMachine returns the Machine of a holder that begins.
 func NewMachine(opts Options) *Machine {
 	return &Machine{opts: opts, loads: newLoads(), staging: make(map[cluster.VMID]string), records: make(map[cluster.ReplicaID]*record),
-		down: make(map[cluster.VMID]silence), suspectedAt: make(map[cluster.ReplicaID]time.Time), present: make(map[cluster.VMID]*presence), seen: opts.Seen,
+		down: make(map[cluster.VMID]silence), suspectedAt: make(map[cluster.ReplicaID]time.Time), present: make(map[cluster.VMID]*presence), seen: opts.LastListed,
 		sightings: make(map[cluster.VMID]sighting), inFlight: make(map[cluster.VMID]bool)}
 }
 
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -79,7 +79,7 @@
 func newScene(t *testing.T, vms int) *scene {
 	t.Helper()
 	s := &scene{t: t, orders: &recorder{answer: Accepted, dead: make(map[cluster.VMID]bool), refusing: make(map[cluster.VMID]bool)}, now: time.Now()}
-	s.machine = NewMachine(Options{Scope: "here", Fence: 2, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler), Seen: make(map[cluster.VMID]fleet.Server)})
+	s.machine = NewMachine(Options{Scope: "here", Fence: 2, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler), LastListed: make(map[cluster.VMID]fleet.Server)})
 	for i := range vms {
 		s.servers = append(s.servers, fleet.Server{ID: cluster.VMID(fmt.Sprintf("vm-%d", i)), Service: "models", Domain: "rack", Slots: 8, Born: s.now})
 	}
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -91,7 +91,7 @@
 	w.fence++
 	w.stale, w.next, w.pending = false, Input{}, nil
 	w.seen = make(map[cluster.VMID]fleet.Server)
-	w.machine = NewMachine(Options{Scope: "here", Fence: w.fence, Policy: placement.Mix{}, Log: quiet, Seen: w.seen})
+	w.machine = NewMachine(Options{Scope: "here", Fence: w.fence, Policy: placement.Mix{}, Log: quiet, LastListed: w.seen})
 }
 
 func (w *world) find(id cluster.VMID) *modelVM {
@@ -354,7 +354,7 @@
 // starts anew: only worlds in which loads are free are cloned.
 func (m *Machine) clone(seen map[cluster.VMID]fleet.Server) *Machine {
 	c := *m
-	c.seen, c.opts.Seen = seen, seen
+	c.seen, c.opts.LastListed = seen, seen
 	limits := *m.loads
 	limits.until = maps.Clone(m.loads.until)
 	limits.limiter = rate.NewLimiter(m.loads.limiter.Limit(), loadBurst)
