--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -31,7 +31,7 @@
 	// PaceWatch has the store's watch answer at least as often as wait says, also
 	// while nothing changes, and leave a pause after changes; may be nil.
 	PaceWatch func(pace func() (wait, pause time.Duration))
-	Orders    formation.Orders
+	Orders    formation.OrderClient
 	Backend   func(pool *conns.Pool) relay.Backend
 	// Front returns the callers' handler.
 	Front func(f Front) http.Handler
--- a/internal/formation/holder_test.go
+++ b/internal/formation/holder_test.go
@@ -64,7 +64,7 @@
 const longLease = 10 * time.Minute
 
 // holderOf returns a controller that holds a lease on so many VMs without weights.
-func holderOf(t *testing.T, vms int, orders Orders, s store.Store, ttl time.Duration) (*Controller, *grouping.Lease) {
+func holderOf(t *testing.T, vms int, orders OrderClient, s store.Store, ttl time.Duration) (*Controller, *grouping.Lease) {
 	t.Helper()
 	set := rules.Assemble(rules.Set{Groups: []rules.Group{{Name: "m", Model: "m", VMs: 8, Servers: "models", ColdLoad: time.Second, WarmLoad: time.Second}}})
 	list := fleet.List{Revision: 1 << 40, ReadAt: time.Now()}
--- a/internal/formation/orders.go
+++ b/internal/formation/orders.go
@@ -26,8 +26,8 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Orders sends orders. An order without an answer may be carried out seconds later.
-type Orders interface {
+// OrderClient sends orders. An order without an answer may be carried out seconds later.
+type OrderClient interface {
 	Send(ctx context.Context, to fleet.Server, order lifecycle.Order) (lifecycle.Answer, error)
 	// Probe asks a VM whether it is there; it fails with a *SendError if not.
 	Probe(ctx context.Context, vm fleet.Server) error
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func newTestTerm(t *testing.T, orders Orders) *term {
+func newTestTerm(t *testing.T, orders OrderClient) *term {
 	lease, err := grouping.AcquireLease(t.Context(), memstore.New(memstore.Options{}), "here", "node", time.Minute)
 	require.NoError(t, err)
 	set := rules.Assemble(rules.Set{Groups: []rules.Group{{Name: "m", Model: "m", VMs: 2, Servers: "models", ColdLoad: time.Second, WarmLoad: time.Second}}})
