--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -150,7 +150,7 @@
 		Standby:   n.feed != nil,
 		FreeLoads: func() bool { return set.Process.FirstStart && !n.asked.Load() },
 		OnWorking: n.replicaWorks,
-		Orders:    p.Orders, Policy: opts.Decisions.Place, Log: log,
+		Client:    p.Orders, Policy: opts.Decisions.Place, Log: log,
 	})
 	return n
 }
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -42,7 +42,7 @@
 	Standby bool
 	// FreeLoads reports whether loads do not count yet: nobody has sent a request.
 	FreeLoads func() bool
-	Orders    OrderClient
+	Client    OrderClient
 	// OnWorking is told of a replica that was suspected to stand still and whose members
 	// all answer; may be nil.
 	OnWorking func(cluster.ReplicaID)
--- a/internal/formation/holder_test.go
+++ b/internal/formation/holder_test.go
@@ -73,7 +73,7 @@
 	}
 	c := NewController(Options{Scope: "here", Node: "node", Store: s, List: func() (fleet.List, bool) { return list, true }, Rules: func() *rules.Set { return set },
 		Refresh: func(context.Context) error { return nil }, LeaseHeld: func() bool { return false }, FreeLoads: func() bool { return true },
-		Orders: orders, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler), LeaseTTL: ttl})
+		Client: orders, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler), LeaseTTL: ttl})
 	lease, err := grouping.AcquireLease(t.Context(), s, "here", "node", ttl)
 	require.NoError(t, err)
 	return c, lease
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -91,7 +91,7 @@
 	var wg sync.WaitGroup
 	for i, vm := range vms {
 		probesTotal.Inc()
-		wg.Go(func() { errs[i] = t.opts.Orders.Probe(ctx, vm) })
+		wg.Go(func() { errs[i] = t.opts.Client.Probe(ctx, vm) })
 	}
 	wg.Wait()
 	for i, err := range errs {
--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithTimeout(ctx, lifecycle.OrderTimeout)
 	defer cancel()
 	ordersSent.Inc()
-	answer, err := t.opts.Orders.Send(ctx, s.To, s.Order)
+	answer, err := t.opts.Client.Send(ctx, s.To, s.Order)
 	if err != nil {
 		ordersFailed.Inc()
 	}
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -49,7 +49,7 @@
 	require.NoError(t, err)
 	set := rules.Assemble(rules.Set{Groups: []rules.Group{{Name: "m", Model: "m", VMs: 2, Servers: "models", ColdLoad: time.Second, WarmLoad: time.Second}}})
 	return newTerm(Options{Scope: "here", Rules: func() *rules.Set { return set }, FreeLoads: func() bool { return true },
-		Orders: orders, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler)}, lease, make(map[cluster.VMID]fleet.Server))
+		Client: orders, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler)}, lease, make(map[cluster.VMID]fleet.Server))
 }
 
 func servers(ids ...cluster.VMID) (out []fleet.Server) {
