--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -148,7 +148,7 @@
 		Refresh:   n.mirror.Refresh,
 		LeaseHeld: func() bool { return n.held.Load() || !n.mirror.Loaded() },
 		Standby:   n.feed != nil,
-		FreeLoads: func() bool { return set.Process.FirstStart && !n.asked.Load() },
+		UnmeteredLoads: func() bool { return set.Process.FirstStart && !n.asked.Load() },
 		OnWorking: n.replicaWorks,
 		Client:    p.Orders, Policy: opts.Decisions.Place, Log: log,
 	})
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -40,8 +40,8 @@
 	// Standby is true for a node that learns of the lease through other nodes: it
 	// leaves the first tries to those that watch the store themselves.
 	Standby bool
-	// FreeLoads reports whether loads do not count yet: nobody has sent a request.
-	FreeLoads func() bool
+	// UnmeteredLoads reports whether loads do not count yet: nobody has sent a request.
+	UnmeteredLoads func() bool
 	Client    OrderClient
 	// OnWorking is told of a replica that was suspected to stand still and whose members
 	// all answer; may be nil.
--- a/internal/formation/holder_test.go
+++ b/internal/formation/holder_test.go
@@ -72,7 +72,7 @@
 		list.Servers = append(list.Servers, fleet.Server{ID: cluster.VMID(fmt.Sprintf("vm-%05d", i)), Service: "models", Domain: cluster.DomainID(fmt.Sprint("rack-", i/64)), Slots: 1, Born: time.Unix(1, 0)})
 	}
 	c := NewController(Options{Scope: "here", Node: "node", Store: s, List: func() (fleet.List, bool) { return list, true }, Rules: func() *rules.Set { return set },
-		Refresh: func(context.Context) error { return nil }, LeaseHeld: func() bool { return false }, FreeLoads: func() bool { return true },
+		Refresh: func(context.Context) error { return nil }, LeaseHeld: func() bool { return false }, UnmeteredLoads: func() bool { return true },
 		Client: orders, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler), LeaseTTL: ttl})
 	lease, err := grouping.AcquireLease(t.Context(), s, "here", "node", ttl)
 	require.NoError(t, err)
--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -62,7 +62,7 @@
 		return
 	}
 	in := t.takeReports()
-	in.Now, in.List, in.Rules, in.UnmeteredLoads = now, list, set, t.opts.FreeLoads()
+	in.Now, in.List, in.Rules, in.UnmeteredLoads = now, list, set, t.opts.UnmeteredLoads()
 	in.LeaseRemaining, in.Stalled = leaseLeft, suspected
 	out := t.machine.Step(in)
 	for _, s := range out.SendOrders {
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -48,7 +48,7 @@
 	lease, err := grouping.AcquireLease(t.Context(), memstore.New(memstore.Options{}), "here", "node", time.Minute)
 	require.NoError(t, err)
 	set := rules.Assemble(rules.Set{Groups: []rules.Group{{Name: "m", Model: "m", VMs: 2, Servers: "models", ColdLoad: time.Second, WarmLoad: time.Second}}})
-	return newTerm(Options{Scope: "here", Rules: func() *rules.Set { return set }, FreeLoads: func() bool { return true },
+	return newTerm(Options{Scope: "here", Rules: func() *rules.Set { return set }, UnmeteredLoads: func() bool { return true },
 		Client: orders, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler)}, lease, make(map[cluster.VMID]fleet.Server))
 }
 
