--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -149,7 +149,7 @@
 		LeaseHeld: func() bool { return n.held.Load() || !n.mirror.Loaded() },
 		Standby:   n.feed != nil,
 		UnmeteredLoads: func() bool { return set.Process.FirstStart && !n.asked.Load() },
-		OnWorking: n.replicaWorks,
+		OnMembersResponsive: n.replicaWorks,
 		Client:    p.Orders, Policy: opts.Decisions.Place, Log: log,
 	})
 	return n
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -43,9 +43,9 @@
 	// UnmeteredLoads reports whether loads do not count yet: nobody has sent a request.
 	UnmeteredLoads func() bool
 	Client    OrderClient
-	// OnWorking is told of a replica that was suspected to stand still and whose members
+	// OnMembersResponsive is told of a replica that was suspected to stand still and whose members
 	// all answer; may be nil.
-	OnWorking func(cluster.ReplicaID)
+	OnMembersResponsive func(cluster.ReplicaID)
 	Policy    placement.Policy
 	Log       *slog.Logger
 	// LeaseTTL is the life of the placement lease; zero means DefaultLeaseTTL.
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -44,8 +44,8 @@
 	silent := t.silentOf(ctx, p.Members)
 	if len(silent) == 0 {
 		t.opts.Log.Info("probe", "replica", p.Replica, "outcome", "every member answers")
-		if t.opts.OnWorking != nil {
-			t.opts.OnWorking(p.Replica)
+		if t.opts.OnMembersResponsive != nil {
+			t.opts.OnMembersResponsive(p.Replica)
 		}
 		return
 	}
