--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -50,8 +50,8 @@
 	Log       *slog.Logger
 	// LeaseTTL is the life of the placement lease; zero means DefaultLeaseTTL.
 	LeaseTTL time.Duration
-	// Tick is the time between two looks; zero means DefaultTick.
-	Tick time.Duration
+	// StepInterval is the time between two looks; zero means DefaultTick.
+	StepInterval time.Duration
 }
 
 // Defaults of Options.
@@ -89,8 +89,8 @@
 	if opts.LeaseTTL <= 0 {
 		opts.LeaseTTL = DefaultLeaseTTL
 	}
-	if opts.Tick <= 0 {
-		opts.Tick = DefaultTick
+	if opts.StepInterval <= 0 {
+		opts.StepInterval = DefaultTick
 	}
 	return &Controller{opts: opts, seen: make(map[cluster.VMID]fleet.Server)}
 }
@@ -182,7 +182,7 @@
 		if t.machine.Fenced() {
 			break
 		}
-		t.sleep(ctx, c.opts.Tick, stepGap(time.Since(now), c.opts.Tick))
+		t.sleep(ctx, c.opts.StepInterval, stepGap(time.Since(now), c.opts.StepInterval))
 	}
 	reason = endReason(ctx, t, lease)
 	lease.Lose()
