--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -58,8 +58,8 @@
 const (
 	// DefaultLeaseTTL is how long a scope is without a holder after its node died.
 	DefaultLeaseTTL = 2500 * time.Millisecond
-	// DefaultTick is a fraction of the shortest step of a VM (0.2 s to join again).
-	DefaultTick = 100 * time.Millisecond
+	// DefaultStepInterval is a fraction of the shortest step of a VM (0.2 s to join again).
+	DefaultStepInterval = 100 * time.Millisecond
 	// tryEvery is the time between two looks whether the lease is free.
 	tryEvery = 100 * time.Millisecond
 	// refreshAfter is how long a new holder waits for the watch to bring what its
@@ -90,7 +90,7 @@
 		opts.LeaseTTL = DefaultLeaseTTL
 	}
 	if opts.StepInterval <= 0 {
-		opts.StepInterval = DefaultTick
+		opts.StepInterval = DefaultStepInterval
 	}
 	return &Controller{opts: opts, seen: make(map[cluster.VMID]fleet.Server)}
 }
