--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -186,7 +186,7 @@
 	switch {
 	case n.mirror.Wanted():
 		return feed.WatchWait, 0
-	case n.control.Holding() || n.feed == nil:
+	case n.control.HoldsLease() || n.feed == nil:
 		return quietWait, 0
 	}
 	return quietWait, quietPause
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -142,8 +142,8 @@
 	endLapsed   = "not-extended-in-time"
 )
 
-// Holding reports whether this node holds the lease.
-func (c *Controller) Holding() bool { return c.holding.Load() }
+// HoldsLease reports whether this node holds the lease.
+func (c *Controller) HoldsLease() bool { return c.holding.Load() }
 
 // note remembers the servers as last listed, also while another node holds the
 // lease: a new holder must know the heads of replicas that are not listed any more.
