--- a/internal/entry/stalls.go
+++ b/internal/entry/stalls.go
@@ -14,7 +14,7 @@
 func (n *Core) stalled(ids []cluster.ReplicaID, othersWork bool) {
 	var report membership.Section
 	for _, id := range ids {
-		n.control.Suspect(id)
+		n.control.ReportStalled(id)
 		report.StalledIDs = append(report.StalledIDs, loadID(id))
 	}
 	if othersWork && n.announce != nil {
@@ -42,7 +42,7 @@
 	n.deriving.Unlock()
 	for id := range serving {
 		if slices.Contains(report.StalledIDs, loadID(id)) {
-			n.control.Suspect(id)
+			n.control.ReportStalled(id)
 			n.relay.ReportStall(id, node, now)
 		}
 		if slices.Contains(report.WorkingIDs, loadID(id)) {
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -19,9 +19,9 @@
 	ids map[cluster.ReplicaID]bool
 }
 
-// Suspect says that a replica stands still. The holder then asks its members which
+// ReportStalled says that a replica stands still. The holder then asks its members which
 // of them is lost: the list shows it only after some heartbeats.
-func (c *Controller) Suspect(id cluster.ReplicaID) {
+func (c *Controller) ReportStalled(id cluster.ReplicaID) {
 	c.suspects.mu.Lock()
 	defer c.suspects.mu.Unlock()
 	if c.suspects.ids == nil {
