--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -145,12 +145,12 @@
 	}
 	n.control = formation.NewController(formation.Options{
 		Scope: scope, Node: set.Node, Store: p.Store, List: n.currentList, Rules: n.rules.Load,
-		Refresh:   n.mirror.Refresh,
-		LeaseHeld: func() bool { return n.held.Load() || !n.mirror.Loaded() },
-		Standby:   n.feed != nil,
-		UnmeteredLoads: func() bool { return set.Process.FirstStart && !n.asked.Load() },
+		Refresh:             n.mirror.Refresh,
+		LeaseHeld:           func() bool { return n.held.Load() || !n.mirror.Loaded() },
+		Standby:             n.feed != nil,
+		UnmeteredLoads:      func() bool { return set.Process.FirstStart && !n.asked.Load() },
 		OnMembersResponsive: n.replicaWorks,
-		Client:    p.Orders, Policy: opts.Decisions.Place, Log: log,
+		Client:              p.Orders, Policy: opts.Decisions.Place, Log: log,
 	})
 	return n
 }
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -42,12 +42,12 @@
 	Standby bool
 	// UnmeteredLoads reports whether loads do not count yet: nobody has sent a request.
 	UnmeteredLoads func() bool
-	Client    OrderClient
+	Client         OrderClient
 	// OnMembersResponsive is told of a replica that was suspected to stand still and whose members
 	// all answer; may be nil.
 	OnMembersResponsive func(cluster.ReplicaID)
-	Policy    placement.Policy
-	Log       *slog.Logger
+	Policy              placement.Policy
+	Log                 *slog.Logger
 	// LeaseTTL is the life of the placement lease; zero means DefaultLeaseTTL.
 	LeaseTTL time.Duration
 	// StepInterval is the time between two looks; zero means DefaultTick.
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -48,12 +48,12 @@
 // Answers. Conflict: the order does not fit the VM's state. Fenced: the VM has seen
 // a higher fencing number or epoch. WrongVM: another VM has the address.
 const (
-	Accepted     Answer = "begun"
-	Done      Answer = "done"
-	Conflict    Answer = "misfit"
-	Fenced    Answer = "fenced"
-	WrongVM Answer = "elsewhere"
-	Invalid   Answer = "invalid"
+	Accepted Answer = "begun"
+	Done     Answer = "done"
+	Conflict Answer = "misfit"
+	Fenced   Answer = "fenced"
+	WrongVM  Answer = "elsewhere"
+	Invalid  Answer = "invalid"
 )
 
 // Input is what a Machine looks at in one step.
@@ -71,7 +71,7 @@
 	OrderResults []OrderResult
 	// Unresponsive are listed VMs that probes found not to answer, Answering those that the
 	// list lacks and that answered.
-	Unresponsive    []fleet.Server
+	Unresponsive       []fleet.Server
 	RespondingUnlisted []cluster.VMID
 }
 
