--- a/internal/formation/holder_test.go
+++ b/internal/formation/holder_test.go
@@ -44,7 +44,7 @@
 	answered, failed atomic.Int64
 }
 
-func (o *busyOrders) Send(ctx context.Context, to fleet.Server, _ lifecycle.Order) (lifecycle.Answer, error) {
+func (o *busyOrders) Send(ctx context.Context, to fleet.Server, _ lifecycle.Order) (lifecycle.Response, error) {
 	if err := o.core.work(ctx, o.work); err != nil {
 		o.failed.Add(1)
 		return "", &SendError{VM: to.ID, Err: err}
--- a/internal/formation/orders.go
+++ b/internal/formation/orders.go
@@ -28,7 +28,7 @@
 
 // OrderClient sends orders. An order without an answer may be carried out seconds later.
 type OrderClient interface {
-	Send(ctx context.Context, to fleet.Server, order lifecycle.Order) (lifecycle.Answer, error)
+	Send(ctx context.Context, to fleet.Server, order lifecycle.Order) (lifecycle.Response, error)
 	// Probe asks a VM whether it is there; it fails with a *SendError if not.
 	Probe(ctx context.Context, vm fleet.Server) error
 }
--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -88,7 +88,7 @@
 
 // sendNow sends an order unless the lease may end before the answer: it may have waited
 // for others.
-func (t *term) sendNow(ctx context.Context, s lifecycle.OutgoingOrder) (lifecycle.Answer, error) {
+func (t *term) sendNow(ctx context.Context, s lifecycle.OutgoingOrder) (lifecycle.Response, error) {
 	if t.lease.Left(time.Now()) < lifecycle.OrderTimeout {
 		return "", &SendError{VM: s.To.ID, NotSent: true, Err: errLeaseShort}
 	}
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -27,7 +27,7 @@
 	once   map[cluster.VMID]bool
 }
 
-func (f *fakeOrders) Send(_ context.Context, to fleet.Server, _ lifecycle.Order) (lifecycle.Answer, error) {
+func (f *fakeOrders) Send(_ context.Context, to fleet.Server, _ lifecycle.Order) (lifecycle.Response, error) {
 	if f.silent[to.ID] {
 		return "", &SendError{VM: to.ID, Err: context.DeadlineExceeded}
 	}
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -28,14 +28,14 @@
 // refusing refuse connections.
 type recorder struct {
 	sent     []sentOrder
-	answer   Answer
+	answer   Response
 	dead     map[cluster.VMID]bool
 	refusing map[cluster.VMID]bool
 	// elsewhere are VMs at whose address another one answers.
 	elsewhere map[cluster.VMID]bool
 }
 
-func (r *recorder) send(to fleet.Server, order Order) (Answer, error) {
+func (r *recorder) send(to fleet.Server, order Order) (Response, error) {
 	r.sent = append(r.sent, sentOrder{to.ID, order})
 	switch {
 	case r.dead[to.ID]:
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -42,18 +42,18 @@
 	Graceful bool
 }
 
-// Answer is what a VM said to an order.
-type Answer string
+// Response is what a VM said to an order.
+type Response string
 
 // Answers. Conflict: the order does not fit the VM's state. Fenced: the VM has seen
 // a higher fencing number or epoch. WrongVM: another VM has the address.
 const (
-	Accepted Answer = "begun"
-	Done     Answer = "done"
-	Conflict Answer = "misfit"
-	Fenced   Answer = "fenced"
-	WrongVM  Answer = "elsewhere"
-	Invalid  Answer = "invalid"
+	Accepted Response = "begun"
+	Done     Response = "done"
+	Conflict Response = "misfit"
+	Fenced   Response = "fenced"
+	WrongVM  Response = "elsewhere"
+	Invalid  Response = "invalid"
 )
 
 // Input is what a Machine looks at in one step.
@@ -80,7 +80,7 @@
 	// To is the VM as it was listed when the order was sent.
 	To     fleet.Server
 	Order  Order
-	Answer Answer
+	Answer Response
 	// Err is set when no answer came; the order may still be carried out.
 	Err error
 	// NotSent is true when the order did not leave this node.
--- a/internal/lifecycle/vm_test.go
+++ b/internal/lifecycle/vm_test.go
@@ -82,7 +82,7 @@
 }
 
 // carryOut does an order at now and returns the answer; loads counts the loads that it begins.
-func (v *modelVM) carryOut(o Order, now time.Time, loads *int) Answer {
+func (v *modelVM) carryOut(o Order, now time.Time, loads *int) Response {
 	if o.Fence < v.fenceSeen {
 		return Fenced
 	}
@@ -125,7 +125,7 @@
 	v.member, v.members, v.dueAt, v.stalledSince = nil, nil, time.Time{}, time.Time{}
 }
 
-func (v *modelVM) join(o Order, now time.Time, loads *int) Answer {
+func (v *modelVM) join(o Order, now time.Time, loads *int) Response {
 	id := fleet.ReplicaID(o.Replica, o.Epoch)
 	switch {
 	case o.Epoch < v.epochSeen:
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -214,7 +214,7 @@
 }
 
 // carryOut has a VM do an order, and checks what must always hold.
-func (w *world) carryOut(v *modelVM, o Order, counts bool) Answer {
+func (w *world) carryOut(v *modelVM, o Order, counts bool) Response {
 	before, loads := v.clone(), 0
 	answer := v.carryOut(o, w.now, &loads)
 	if o.Kind == Join && answer == Accepted {
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -108,7 +108,7 @@
 }
 
 // carryOut does an order and returns its answer.
-func (v *vm) carryOut(o lifecycle.Order) lifecycle.Answer {
+func (v *vm) carryOut(o lifecycle.Order) lifecycle.Response {
 	w := v.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -159,7 +159,7 @@
 	form   = 300 * time.Millisecond
 )
 
-func (v *vm) join(o lifecycle.Order) lifecycle.Answer {
+func (v *vm) join(o lifecycle.Order) lifecycle.Response {
 	if o.Epoch < v.epoch {
 		return lifecycle.Fenced
 	}
@@ -196,7 +196,7 @@
 	return lifecycle.Accepted
 }
 
-func (v *vm) open(o lifecycle.Order) lifecycle.Answer {
+func (v *vm) open(o lifecycle.Order) lifecycle.Response {
 	m := v.entry.Membership
 	if m == nil || m.Epoch != o.Epoch || m.Rank != 0 || m.State != fleet.Ready {
 		return lifecycle.Conflict
@@ -214,7 +214,7 @@
 	return lifecycle.Accepted
 }
 
-func (v *vm) close(o lifecycle.Order) lifecycle.Answer {
+func (v *vm) close(o lifecycle.Order) lifecycle.Response {
 	m := v.entry.Membership
 	if m == nil || m.Epoch != o.Epoch || m.State != fleet.Open {
 		return lifecycle.Conflict
--- a/internal/player/world.go
+++ b/internal/player/world.go
@@ -256,7 +256,7 @@
 const wireTime = 2 * time.Millisecond
 
 // Send implements formation.Orders.
-func (o orders) Send(ctx context.Context, to fleet.Server, order lifecycle.Order) (lifecycle.Answer, error) {
+func (o orders) Send(ctx context.Context, to fleet.Server, order lifecycle.Order) (lifecycle.Response, error) {
 	v, err := o.reach(ctx, to.ID)
 	if err != nil {
 		return "", err
