--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -82,7 +82,7 @@
 	defer time.AfterFunc(startTime, started).Stop()
 	answer, err := t.sendNow(ctx, s)
 	started()
-	outcome := lifecycle.OrderResult{To: s.To, Order: s.Order, Answer: answer, Err: err, NotSent: errors.Is(err, errLeaseShort), At: time.Now()}
+	outcome := lifecycle.OrderResult{To: s.To, Order: s.Order, Response: answer, Err: err, NotSent: errors.Is(err, errLeaseShort), At: time.Now()}
 	t.report(func(in *lifecycle.Input) { in.OrderResults = append(in.OrderResults, outcome) })
 }
 
--- a/internal/lifecycle/bench_test.go
+++ b/internal/lifecycle/bench_test.go
@@ -59,7 +59,7 @@
 			member.State = fleet.Open
 			s.Membership = &member
 		}
-		answered = append(answered, OrderResult{To: sending.To, Order: order, Answer: Accepted, At: now})
+		answered = append(answered, OrderResult{To: sending.To, Order: order, Response: Accepted, At: now})
 	}
 	return answered
 }
--- a/internal/lifecycle/ending.go
+++ b/internal/lifecycle/ending.go
@@ -215,7 +215,7 @@
 // not in the replica any more. The answer of another VM at the address says nothing of
 // this one.
 func (m *Machine) takeLeave(id cluster.ReplicaID, e *ending, a OrderResult, now time.Time) {
-	switch a.Answer {
+	switch a.Response {
 	case Accepted, Done, Conflict:
 	default:
 		e.headSilent = e.headSilent || a.To.ID == e.head
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -250,11 +250,11 @@
 		}
 		return
 	}
-	log.Info("order", "outcome", a.Answer)
+	log.Info("order", "outcome", a.Response)
 	switch {
-	case a.Answer == Fenced:
+	case a.Response == Fenced:
 		m.fenced = true
-	case a.Order.Kind == Join && (a.Answer == Accepted || a.Answer == Done):
+	case a.Order.Kind == Join && (a.Response == Accepted || a.Response == Done):
 		if f := m.formingOf(id); f != nil {
 			f.joined[a.To.ID] = true
 		}
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -99,7 +99,7 @@
 	out := s.machine.Step(in)
 	for _, o := range out.SendOrders {
 		answer, err := s.orders.send(o.To, o.Order)
-		s.next.OrderResults = append(s.next.OrderResults, OrderResult{To: o.To, Order: o.Order, Answer: answer, Err: err, At: s.now})
+		s.next.OrderResults = append(s.next.OrderResults, OrderResult{To: o.To, Order: o.Order, Response: answer, Err: err, At: s.now})
 	}
 	for _, vm := range out.ProbeUnlisted {
 		if !s.orders.dead[vm.ID] && !s.orders.refusing[vm.ID] {
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -80,7 +80,7 @@
 	// To is the VM as it was listed when the order was sent.
 	To     fleet.Server
 	Order  Order
-	Answer Response
+	Response Response
 	// Err is set when no answer came; the order may still be carried out.
 	Err error
 	// NotSent is true when the order did not leave this node.
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -203,12 +203,12 @@
 		v.queue = append(v.queue, s.Order)
 		outcome.Err = context.DeadlineExceeded
 	default:
-		outcome.Answer = w.carryOut(v, s.Order, true)
+		outcome.Response = w.carryOut(v, s.Order, true)
 		if !v.mute {
 			w.next.OrderResults = append(w.next.OrderResults, outcome)
 			return
 		}
-		outcome.Answer, outcome.Err = "", context.DeadlineExceeded
+		outcome.Response, outcome.Err = "", context.DeadlineExceeded
 	}
 	w.pending = append(w.pending, pendingOrder{w.now.Add(OrderTimeout), outcome})
 }
@@ -427,7 +427,7 @@
 		fmt.Fprint(h, "p", age(p.at), p.outcome.To.ID, order(p.outcome.Order))
 	}
 	for _, a := range w.next.OrderResults {
-		fmt.Fprint(h, "a", a.To.ID, order(a.Order), a.Answer, a.Err != nil)
+		fmt.Fprint(h, "a", a.To.ID, order(a.Order), a.Response, a.Err != nil)
 	}
 	fmt.Fprint(h, w.next.RespondingUnlisted)
 	w.machine.print(h, age, name, member)
