--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -1,6 +1,7 @@
-// Package formation holds the placement lease of a scope (the zones of a deployment) and
-// forms its replicas. One node at a time holds it; what it does is decided by a
-// lifecycle.Machine, and this package sends, reads the clock and keeps the lease.
+// Package formation acquires the placement lease of a scope (the zones of a deployment) and
+// forms its replicas while holding it. One node at a time holds the lease. A
+// lifecycle.Machine makes the decisions; this package sends the orders and probes, reads the
+// clock and extends the lease.
 package formation
 
 import (
@@ -20,51 +21,52 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Options sets up a Controller; all but the durations are required.
+// Options configures a Controller. All fields are required unless stated otherwise.
 type Options struct {
-	// Scope names the zones whose VMs are formed together; the placement lease is
-	// kept under it.
+	// Scope identifies the zones whose VMs are formed into replicas together; the placement
+	// lease is stored under it.
 	Scope cluster.ZoneID
 	Node  cluster.NodeID
 	Store store.Store
-	// List gives the servers as last read and whether any were read; Rules the rules
-	// in force, nil before the first are known.
-	List  func() (fleet.List, bool)
+	// List returns the current server list and whether it has been read at all.
+	List func() (fleet.List, bool)
+	// Rules returns the rules in force, or nil before any are known.
 	Rules func() *rules.Set
-	// Refresh reads the list anew. A holder acts only on a list that is newer than
-	// its lease: it then has all that its predecessor could do.
+	// Refresh rereads the list from the store. A holder acts only on a list that is newer than
+	// its lease, which then reflects everything its predecessor may have done.
 	Refresh func(context.Context) error
-	// LeaseHeld reports whether a holder's key is in the store as far as this node
-	// knows; a try costs the store calls.
+	// LeaseHeld reports whether, as far as this node knows, the store holds a lease key. It
+	// avoids attempts that would cost store calls.
 	LeaseHeld func() bool
-	// Standby is true for a node that learns of the lease through other nodes: it
-	// leaves the first tries to those that watch the store themselves.
+	// Standby is set on nodes that learn of the lease through other nodes. They leave the first
+	// attempts to the nodes that watch the store directly.
 	Standby bool
-	// UnmeteredLoads reports whether loads do not count yet: nobody has sent a request.
+	// UnmeteredLoads reports whether no request has been sent yet, so that loads do not count
+	// against the weight store's limits.
 	UnmeteredLoads func() bool
 	Client         OrderClient
-	// OnMembersResponsive is told of a replica that was suspected to stand still and whose members
-	// all answer; may be nil.
+	// OnMembersResponsive is called for a replica that was reported as stalled and whose members
+	// all respond to probes; may be nil.
 	OnMembersResponsive func(cluster.ReplicaID)
 	Policy              placement.Policy
 	Log                 *slog.Logger
-	// LeaseTTL is the life of the placement lease; zero means DefaultLeaseTTL.
+	// LeaseTTL is the time to live of the placement lease; zero means DefaultLeaseTTL.
 	LeaseTTL time.Duration
-	// StepInterval is the time between two looks; zero means DefaultTick.
+	// StepInterval is the maximum time between two steps; zero means DefaultStepInterval.
 	StepInterval time.Duration
 }
 
-// Defaults of Options.
+// Defaults of Options, and intervals of the controller.
 const (
-	// DefaultLeaseTTL is how long a scope is without a holder after its node died.
+	// DefaultLeaseTTL bounds how long a scope has no holder after the holder's node died.
 	DefaultLeaseTTL = 2500 * time.Millisecond
-	// DefaultStepInterval is a fraction of the shortest step of a VM (0.2 s to join again).
+	// DefaultStepInterval is half of the shortest state change of a VM (rejoining takes 0.2 s).
 	DefaultStepInterval = 100 * time.Millisecond
-	// tryEvery is the time between two looks whether the lease is free.
-	tryEvery = 100 * time.Millisecond
-	// refreshAfter is how long a new holder waits for the watch to bring what its
-	// predecessor did before it reads the whole list.
-	refreshAfter = 300 * time.Millisecond
+	// acquireInterval is the time between two checks whether the lease is free.
+	acquireInterval = 100 * time.Millisecond
+	// refreshDelay is how long a new holder waits for the watch to deliver its predecessor's
+	// changes before it rereads the whole list.
+	refreshDelay = 300 * time.Millisecond
 )
 
 var (
@@ -73,18 +75,18 @@
 	ordersFailed = metrics.NewCounter("fennel_formation_orders_failed_total")
 )
 
-// Controller tries for the placement lease and forms replicas while it holds it.
+// Controller competes for the placement lease and forms replicas while it holds it.
 type Controller struct {
-	opts     Options
-	suspects suspects
-	holding  atomic.Bool
-	// seen is each VM as last listed, up to the list's change noted; used by Run's
-	// goroutine.
-	seen  map[cluster.VMID]fleet.Server
-	noted int64
+	opts       Options
+	stalled    stallReports
+	holdsLease atomic.Bool
+	// lastListed holds the last list entry of each VM, and recordedChange the List.Changed up to
+	// which it is current. Only Run's goroutine uses them.
+	lastListed     map[cluster.VMID]fleet.Server
+	recordedChange int64
 }
 
-// NewController returns a Controller; Run starts it.
+// NewController returns a Controller, which Run starts.
 func NewController(opts Options) *Controller {
 	if opts.LeaseTTL <= 0 {
 		opts.LeaseTTL = DefaultLeaseTTL
@@ -92,32 +94,32 @@
 	if opts.StepInterval <= 0 {
 		opts.StepInterval = DefaultStepInterval
 	}
-	return &Controller{opts: opts, seen: make(map[cluster.VMID]fleet.Server)}
+	return &Controller{opts: opts, lastListed: make(map[cluster.VMID]fleet.Server)}
 }
 
-// Run acts until ctx ends; the lease is given up then, so that another node need
-// not wait for it to lapse.
+// Run competes for the lease and acts as the holder until ctx is done. It then revokes the
+// lease, so that another node need not wait for it to expire.
 func (c *Controller) Run(ctx context.Context) {
-	tries := newTries(c.opts.Standby)
+	schedule := newAcquireSchedule(c.opts.Standby)
 	for ctx.Err() == nil {
 		list, listed := c.opts.List()
-		c.note(list)
+		c.recordListed(list)
 		free := listed && c.opts.Rules() != nil && !c.opts.LeaseHeld()
-		if tries.due(free, time.Now()) {
-			tries.done(c.tryHold(ctx), time.Now())
+		if schedule.due(free, time.Now()) {
+			schedule.recordAttempt(c.tryAcquire(ctx), time.Now())
 		}
-		clock.Pause(ctx, tryEvery)
+		clock.Pause(ctx, acquireInterval)
 	}
 }
 
-// tryHold tries once for the lease, and holds it if that succeeds. It reports whether
-// the store answered.
-func (c *Controller) tryHold(ctx context.Context) (answered bool) {
-	tryCtx, cancel := context.WithTimeout(ctx, c.opts.LeaseTTL/2)
+// tryAcquire attempts once to acquire the lease and, on success, acts as the holder until the
+// term ends. It reports whether the store responded to the attempt.
+func (c *Controller) tryAcquire(ctx context.Context) (responded bool) {
+	acquireCtx, cancel := context.WithTimeout(ctx, c.opts.LeaseTTL/2)
 	defer cancel()
-	lease, err := grouping.AcquireLease(tryCtx, c.opts.Store, c.opts.Scope, c.opts.Node, c.opts.LeaseTTL)
+	lease, err := grouping.AcquireLease(acquireCtx, c.opts.Store, c.opts.Scope, c.opts.Node, c.opts.LeaseTTL)
 	if err != nil {
-		c.opts.Log.Warn("placement lease not tried", "scope", c.opts.Scope, "err", err.Error())
+		c.opts.Log.Warn("placement lease acquisition failed", "scope", c.opts.Scope, "err", err.Error())
 		return false
 	}
 	if lease == nil {
@@ -125,93 +127,93 @@
 	}
 	termsTotal.Inc()
 	c.opts.Log.Info("placement lease acquired", "scope", c.opts.Scope, "fence", lease.Fence())
-	began := time.Now()
-	c.holding.Store(true)
-	reason := c.hold(ctx, lease)
-	c.holding.Store(false)
+	termStart := time.Now()
+	c.holdsLease.Store(true)
+	reason := c.runTerm(ctx, lease)
+	c.holdsLease.Store(false)
 	lease.Revoke(ctx)
-	c.opts.Log.Info("placement lease given up", "scope", c.opts.Scope, "fence", lease.Fence(), "reason", reason, "held", time.Since(began))
+	c.opts.Log.Info("placement lease given up", "scope", c.opts.Scope, "fence", lease.Fence(), "reason", reason, "held", time.Since(termStart))
 	return true
 }
 
-// Reasons why a term ends.
+// Reasons for the end of a term, as logged.
 const (
-	endStopping = "node-stopping"
-	endFenced   = "vm-knows-later-holder"
-	endLost     = "store-knows-lease-no-more"
-	endLapsed   = "not-extended-in-time"
+	reasonNodeStopping = "node-stopping"
+	reasonFenced       = "vm-knows-later-holder"
+	reasonLeaseLost    = "store-knows-lease-no-more"
+	reasonLeaseExpired = "not-extended-in-time"
 )
 
 // HoldsLease reports whether this node holds the lease.
-func (c *Controller) HoldsLease() bool { return c.holding.Load() }
+func (c *Controller) HoldsLease() bool { return c.holdsLease.Load() }
 
-// note remembers the servers as last listed, also while another node holds the
-// lease: a new holder must know the heads of replicas that are not listed any more.
-func (c *Controller) note(list fleet.List) {
-	if list.Changed != 0 && list.Changed == c.noted {
+// recordListed records the last list entry of each server, also while another node holds the
+// lease: a new holder must know the heads of replicas that are no longer listed.
+func (c *Controller) recordListed(list fleet.List) {
+	if list.Changed != 0 && list.Changed == c.recordedChange {
 		return
 	}
-	c.noted = list.Changed
+	c.recordedChange = list.Changed
 	for _, s := range list.Servers {
-		c.seen[s.ID] = s
+		c.lastListed[s.ID] = s
 	}
 }
 
-// hold acts as the holder until the lease is lost or ctx ends, and says why.
-func (c *Controller) hold(ctx context.Context, lease *grouping.Lease) (reason string) {
+// runTerm acts as the holder until the lease is lost or ctx is done, and returns the reason.
+func (c *Controller) runTerm(ctx context.Context, lease *grouping.Lease) (reason string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	kept := make(chan struct{})
+	extenderDone := make(chan struct{})
 	go func() {
-		defer close(kept)
-		c.keep(ctx, lease)
+		defer close(extenderDone)
+		c.extendLease(ctx, lease)
 	}()
-	t := newTerm(c.opts, lease, c.seen)
-	defer t.wait()
-	began := time.Now()
+	t := newTerm(c.opts, lease, c.lastListed)
+	defer t.waitInFlight()
+	termStart := time.Now()
 	for ctx.Err() == nil && lease.Left(time.Now()) > 0 {
 		list, _ := c.opts.List()
-		c.note(list)
+		c.recordListed(list)
 		now := time.Now()
 		switch {
 		case list.Revision >= int64(lease.Fence()):
-			t.step(ctx, list, lease.Left(now), c.suspects.take(), now)
-		case now.Sub(began) >= refreshAfter:
+			t.step(ctx, list, lease.Left(now), c.stalled.take(), now)
+		case now.Sub(termStart) >= refreshDelay:
 			c.refresh(ctx)
 		}
 		if t.machine.Fenced() {
 			break
 		}
-		t.sleep(ctx, c.opts.StepInterval, stepGap(time.Since(now), c.opts.StepInterval))
+		t.waitForNextStep(ctx, c.opts.StepInterval, stepGap(time.Since(now), c.opts.StepInterval))
 	}
-	reason = endReason(ctx, t, lease)
+	reason = termEndReason(ctx, t, lease)
 	lease.Lose()
 	cancel()
-	<-kept
+	<-extenderDone
 	return reason
 }
 
-func endReason(ctx context.Context, t *term, lease *grouping.Lease) string {
+func termEndReason(ctx context.Context, t *term, lease *grouping.Lease) string {
 	switch {
 	case ctx.Err() != nil:
-		return endStopping
+		return reasonNodeStopping
 	case t.machine.Fenced():
-		return endFenced
+		return reasonFenced
 	case lease.Lost():
-		return endLost
+		return reasonLeaseLost
 	}
-	return endLapsed
+	return reasonLeaseExpired
 }
 
 func (c *Controller) refresh(ctx context.Context) {
 	if err := c.opts.Refresh(ctx); err != nil && ctx.Err() == nil {
-		c.opts.Log.Warn("list not read anew", "scope", c.opts.Scope, "err", err.Error())
+		c.opts.Log.Warn("server list refresh failed", "scope", c.opts.Scope, "err", err.Error())
 	}
 }
 
-// keep extends the lease until it is lost or ctx ends. After a failure it tries again
-// soon: two intervals without an extension use up most of the lease's life.
-func (c *Controller) keep(ctx context.Context, lease *grouping.Lease) {
+// extendLease extends the lease periodically until it is lost or ctx is done. After a failure
+// it retries soon: two intervals without an extension use up most of the lease's TTL.
+func (c *Controller) extendLease(ctx context.Context, lease *grouping.Lease) {
 	interval := c.opts.LeaseTTL / 4
 	retry := clock.Backoff{Least: interval / 8, Most: interval}
 	pause := interval
--- a/internal/formation/orders.go
+++ b/internal/formation/orders.go
@@ -9,11 +9,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/lifecycle"
 )
 
-// SendError is an order without an answer.
+// SendError reports an order or probe that got no response.
 type SendError struct {
 	VM cluster.VMID
-	// NotSent is true when the VM certainly did not get the order: nothing listened at
-	// its address. It says nothing of the VM's process, which may be back.
+	// NotSent is true if the VM certainly did not receive the order, because nothing listened at
+	// its address. It proves nothing about the VM's process, which may accept connections again.
 	NotSent bool
 	Err     error
 }
@@ -23,12 +23,13 @@
 	return fmt.Sprintf("order to %s: not_sent=%t: %v", e.VM, e.NotSent, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// OrderClient sends orders. An order without an answer may be carried out seconds later.
+// OrderClient sends orders and probes to VMs. An order without a response may still be
+// executed seconds later.
 type OrderClient interface {
 	Send(ctx context.Context, to fleet.Server, order lifecycle.Order) (lifecycle.Response, error)
-	// Probe asks a VM whether it is there; it fails with a *SendError if not.
+	// Probe checks that a VM responds; otherwise it returns a *SendError.
 	Probe(ctx context.Context, vm fleet.Server) error
 }
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -13,24 +13,25 @@
 
 var probesTotal = metrics.NewCounter("fennel_formation_probes_total")
 
-// suspects are replicas that stand still as callers' requests show.
-type suspects struct {
+// stallReports collects the replicas reported as stalled because requests on them make no
+// progress.
+type stallReports struct {
 	mu  sync.Mutex
 	ids map[cluster.ReplicaID]bool
 }
 
-// ReportStalled says that a replica stands still. The holder then asks its members which
-// of them is lost: the list shows it only after some heartbeats.
+// ReportStalled reports that a replica is stalled. The holder then probes its members to find
+// the lost one, which disappears from the list only after several missed heartbeats.
 func (c *Controller) ReportStalled(id cluster.ReplicaID) {
-	c.suspects.mu.Lock()
-	defer c.suspects.mu.Unlock()
-	if c.suspects.ids == nil {
-		c.suspects.ids = make(map[cluster.ReplicaID]bool)
+	c.stalled.mu.Lock()
+	defer c.stalled.mu.Unlock()
+	if c.stalled.ids == nil {
+		c.stalled.ids = make(map[cluster.ReplicaID]bool)
 	}
-	c.suspects.ids[id] = true
+	c.stalled.ids[id] = true
 }
 
-func (s *suspects) take() map[cluster.ReplicaID]bool {
+func (s *stallReports) take() map[cluster.ReplicaID]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ids := s.ids
@@ -38,53 +39,53 @@
 	return ids
 }
 
-// probeMembers asks the members of a replica that stands still; those without an
-// answer are asked twice.
+// probeMembers probes the members of a stalled replica. Members that do not respond are probed
+// a second time before they are reported.
 func (t *term) probeMembers(ctx context.Context, p lifecycle.ReplicaProbe) {
-	silent := t.silentOf(ctx, p.Members)
-	if len(silent) == 0 {
-		t.opts.Log.Info("probe", "replica", p.Replica, "outcome", "every member answers")
+	failed := t.findUnresponsive(ctx, p.Members)
+	if len(failed) == 0 {
+		t.opts.Log.Info("probe", "replica", p.Replica, "outcome", "all members responded")
 		if t.opts.OnMembersResponsive != nil {
 			t.opts.OnMembersResponsive(p.Replica)
 		}
 		return
 	}
-	if len(silent) == len(p.Members) {
-		// All of them: it is more likely this node that is cut off.
-		t.opts.Log.Info("probe", "replica", p.Replica, "outcome", "no member answers")
+	if len(failed) == len(p.Members) {
+		// More likely this node is partitioned than every member down.
+		t.opts.Log.Info("probe", "replica", p.Replica, "outcome", "no member responded")
 		return
 	}
-	silent = t.silentOf(ctx, serversOf(silent))
-	for _, s := range silent {
+	failed = t.findUnresponsive(ctx, serversOf(failed))
+	for _, s := range failed {
 		t.opts.Log.Info("probe", "replica", p.Replica, "vm", s.vm.ID, "born", s.vm.Born, "outcome", "down", "err", s.err.Error())
 	}
-	t.report(func(in *lifecycle.Input) { in.Unresponsive = append(in.Unresponsive, serversOf(silent)...) })
+	t.addReport(func(in *lifecycle.Input) { in.Unresponsive = append(in.Unresponsive, serversOf(failed)...) })
 }
 
-// probeMissing asks a VM that the list lacks.
-func (t *term) probeMissing(ctx context.Context, vm fleet.Server) {
-	if silent := t.silentOf(ctx, []fleet.Server{vm}); len(silent) > 0 {
-		t.opts.Log.Info("probe", "vm", vm.ID, "born", vm.Born, "outcome", "unlisted VM does not answer", "err", silent[0].err.Error())
+// probeUnlisted probes a VM that is missing from the list.
+func (t *term) probeUnlisted(ctx context.Context, vm fleet.Server) {
+	if failed := t.findUnresponsive(ctx, []fleet.Server{vm}); len(failed) > 0 {
+		t.opts.Log.Info("probe", "vm", vm.ID, "born", vm.Born, "outcome", "unlisted VM did not respond", "err", failed[0].err.Error())
 		return
 	}
-	t.report(func(in *lifecycle.Input) { in.RespondingUnlisted = append(in.RespondingUnlisted, vm.ID) })
+	t.addReport(func(in *lifecycle.Input) { in.RespondingUnlisted = append(in.RespondingUnlisted, vm.ID) })
 }
 
-// unanswered is a probe without an answer.
-type unanswered struct {
+// failedProbe is a probe that got no response.
+type failedProbe struct {
 	vm  fleet.Server
 	err error
 }
 
-func serversOf(probes []unanswered) (vms []fleet.Server) {
+func serversOf(probes []failedProbe) (vms []fleet.Server) {
 	for _, p := range probes {
 		vms = append(vms, p.vm)
 	}
 	return vms
 }
 
-// silentOf probes VMs at the same time and returns those that did not answer.
-func (t *term) silentOf(ctx context.Context, vms []fleet.Server) (silent []unanswered) {
+// findUnresponsive probes VMs concurrently and returns those that did not respond.
+func (t *term) findUnresponsive(ctx context.Context, vms []fleet.Server) (failed []failedProbe) {
 	ctx, cancel := context.WithTimeout(ctx, lifecycle.ProbeTimeout)
 	defer cancel()
 	errs := make([]error, len(vms))
@@ -96,8 +97,8 @@
 	wg.Wait()
 	for i, err := range errs {
 		if err != nil {
-			silent = append(silent, unanswered{vms[i], err})
+			failed = append(failed, failedProbe{vms[i], err})
 		}
 	}
-	return silent
+	return failed
 }
--- a/internal/formation/term.go
+++ b/internal/formation/term.go
@@ -14,101 +14,102 @@
 	"github.com/fennelcourse/fennelcourse/internal/lifecycle"
 )
 
-// term is one time of holding the lease: it carries out what the machine decides and
-// brings it what came of it.
+// term is one period of holding the lease. It executes the machine's decisions and reports
+// the results back to it.
 type term struct {
-	opts    Options
-	lease   *grouping.Lease
-	machine *lifecycle.Machine
-	sending sync.WaitGroup
-	// starting bounds the orders that are being begun.
-	starting chan struct{}
-	woken    chan struct{}
+	opts     Options
+	lease    *grouping.Lease
+	machine  *lifecycle.Machine
+	inFlight sync.WaitGroup
+	// startSlots limits the orders that are being started concurrently.
+	startSlots chan struct{}
+	wake       chan struct{}
 
 	mu sync.Mutex
-	// next has what the machine is told at its next step.
-	next lifecycle.Input
+	// pendingInput collects the results for the machine's next step.
+	pendingInput lifecycle.Input
 }
 
-// Bounds on orders. Were hundreds begun together, a node with a part of a core would work
-// on them alone for longer than an order may take, and extend its lease too late.
+// Limits on concurrent orders. If hundreds were started together, a node with a fraction of a
+// core would be busy with them for longer than OrderTimeout and extend its lease too late.
 const (
-	// ordersAtOnce is how many orders may be begun within startTime. One without an
-	// answer by then doesn't hold up others any more.
-	ordersAtOnce = 64
-	startTime    = 100 * time.Millisecond
+	// maxStartingOrders is the number of orders that may be starting at once. An order without a
+	// response after startWindow frees its slot, so that it does not delay others.
+	maxStartingOrders = 64
+	startWindow       = 100 * time.Millisecond
 )
 
-// Bounds on steps: each looks at all VMs, and answers come by the hundred.
+// Limits on the frequency of steps: each step examines all VMs, and responses arrive by the
+// hundred.
 const (
-	// stepShare is the part of the holder's time that its steps may take.
-	stepShare = 0.1
-	// leastGap is the least time between two steps.
-	leastGap = 10 * time.Millisecond
+	// maxStepFraction is the fraction of the holder's time that steps may take.
+	maxStepFraction = 0.1
+	// minStepGap is the minimum time between two steps.
+	minStepGap = 10 * time.Millisecond
 )
 
-// errLeaseShort is why an order is not sent.
-var errLeaseShort = errors.New("the lease may end before the order's answer")
+// errLeaseExpiring is the reason why an order was not sent.
+var errLeaseExpiring = errors.New("the lease may expire before the response to the order")
 
-func newTerm(opts Options, lease *grouping.Lease, seen map[cluster.VMID]fleet.Server) *term {
-	machine := lifecycle.NewMachine(lifecycle.Options{Scope: opts.Scope, Fence: lease.Fence(), Policy: opts.Policy, Log: opts.Log, LastListed: seen})
-	return &term{opts: opts, lease: lease, machine: machine, starting: make(chan struct{}, ordersAtOnce), woken: make(chan struct{}, 1)}
+func newTerm(opts Options, lease *grouping.Lease, lastListed map[cluster.VMID]fleet.Server) *term {
+	machine := lifecycle.NewMachine(lifecycle.Options{Scope: opts.Scope, Fence: lease.Fence(), Policy: opts.Policy, Log: opts.Log, LastListed: lastListed})
+	return &term{opts: opts, lease: lease, machine: machine, startSlots: make(chan struct{}, maxStartingOrders), wake: make(chan struct{}, 1)}
 }
 
-// step has the machine look at the list once and carries out what it decides.
-func (t *term) step(ctx context.Context, list fleet.List, leaseLeft time.Duration, suspected map[cluster.ReplicaID]bool, now time.Time) {
+// step runs one step of the machine and starts the orders and probes that it requests.
+func (t *term) step(ctx context.Context, list fleet.List, leaseRemaining time.Duration, stalled map[cluster.ReplicaID]bool, now time.Time) {
 	set := t.opts.Rules()
 	if set == nil {
 		return
 	}
 	in := t.takeReports()
 	in.Now, in.List, in.Rules, in.UnmeteredLoads = now, list, set, t.opts.UnmeteredLoads()
-	in.LeaseRemaining, in.Stalled = leaseLeft, suspected
+	in.LeaseRemaining, in.Stalled = leaseRemaining, stalled
 	out := t.machine.Step(in)
 	for _, s := range out.SendOrders {
-		t.sending.Go(func() { t.send(ctx, s) })
+		t.inFlight.Go(func() { t.send(ctx, s) })
 	}
 	for _, p := range out.ProbeReplicas {
-		t.sending.Go(func() { t.probeMembers(ctx, p) })
+		t.inFlight.Go(func() { t.probeMembers(ctx, p) })
 	}
 	for _, vm := range out.ProbeUnlisted {
-		t.sending.Go(func() { t.probeMissing(ctx, vm) })
+		t.inFlight.Go(func() { t.probeUnlisted(ctx, vm) })
 	}
 }
 
 func (t *term) send(ctx context.Context, s lifecycle.OutgoingOrder) {
-	t.starting <- struct{}{}
-	started := sync.OnceFunc(func() { <-t.starting })
-	defer time.AfterFunc(startTime, started).Stop()
-	answer, err := t.sendNow(ctx, s)
+	t.startSlots <- struct{}{}
+	started := sync.OnceFunc(func() { <-t.startSlots })
+	defer time.AfterFunc(startWindow, started).Stop()
+	response, err := t.sendOrder(ctx, s)
 	started()
-	outcome := lifecycle.OrderResult{To: s.To, Order: s.Order, Response: answer, Err: err, NotSent: errors.Is(err, errLeaseShort), At: time.Now()}
-	t.report(func(in *lifecycle.Input) { in.OrderResults = append(in.OrderResults, outcome) })
+	result := lifecycle.OrderResult{To: s.To, Order: s.Order, Response: response, Err: err, NotSent: errors.Is(err, errLeaseExpiring), At: time.Now()}
+	t.addReport(func(in *lifecycle.Input) { in.OrderResults = append(in.OrderResults, result) })
 }
 
-// sendNow sends an order unless the lease may end before the answer: it may have waited
-// for others.
-func (t *term) sendNow(ctx context.Context, s lifecycle.OutgoingOrder) (lifecycle.Response, error) {
+// sendOrder sends an order unless the lease may expire before the response: the order may have
+// waited for a slot.
+func (t *term) sendOrder(ctx context.Context, s lifecycle.OutgoingOrder) (lifecycle.Response, error) {
 	if t.lease.Left(time.Now()) < lifecycle.OrderTimeout {
-		return "", &SendError{VM: s.To.ID, NotSent: true, Err: errLeaseShort}
+		return "", &SendError{VM: s.To.ID, NotSent: true, Err: errLeaseExpiring}
 	}
 	ctx, cancel := context.WithTimeout(ctx, lifecycle.OrderTimeout)
 	defer cancel()
 	ordersSent.Inc()
-	answer, err := t.opts.Client.Send(ctx, s.To, s.Order)
+	response, err := t.opts.Client.Send(ctx, s.To, s.Order)
 	if err != nil {
 		ordersFailed.Inc()
 	}
-	return answer, err
+	return response, err
 }
 
-// report notes something for the machine's next step, and has that come at once.
-func (t *term) report(note func(*lifecycle.Input)) {
+// addReport adds a result to the machine's next input and wakes the step loop.
+func (t *term) addReport(add func(*lifecycle.Input)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	note(&t.next)
+	add(&t.pendingInput)
 	select {
-	case t.woken <- struct{}{}:
+	case t.wake <- struct{}{}:
 	default:
 	}
 }
@@ -116,18 +117,19 @@
 func (t *term) takeReports() lifecycle.Input {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	in := t.next
-	t.next = lifecycle.Input{}
+	in := t.pendingInput
+	t.pendingInput = lifecycle.Input{}
 	return in
 }
 
-// stepGap is the least time between a step that took so long and the next one.
-func stepGap(took, most time.Duration) time.Duration {
-	return min(max(time.Duration(float64(took)*(1/stepShare-1)), leastGap), most)
+// stepGap returns the minimum time between a step of the given duration and the next one, at
+// most limit.
+func stepGap(took, limit time.Duration) time.Duration {
+	return min(max(time.Duration(float64(took)*(1/maxStepFraction-1)), minStepGap), limit)
 }
 
-// sleep waits for the next look after d, or for a report, but no less than gap.
-func (t *term) sleep(ctx context.Context, d, gap time.Duration) {
+// waitForNextStep waits until d has passed or a result is reported, but at least for gap.
+func (t *term) waitForNextStep(ctx context.Context, d, gap time.Duration) {
 	if !clock.Pause(ctx, gap) {
 		return
 	}
@@ -136,9 +138,9 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-t.woken:
+	case <-t.wake:
 	}
 }
 
-// wait returns when no order or probe is under way.
-func (t *term) wait() { t.sending.Wait() }
+// waitInFlight blocks until no order or probe is in progress.
+func (t *term) waitInFlight() { t.inFlight.Wait() }
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -19,37 +19,37 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// fakeOrders answers orders and probes; VMs in silent answer nothing, and those in once
-// only from the second probe on.
-type fakeOrders struct {
-	mu     sync.Mutex
-	silent map[cluster.VMID]bool
-	once   map[cluster.VMID]bool
+// fakeClient responds to orders and probes. VMs in unresponsive never respond, and those in failOnce
+// fail their first probe.
+type fakeClient struct {
+	mu           sync.Mutex
+	unresponsive map[cluster.VMID]bool
+	failOnce     map[cluster.VMID]bool
 }
 
-func (f *fakeOrders) Send(_ context.Context, to fleet.Server, _ lifecycle.Order) (lifecycle.Response, error) {
-	if f.silent[to.ID] {
+func (f *fakeClient) Send(_ context.Context, to fleet.Server, _ lifecycle.Order) (lifecycle.Response, error) {
+	if f.unresponsive[to.ID] {
 		return "", &SendError{VM: to.ID, Err: context.DeadlineExceeded}
 	}
 	return lifecycle.Accepted, nil
 }
 
-func (f *fakeOrders) Probe(_ context.Context, vm fleet.Server) error {
+func (f *fakeClient) Probe(_ context.Context, vm fleet.Server) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.silent[vm.ID] || f.once[vm.ID] {
-		delete(f.once, vm.ID)
+	if f.unresponsive[vm.ID] || f.failOnce[vm.ID] {
+		delete(f.failOnce, vm.ID)
 		return &SendError{VM: vm.ID, Err: context.DeadlineExceeded}
 	}
 	return nil
 }
 
-func newTestTerm(t *testing.T, orders OrderClient) *term {
+func newTestTerm(t *testing.T, client OrderClient) *term {
 	lease, err := grouping.AcquireLease(t.Context(), memstore.New(memstore.Options{}), "here", "node", time.Minute)
 	require.NoError(t, err)
 	set := rules.Assemble(rules.Set{Groups: []rules.Group{{Name: "m", Model: "m", VMs: 2, Servers: "models", ColdLoad: time.Second, WarmLoad: time.Second}}})
 	return newTerm(Options{Scope: "here", Rules: func() *rules.Set { return set }, UnmeteredLoads: func() bool { return true },
-		Client: orders, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler)}, lease, make(map[cluster.VMID]fleet.Server))
+		Client: client, Policy: placement.Mix{}, Log: slog.New(slog.DiscardHandler)}, lease, make(map[cluster.VMID]fleet.Server))
 }
 
 func servers(ids ...cluster.VMID) (out []fleet.Server) {
@@ -59,54 +59,55 @@
 	return out
 }
 
-// An order without an answer must come back to the machine as such: it may still be carried out.
+// Guards against losing the result of an order without a response, which may still be executed.
 func TestOutcomesOfOrdersAreReported(t *testing.T) {
-	term := newTestTerm(t, &fakeOrders{silent: map[cluster.VMID]bool{"b": true}})
+	term := newTestTerm(t, &fakeClient{unresponsive: map[cluster.VMID]bool{"b": true}})
 	now := time.Now()
 	term.step(t.Context(), fleet.List{Revision: 9, ReadAt: now, Servers: servers("a", "b")}, time.Minute, nil, now)
-	term.wait()
+	term.waitInFlight()
 	in := term.takeReports()
 	require.Len(t, in.OrderResults, 2)
 	for _, a := range in.OrderResults {
 		require.Equal(t, lifecycle.Join, a.Order.Kind)
 		require.Equal(t, a.To.ID == "b", a.Err != nil)
 	}
-	require.Empty(t, term.takeReports().OrderResults, "each outcome is told once")
+	require.Empty(t, term.takeReports().OrderResults, "each result is reported once")
 }
 
-// Why a VM counts as down must be in the log: a refused connection is another matter than a timeout.
+// Guards against a log that does not show why a VM counts as down: a refused connection and a timeout
+// have different causes.
 func TestWhyAProbeFailedIsLogged(t *testing.T) {
 	var out bytes.Buffer
-	term := newTestTerm(t, &fakeOrders{silent: map[cluster.VMID]bool{"b": true}})
+	term := newTestTerm(t, &fakeClient{unresponsive: map[cluster.VMID]bool{"b": true}})
 	term.opts.Log = slog.New(slog.NewTextHandler(&out, nil))
 	term.probeMembers(t.Context(), lifecycle.ReplicaProbe{Replica: "m/1.1", Members: servers("a", "b")})
 	require.Contains(t, out.String(), context.DeadlineExceeded.Error())
 	out.Reset()
-	term.probeMissing(t.Context(), servers("b")[0])
+	term.probeUnlisted(t.Context(), servers("b")[0])
 	require.Contains(t, out.String(), context.DeadlineExceeded.Error())
 }
 
-// One lost probe, or a node that reaches nobody, must not make VMs count as down.
+// Guards against VMs counting as down after one lost probe, or because this node is partitioned.
 func TestOnlyMembersSilentTwiceAreDown(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		silent, once []cluster.VMID
-		down         []cluster.VMID
+		name                   string
+		unresponsive, failOnce []cluster.VMID
+		down                   []cluster.VMID
 	}{
-		{name: "all answer"},
-		{name: "one probe lost", once: []cluster.VMID{"a"}},
-		{name: "nobody answers", silent: []cluster.VMID{"a", "b", "c"}},
-		{name: "one is silent", silent: []cluster.VMID{"b"}, once: []cluster.VMID{"c"}, down: []cluster.VMID{"b"}},
+		{name: "all members respond"},
+		{name: "one probe is lost", failOnce: []cluster.VMID{"a"}},
+		{name: "no member responds", unresponsive: []cluster.VMID{"a", "b", "c"}},
+		{name: "one member is unresponsive", unresponsive: []cluster.VMID{"b"}, failOnce: []cluster.VMID{"c"}, down: []cluster.VMID{"b"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			orders := &fakeOrders{silent: make(map[cluster.VMID]bool), once: make(map[cluster.VMID]bool)}
-			for _, vm := range c.silent {
-				orders.silent[vm] = true
+			client := &fakeClient{unresponsive: make(map[cluster.VMID]bool), failOnce: make(map[cluster.VMID]bool)}
+			for _, vm := range c.unresponsive {
+				client.unresponsive[vm] = true
 			}
-			for _, vm := range c.once {
-				orders.once[vm] = true
+			for _, vm := range c.failOnce {
+				client.failOnce[vm] = true
 			}
-			term := newTestTerm(t, orders)
+			term := newTestTerm(t, client)
 			term.probeMembers(t.Context(), lifecycle.ReplicaProbe{Replica: "m/1.1", Members: servers("a", "b", "c")})
 			var down []cluster.VMID
 			for _, s := range term.takeReports().Unresponsive {
--- a/internal/formation/tries.go
+++ b/internal/formation/tries.go
@@ -7,60 +7,61 @@
 	"github.com/fennelcourse/fennelcourse/internal/clock"
 )
 
-// When a node tries for the lease that it sees free. The first nodes that try are a few;
-// the others hear of the new holder before their turn comes. Were all to try at once, the
-// store would get four calls from each node in the same moment.
+// Delays of attempts to acquire a free lease. A few nodes attempt first, and the others learn
+// of the new holder before their turn comes. If all nodes attempted at once, the store would
+// receive four calls from each node at the same moment.
 const (
-	// firstSpread spreads the tries of nodes that watch the store themselves.
-	firstSpread = 200 * time.Millisecond
-	// standbyAfter and standbySpread say when the others try.
-	standbyAfter  = 400 * time.Millisecond
+	// watcherSpread is the range of the random delay of nodes that watch the store directly.
+	watcherSpread = 200 * time.Millisecond
+	// standbyDelay is the fixed delay and standbySpread the range of the random delay of standby
+	// nodes.
+	standbyDelay  = 400 * time.Millisecond
 	standbySpread = time.Second
-	// noticeAfter is how long this node's copy of the lease may lag behind a try.
-	noticeAfter = 500 * time.Millisecond
-	// retryLeast and retryMost bound the time until the next try when the store did not
-	// answer.
-	retryLeast = 250 * time.Millisecond
-	retryMost  = 2 * time.Second
+	// leaseViewLag is how long this node's view of the lease may lag behind an attempt.
+	leaseViewLag = 500 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay before the next attempt after the store did
+	// not respond.
+	minRetryDelay = 250 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
-// tries decides when a node tries for the lease.
-type tries struct {
+// acquireSchedule decides when a node attempts to acquire the lease.
+type acquireSchedule struct {
 	standby bool
-	// at is when the next try is due; zero while the lease is held.
-	at    time.Time
-	retry clock.Backoff
+	// nextAttempt is when the next attempt is due; zero while the lease is held.
+	nextAttempt time.Time
+	retry       clock.Backoff
 }
 
-func newTries(standby bool) *tries {
-	return &tries{standby: standby, retry: clock.Backoff{Least: retryLeast, Most: retryMost}}
+func newAcquireSchedule(standby bool) *acquireSchedule {
+	return &acquireSchedule{standby: standby, retry: clock.Backoff{Least: minRetryDelay, Most: maxRetryDelay}}
 }
 
-// due reports whether the lease, free or not, is to be tried for now.
-func (t *tries) due(free bool, now time.Time) bool {
+// due reports whether to attempt to acquire the lease now, given whether it is free.
+func (s *acquireSchedule) due(free bool, now time.Time) bool {
 	if !free {
-		t.at = time.Time{}
+		s.nextAttempt = time.Time{}
 		return false
 	}
-	if t.at.IsZero() {
-		t.at = now.Add(t.wait())
+	if s.nextAttempt.IsZero() {
+		s.nextAttempt = now.Add(s.randomDelay())
 	}
-	return !now.Before(t.at)
+	return !now.Before(s.nextAttempt)
 }
 
-func (t *tries) wait() time.Duration {
-	if t.standby {
-		return standbyAfter + rand.N(standbySpread)
+func (s *acquireSchedule) randomDelay() time.Duration {
+	if s.standby {
+		return standbyDelay + rand.N(standbySpread)
 	}
-	return rand.N(firstSpread)
+	return rand.N(watcherSpread)
 }
 
-// done notes the end of a try.
-func (t *tries) done(answered bool, now time.Time) {
-	if answered {
-		t.at = now.Add(noticeAfter + t.wait())
-		t.retry.Reset()
+// recordAttempt schedules the next attempt after one that the store responded to or not.
+func (s *acquireSchedule) recordAttempt(responded bool, now time.Time) {
+	if responded {
+		s.nextAttempt = now.Add(leaseViewLag + s.randomDelay())
+		s.retry.Reset()
 		return
 	}
-	t.at = now.Add(t.retry.Next())
+	s.nextAttempt = now.Add(s.retry.Next())
 }
--- a/internal/formation/tries_test.go
+++ b/internal/formation/tries_test.go
@@ -7,61 +7,61 @@
 	"github.com/stretchr/testify/require"
 )
 
-// race lets nodes try for a lease that is free until the first try has reached them all,
-// and counts the tries.
-func race(first, standbys int, heardAfter time.Duration) (count int, held time.Duration) {
+// simulateAcquisition simulates nodes that compete for a free lease. The nodes learn that it is held
+// with a delay of propagation. It returns the number of attempts and the time of the first.
+func simulateAcquisition(watchers, standbys int, propagation time.Duration) (attempts int, acquiredAfter time.Duration) {
 	start := time.Unix(1000, 0)
-	var nodes []*tries
-	for i := range first + standbys {
-		nodes = append(nodes, newTries(i >= first))
+	var schedules []*acquireSchedule
+	for i := range watchers + standbys {
+		schedules = append(schedules, newAcquireSchedule(i >= watchers))
 	}
 	var heldAt time.Time
 	for now := start; now.Sub(start) < 5*time.Second; now = now.Add(10 * time.Millisecond) {
-		free := heldAt.IsZero() || now.Sub(heldAt) < heardAfter
-		for _, n := range nodes {
-			if !n.due(free, now) {
+		free := heldAt.IsZero() || now.Sub(heldAt) < propagation
+		for _, s := range schedules {
+			if !s.due(free, now) {
 				continue
 			}
-			count++
-			n.done(true, now)
+			attempts++
+			s.recordAttempt(true, now)
 			if heldAt.IsZero() {
 				heldAt = now
 			}
 		}
 	}
-	return count, heldAt.Sub(start)
+	return attempts, heldAt.Sub(start)
 }
 
-// A lease that lapses must not bring calls from every node to the store in one moment.
+// Guards against calls from every node to the store at the same moment when a lease expires.
 func TestFewNodesTryForAFreeLease(t *testing.T) {
 	for _, nodes := range []int{117, 420} {
 		for range 50 {
-			count, held := race(3, nodes-3, 100*time.Millisecond)
-			require.LessOrEqual(t, count, 3)
-			require.LessOrEqual(t, held, firstSpread+10*time.Millisecond)
+			attempts, acquiredAfter := simulateAcquisition(3, nodes-3, 100*time.Millisecond)
+			require.LessOrEqual(t, attempts, 3)
+			require.LessOrEqual(t, acquiredAfter, watcherSpread+10*time.Millisecond)
 		}
 	}
 }
 
-// The lease must find a holder also when every node that watches the store for others is lost.
+// Guards against a lease without a holder when every node that watches the store directly is lost.
 func TestStandbysTryWhenTheFirstAreLost(t *testing.T) {
 	for range 50 {
-		count, held := race(0, 114, 100*time.Millisecond)
-		require.Less(t, count, 114/2)
-		require.Less(t, held, standbyAfter+standbySpread)
+		attempts, acquiredAfter := simulateAcquisition(0, 114, 100*time.Millisecond)
+		require.Less(t, attempts, 114/2)
+		require.Less(t, acquiredAfter, standbyDelay+standbySpread)
 	}
 }
 
-// A store that does not answer must be asked more and more seldom.
+// Guards against attempts at a constant rate on a store that does not respond.
 func TestTriesBackOffWhileTheStoreDoesNotAnswer(t *testing.T) {
 	now := time.Unix(1000, 0)
-	n, count := newTries(false), 0
+	schedule, attempts := newAcquireSchedule(false), 0
 	for range 3000 {
 		now = now.Add(10 * time.Millisecond)
-		if n.due(true, now) {
-			count++
-			n.done(false, now)
+		if schedule.due(true, now) {
+			attempts++
+			schedule.recordAttempt(false, now)
 		}
 	}
-	require.Less(t, count, 40, "in 30 s")
+	require.Less(t, attempts, 40, "in 30 s")
 }
