--- a/internal/player/world.go
+++ b/internal/player/world.go
@@ -246,7 +246,7 @@
 	return list
 }
 
-// orders implements formation.Orders for a node of a zone.
+// orders implements formation.OrderClient for a node of a zone.
 type orders struct {
 	w    *world
 	zone cluster.ZoneID
@@ -255,7 +255,7 @@
 // wireTime is a call between machines, there and back.
 const wireTime = 2 * time.Millisecond
 
-// Send implements formation.Orders.
+// Send implements formation.OrderClient.
 func (o orders) Send(ctx context.Context, to fleet.Server, order lifecycle.Order) (lifecycle.Response, error) {
 	v, err := o.reach(ctx, to.ID)
 	if err != nil {
@@ -264,7 +264,7 @@
 	return v.carryOut(order), nil
 }
 
-// Probe implements formation.Orders.
+// Probe implements formation.OrderClient.
 func (o orders) Probe(ctx context.Context, to fleet.Server) error {
 	_, err := o.reach(ctx, to.ID)
 	return err
