--- a/internal/lifecycle/bench_test.go
+++ b/internal/lifecycle/bench_test.go
@@ -11,20 +11,20 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// fabricDomain is the number of VMs of a domain in the benchmarks.
-const fabricDomain = 73
+// vmsPerDomain is the number of VMs in a fabric domain of the benchmarks.
+const vmsPerDomain = 73
 
-// twoModels are a large and a small model that share the VMs.
+// twoModels is a rule set with a large and a small model that share the VMs.
 var twoModels = rules.Assemble(rules.Set{Groups: []rules.Group{
 	{Name: "large", Model: "large", VMs: 32, SameDomain: true, Servers: "models", Demand: 0.5, ColdLoad: 16 * time.Second, WarmLoad: 1600 * time.Millisecond},
 	{Name: "small", Model: "small", VMs: 8, SameDomain: true, Servers: "models", Demand: 0.5, ColdLoad: 12 * time.Second, WarmLoad: 1100 * time.Millisecond},
 }, Weights: rules.WeightStore{LoadsPerSecond: 90, LoadsAtOnce: 140}})
 
-// fleetOf lists VMs in fabric domains that hold no weights.
-func fleetOf(vms int, now time.Time) fleet.List {
+// newFleetList returns a list of VMs in fabric domains, with no weights staged.
+func newFleetList(vms int, now time.Time) fleet.List {
 	list := fleet.List{Revision: 1, ReadAt: now}
 	for i := range vms {
-		domain := i / fabricDomain
+		domain := i / vmsPerDomain
 		list.Servers = append(list.Servers, fleet.Server{ID: cluster.VMID(fmt.Sprintf("vm-%06d", i)), Service: "models", Addr: "192.0.2.1:1",
 			Zone: cluster.ZoneID(fmt.Sprintf("zone-%d", domain%5)), Domain: cluster.DomainID(fmt.Sprintf("domain-%03d", domain)), Slots: 22, Born: now})
 	}
@@ -32,18 +32,18 @@
 }
 
 func newBenchMachine(list fleet.List) *Machine {
-	seen := make(map[cluster.VMID]fleet.Server)
+	lastListed := make(map[cluster.VMID]fleet.Server)
 	for _, s := range list.Servers {
-		seen[s.ID] = s
+		lastListed[s.ID] = s
 	}
-	return NewMachine(Options{Scope: "here", Fence: 2, Policy: placement.Mix{}, Log: quiet, LastListed: seen})
+	return NewMachine(Options{Scope: "here", Fence: 2, Policy: placement.Mix{}, Log: discardLogger, LastListed: lastListed})
 }
 
-// carryOut answers the orders of an output and shows their effect in the list.
-func carryOut(list *fleet.List, out Output, now time.Time) (answered []OrderResult) {
-	for _, sending := range out.SendOrders {
-		s := list.Find(sending.To.ID)
-		order := sending.Order
+// applyOrders returns the results of an output's orders and applies their effect to the list.
+func applyOrders(list *fleet.List, out Output, now time.Time) (results []OrderResult) {
+	for _, outgoing := range out.SendOrders {
+		s := list.Find(outgoing.To.ID)
+		order := outgoing.Order
 		switch order.Kind {
 		case Stage:
 			s.Staged = []string{order.Model}
@@ -59,29 +59,29 @@
 			member.State = fleet.Open
 			s.Membership = &member
 		}
-		answered = append(answered, OrderResult{To: sending.To, Order: order, Response: Accepted, At: now})
+		results = append(results, OrderResult{To: outgoing.To, Order: order, Response: Accepted, At: now})
 	}
-	return answered
+	return results
 }
 
-func benchInput(list fleet.List, now time.Time, answered []OrderResult) Input {
+func benchInput(list fleet.List, now time.Time, results []OrderResult) Input {
 	list.ReadAt = now
-	return Input{Now: now, List: list, Rules: twoModels, UnmeteredLoads: true, LeaseRemaining: time.Hour, OrderResults: answered}
+	return Input{Now: now, List: list, Rules: twoModels, UnmeteredLoads: true, LeaseRemaining: time.Hour, OrderResults: results}
 }
 
-// BenchmarkStep measures one look at the list: the first of a holder, one while replicas
-// are formed, one after a change that asks for nothing, and one after no change.
+// BenchmarkStep measures one step: a holder's first, one while replicas are formed, one after a
+// change that requires no action, and one without a change.
 func BenchmarkStep(b *testing.B) {
 	for _, vms := range []int{73, 438, 1095, 4380} {
 		start := time.Unix(1000, 0)
 		b.Run(fmt.Sprintf("first/vms=%d", vms), func(b *testing.B) {
-			list := fleetOf(vms, start)
+			list := newFleetList(vms, start)
 			for b.Loop() {
 				newBenchMachine(list).Step(benchInput(list, start, nil))
 			}
 		})
 		b.Run(fmt.Sprintf("loading/vms=%d", vms), func(b *testing.B) {
-			list := fleetOf(vms, start)
+			list := newFleetList(vms, start)
 			m := newBenchMachine(list)
 			m.Step(benchInput(list, start, nil))
 			for b.Loop() {
@@ -90,13 +90,13 @@
 		})
 		for name, change := range map[string]int64{"changed": 1, "idle": 0} {
 			b.Run(fmt.Sprintf("%s/vms=%d", name, vms), func(b *testing.B) {
-				list, now := fleetOf(vms, start), start
+				list, now := newFleetList(vms, start), start
 				m := newBenchMachine(list)
-				var answered []OrderResult
+				var results []OrderResult
 				for range 100 {
 					now = now.Add(100 * time.Millisecond)
 					list.Changed++
-					answered = carryOut(&list, m.Step(benchInput(list, now, answered)), now)
+					results = applyOrders(&list, m.Step(benchInput(list, now, results)), now)
 				}
 				for b.Loop() {
 					list.Changed += change
--- a/internal/lifecycle/check_test.go
+++ b/internal/lifecycle/check_test.go
@@ -14,252 +14,258 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Bounds of the checker, larger by hand.
+// Bounds of the model checker; manual runs use larger ones.
 var (
-	maxFaults  = flag.Int("faults", 2, "faults in a history that the exhaustive check begins")
-	maxWaits   = flag.Int("waits", 4, "waits in a history of the exhaustive check")
-	walks      = flag.Int("walks", 150, "random walks")
-	walkSeed   = flag.Uint64("walk-seed", 1, "seed of the first random walk")
-	walkLength = flag.Int("walk-length", 60, "actions in a random walk")
-	budget     = flag.Duration("check-budget", 0, "time after which a check stops; zero for none")
+	maxFaults   = flag.Int("faults", 2, "maximum number of faults in a history of the exhaustive check")
+	maxWaits    = flag.Int("waits", 4, "maximum number of waits in a history of the exhaustive check")
+	walkCount   = flag.Int("walks", 150, "number of random walks")
+	walkSeed    = flag.Uint64("walk-seed", 1, "seed of the first random walk")
+	walkLength  = flag.Int("walk-length", 60, "number of actions in a random walk")
+	checkBudget = flag.Duration("check-budget", 0, "time after which a check stops; zero for no limit")
 )
 
-// small is two replicas of two VMs and one spare.
-var small = worldOptions{domains: 1, vms: 5, size: 2}
+// smallSimulation has two replicas of two VMs and one spare.
+var smallSimulation = simulationOptions{domains: 1, vms: 5, size: 2}
 
-// left is what a history may still hold.
-type left struct{ faults, waits int8 }
+// remainingActions is the number of faults and waits that a history may still add.
+type remainingActions struct{ faults, waits int8 }
 
-// covers reports whether what was explored with l holds all that o allows.
-func (l left) covers(o left) bool { return l.faults >= o.faults && l.waits >= o.waits }
+// covers reports whether an exploration with r includes every history that o allows.
+func (r remainingActions) covers(o remainingActions) bool {
+	return r.faults >= o.faults && r.waits >= o.waits
+}
 
-// explorer goes through all histories within bounds, depth first, each state once for
-// what is left.
+// explorer visits all histories within the bounds, depth first, and each state only once per
+// remaining bounds.
 type explorer struct {
 	deadline time.Time
 	shards   [64]struct {
 		mu   sync.Mutex
-		seen map[uint64]left
+		seen map[uint64]remainingActions
 	}
-	states atomic.Int64
-	ended  atomic.Bool
+	states  atomic.Int64
+	stopped atomic.Bool
 
-	mu    sync.Mutex
-	found []action
+	mu             sync.Mutex
+	counterexample []action
 }
 
-// visit reports whether a state is to be explored with what is left.
-func (e *explorer) visit(w *world, l left) bool {
-	key := w.hash()
+// markVisited records a state and reports whether it still has to be explored with the remaining
+// bounds.
+func (e *explorer) markVisited(sim *simulation, remaining remainingActions) bool {
+	key := sim.hash()
 	shard := &e.shards[key%uint64(len(e.shards))]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	if before, there := shard.seen[key]; there && before.covers(l) {
+	if previous, visited := shard.seen[key]; visited && previous.covers(remaining) {
 		return false
 	}
-	shard.seen[key] = l
+	shard.seen[key] = remaining
 	return true
 }
 
-// explore goes through what may follow a history.
-func (e *explorer) explore(w *world, history []action, l left) {
-	for _, a := range w.actions() {
-		if e.ended.Load() {
+// explore visits every continuation of a history.
+func (e *explorer) explore(sim *simulation, history []action, remaining remainingActions) {
+	for _, a := range sim.actions() {
+		if e.stopped.Load() {
 			return
 		}
-		e.try(w, history, a, l)
+		e.try(sim, history, a, remaining)
 	}
 }
 
 // try explores one action after a history.
-func (e *explorer) try(w *world, history []action, a action, l left) {
+func (e *explorer) try(sim *simulation, history []action, a action, remaining remainingActions) {
 	switch {
 	case a.kind == actWait:
-		l.waits--
-	case !a.ends():
-		l.faults--
+		remaining.waits--
+	case !a.endsFault():
+		remaining.faults--
 	}
-	if l.waits < 0 || l.faults < 0 {
+	if remaining.waits < 0 || remaining.faults < 0 {
 		return
 	}
-	child := w.clone()
-	child.do(a)
+	child := sim.clone()
+	child.apply(a)
 	history = append(history[:len(history):len(history)], a)
 	if e.states.Add(1)%1024 == 0 && !e.deadline.IsZero() && time.Now().After(e.deadline) {
-		e.ended.Store(true)
+		e.stopped.Store(true)
 	}
 	if child.violation != "" {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.found = history
-		e.ended.Store(true)
+		e.counterexample = history
+		e.stopped.Store(true)
 		return
 	}
-	if e.visit(child, l) {
-		e.explore(child, history, l)
+	if e.markVisited(child, remaining) {
+		e.explore(child, history, remaining)
 	}
 }
 
-// exploration is what an exhaustive check has found.
-type exploration struct {
-	// history breaks a rule; nil for none.
+// explorationResult is the result of an exhaustive check.
+type explorationResult struct {
+	// history is a shortened counterexample; nil if there is none.
 	history []action
 	states  int64
-	// whole is false if the time ran out.
-	whole bool
+	// complete is false if the check was stopped early.
+	complete bool
 }
 
-// explore goes through all histories on a world, on all processors.
-func explore(start *world, faults, waits int, limit time.Duration) exploration {
+// explore visits all histories of a simulation on all processors.
+func explore(start *simulation, faults, waits int, limit time.Duration) explorationResult {
 	e := &explorer{}
 	for i := range e.shards {
-		e.shards[i].seen = make(map[uint64]left)
+		e.shards[i].seen = make(map[uint64]remainingActions)
 	}
 	if limit > 0 {
 		e.deadline = time.Now().Add(limit)
 	}
-	l := left{int8(faults), int8(waits)}
-	pairs := openings(start)
-	var at atomic.Int64
+	remaining := remainingActions{int8(faults), int8(waits)}
+	pairs := firstActionPairs(start)
+	var next atomic.Int64
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
-			for i := at.Add(1) - 1; i < int64(len(pairs)) && !e.ended.Load(); i = at.Add(1) - 1 {
-				e.open(start, pairs[i], l)
+			for i := next.Add(1) - 1; i < int64(len(pairs)) && !e.stopped.Load(); i = next.Add(1) - 1 {
+				e.explorePair(start, pairs[i], remaining)
 			}
 		})
 	}
 	wg.Wait()
-	found := exploration{states: e.states.Load(), whole: !e.ended.Load()}
-	if e.found != nil {
-		found.history = shrink(start, e.found, func(w *world) bool { return w.violation != "" })
+	result := explorationResult{states: e.states.Load(), complete: !e.stopped.Load()}
+	if e.counterexample != nil {
+		result.history = shrink(start, e.counterexample, func(sim *simulation) bool { return sim.violation != "" })
 	}
-	return found
+	return result
 }
 
-// openings are all pairs of first actions: the work that is shared out.
-func openings(start *world) (pairs [][2]action) {
+// firstActionPairs returns all pairs of first actions, the units of work of the workers.
+func firstActionPairs(start *simulation) (pairs [][2]action) {
 	for _, first := range start.actions() {
-		w := start.clone()
-		w.do(first)
-		for _, second := range w.actions() {
+		sim := start.clone()
+		sim.apply(first)
+		for _, second := range sim.actions() {
 			pairs = append(pairs, [2]action{first, second})
 		}
 	}
 	return pairs
 }
 
-// open explores what follows a pair of first actions.
-func (e *explorer) open(start *world, pair [2]action, l left) {
+// explorePair visits every continuation of a pair of first actions.
+func (e *explorer) explorePair(start *simulation, pair [2]action, remaining remainingActions) {
 	switch {
 	case pair[0].kind == actWait:
-		l.waits--
-	case !pair[0].ends():
-		l.faults--
+		remaining.waits--
+	case !pair[0].endsFault():
+		remaining.faults--
 	}
-	if l.faults < 0 || l.waits < 0 {
+	if remaining.faults < 0 || remaining.waits < 0 {
 		return
 	}
-	w := start.clone()
-	w.do(pair[0])
-	e.try(w, []action{pair[0]}, pair[1], l)
+	sim := start.clone()
+	sim.apply(pair[0])
+	e.try(sim, []action{pair[0]}, pair[1], remaining)
 }
 
-// Every history of a few faults in a small world: no VM is in two replicas, nothing opens that is not whole.
+// Guards against a VM in two replicas and an incomplete replica that opens, over every history of a
+// few faults in a small simulation.
 func TestSmallWorldExhaustively(t *testing.T) {
-	start := settled(small)
-	open, possible := start.serving()
+	start := newSettledSimulation(smallSimulation)
+	open, possible := start.countServing()
 	require.Equal(t, possible, open)
-	began := time.Now()
-	found := explore(start, *maxFaults, *maxWaits, *budget)
-	t.Logf("%d states, whole=%t, %.0f states a second", found.states, found.whole, float64(found.states)/time.Since(began).Seconds())
-	if found.history != nil {
-		t.Fatalf("a rule breaks:\n%s", table(start, found.history))
+	started := time.Now()
+	result := explore(start, *maxFaults, *maxWaits, *checkBudget)
+	t.Logf("%d states, complete=%t, %.0f states a second", result.states, result.complete, float64(result.states)/time.Since(started).Seconds())
+	if result.history != nil {
+		t.Fatalf("invariant violated:\n%s", formatHistory(start, result.history))
 	}
 }
 
-// sizes are the worlds of random walks, from small ones to the users' domains.
-var sizes = []worldOptions{
+// walkSimulations are the simulations of the random walks, from small ones to the users' domains.
+var walkSimulations = []simulationOptions{
 	{domains: 1, vms: 5, size: 2},
 	{domains: 2, vms: 9, size: 4},
-	{domains: 6, vms: 9, size: 3, cold: true},
+	{domains: 6, vms: 9, size: 3, coldStart: true},
 	{domains: 3, vms: 18, size: 8},
 }
 
-// healWithin is how long after the last fault every VM that suffices for a replica serves again.
-const healWithin = 60 * time.Second
+// recoveryTimeout is the time after the last fault by which every replica that the VMs suffice for
+// must serve.
+const recoveryTimeout = 60 * time.Second
 
-// walk plays random faults and returns what was played and the world after it.
-func walk(start *world, seed uint64, length int) (*world, []action) {
+// randomWalk applies random actions and returns the simulation and the actions applied.
+func randomWalk(start *simulation, seed uint64, length int) (*simulation, []action) {
 	random := rand.New(rand.NewPCG(seed, 0))
-	w := start.clone()
+	sim := start.clone()
 	var history []action
-	for len(history) < length && w.violation == "" {
-		possible := w.actions()
+	for len(history) < length && sim.violation == "" {
+		possible := sim.actions()
 		a := possible[random.IntN(len(possible))]
 		if random.IntN(2) == 0 {
 			a = action{actWait, -1}
 		}
-		w.do(a)
+		sim.apply(a)
 		history = append(history, a)
 	}
-	return w, history
+	return sim, history
 }
 
-// recover ends all faults and waits; a world that does not serve then breaks its aim.
-func (w *world) recover() {
-	if w.violation != "" {
+// checkRecovery ends all faults and waits; a replica that does not serve then is a violation.
+func (sim *simulation) checkRecovery() {
+	if sim.violation != "" {
 		return
 	}
-	w.heal()
-	w.runFor(healWithin)
-	w.checkLoads()
-	if open, possible := w.serving(); open < possible {
-		w.violate("%d replicas serve of %d, %s after the last fault", open, possible, healWithin)
+	sim.endFaults()
+	sim.runFor(recoveryTimeout)
+	sim.checkLoads()
+	if open, possible := sim.countServing(); open < possible {
+		sim.violate("%d replicas serve of %d, %s after the last fault", open, possible, recoveryTimeout)
 	}
 }
 
-// Random faults on worlds up to the users' domains: the rules hold, and when faults end every VM serves again.
+// Guards against invariant violations under random faults in simulations up to the size of the users'
+// domains, and against replicas that do not serve again after the faults end.
 func TestRandomWalks(t *testing.T) {
-	starts := make([]*world, len(sizes))
-	for i, size := range sizes {
-		starts[i] = settled(size)
+	starts := make([]*simulation, len(walkSimulations))
+	for i, size := range walkSimulations {
+		starts[i] = newSettledSimulation(size)
 	}
-	began := time.Now()
+	started := time.Now()
 	var failed atomic.Int64
-	var at atomic.Uint64
+	var next atomic.Uint64
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
-			for i := at.Add(1) - 1; i < uint64(*walks) && failed.Load() < 3; i = at.Add(1) - 1 {
-				if *budget > 0 && time.Since(began) > *budget {
+			for i := next.Add(1) - 1; i < uint64(*walkCount) && failed.Load() < 3; i = next.Add(1) - 1 {
+				if *checkBudget > 0 && time.Since(started) > *checkBudget {
 					return
 				}
 				seed := *walkSeed + i
 				start := starts[int(seed)%len(starts)]
-				w, history := walk(start, seed, *walkLength)
-				w.recover()
-				if w.violation == "" {
+				sim, history := randomWalk(start, seed, *walkLength)
+				sim.checkRecovery()
+				if sim.violation == "" {
 					continue
 				}
 				failed.Add(1)
-				t.Errorf("seed %d: %s\n%s", seed, w.violation, shrunk(start, history, w.violation))
+				t.Errorf("seed %d: %s\n%s", seed, sim.violation, shrinkAndFormat(start, history, sim.violation))
 			}
 		})
 	}
 	wg.Wait()
-	t.Logf("%d walks of %d actions in %s", min(at.Load(), uint64(*walks)), *walkLength, time.Since(began).Round(time.Millisecond))
+	t.Logf("%d walks of %d actions in %s", min(next.Load(), uint64(*walkCount)), *walkLength, time.Since(started).Round(time.Millisecond))
 }
 
-// shrunk is the shortest history found that breaks what the violation names.
-func shrunk(start *world, history []action, violation string) string {
+// shrinkAndFormat returns the shortest history found with the same kind of violation.
+func shrinkAndFormat(start *simulation, history []action, violation string) string {
 	liveness := strings.Contains(violation, "after the last fault")
-	fails := func(w *world) bool {
+	fails := func(sim *simulation) bool {
 		if liveness {
-			w.recover()
+			sim.checkRecovery()
 		}
-		return w.violation != "" && strings.Contains(w.violation, "after the last fault") == liveness
+		return sim.violation != "" && strings.Contains(sim.violation, "after the last fault") == liveness
 	}
 	history = shrink(start, history, fails)
-	return fmt.Sprint(table(start, history), history)
+	return fmt.Sprint(formatHistory(start, history), history)
 }
--- a/internal/lifecycle/ending.go
+++ b/internal/lifecycle/ending.go
@@ -9,138 +9,139 @@
 	"github.com/fennelcourse/fennelcourse/internal/placement"
 )
 
-// ending is a replica that is taken apart.
-type ending struct {
+// endingReplica tracks a replica that is being shut down.
+type endingReplica struct {
 	reason string
 	head   cluster.VMID
-	// members are all that were known; each is held until the head is known to have
-	// stopped, or it has left itself.
-	members []cluster.VMID
-	left    map[cluster.VMID]evidence
-	since   time.Time
-	// sentAt is when an order was last sent to a VM.
+	// members are all known members. Each stays reserved until the head is known to have
+	// stopped serving, or until the member itself has left.
+	members   []cluster.VMID
+	released  map[cluster.VMID]evidence
+	startedAt time.Time
+	// sentAt is when an order was last sent to each VM.
 	sentAt map[cluster.VMID]time.Time
-	// headSilent is true once an order to the head got no answer from its process.
-	headSilent bool
+	// headUnresponsive is set once an order to the head got no response from its process.
+	headUnresponsive bool
 }
 
-func newEnding(reason string, head cluster.VMID, members []cluster.VMID, now time.Time) *ending {
-	return &ending{reason: reason, head: head, members: members, since: now,
-		left: make(map[cluster.VMID]evidence), sentAt: make(map[cluster.VMID]time.Time)}
+func newEndingReplica(reason string, head cluster.VMID, members []cluster.VMID, now time.Time) *endingReplica {
+	return &endingReplica{reason: reason, head: head, members: members, startedAt: now,
+		released: make(map[cluster.VMID]evidence), sentAt: make(map[cluster.VMID]time.Time)}
 }
 
-// hold adds a member that the list shows later than others.
-func (e *ending) hold(vm cluster.VMID) {
+// addMember adds a member that appeared in the list after the shutdown began.
+func (e *endingReplica) addMember(vm cluster.VMID) {
 	if !slices.Contains(e.members, vm) {
 		e.members = append(e.members, vm)
 	}
 }
 
-// held are the members that no other replica may take yet.
-func (e *ending) held() (out []cluster.VMID) {
+// unreleased returns the members that must not join another replica yet.
+func (e *endingReplica) unreleased() (out []cluster.VMID) {
 	for _, vm := range e.members {
-		if _, left := e.left[vm]; !left {
+		if _, released := e.released[vm]; !released {
 			out = append(out, vm)
 		}
 	}
 	return out
 }
 
-// settle frees the members of a replica that serves no more.
-func (m *Machine) settle(id cluster.ReplicaID, e *ending, why evidence, now time.Time) {
-	m.opts.Log.Info("replica ended", "replica", id, "head", e.head, "head_born", m.seen[e.head].Born, "reason", e.reason, "held", e.held(),
-		why.attrs(now), "took", now.Sub(e.since))
-	m.move(id, record{phase: phaseEnded, ended: &ended{why: why}})
+// markEnded releases all members of a replica that has stopped serving.
+func (m *Machine) markEnded(id cluster.ReplicaID, e *endingReplica, ev evidence, now time.Time) {
+	m.opts.Log.Info("replica ended", "replica", id, "head", e.head, "head_born", m.lastListed[e.head].Born, "reason", e.reason, "held", e.unreleased(),
+		ev.attrs(now), "took", now.Sub(e.startedAt))
+	m.setPhase(id, record{phase: phaseEnded, ended: &endedReplica{evidence: ev}})
 }
 
-// ended is a replica that serves no more while some members still name it.
-type ended struct {
-	why evidence
-	// shown is true once the list shows the head as not serving it. Until then the list
-	// may lag behind the head's own answer.
-	shown bool
+// endedReplica tracks a replica that has stopped serving but that some members still report
+// as theirs.
+type endedReplica struct {
+	evidence evidence
+	// listConfirmed is set once the list shows that the head does not serve the replica. Until
+	// then the list may lag behind the head's own response.
+	listConfirmed bool
 }
 
-// reviewEnded forgets a replica that no member names any more, and one whose head
+// updateEnded drops the record of a replica that no member reports any longer, or whose head
 // serves again: a delayed join or open order may take effect after the head has left.
-func (m *Machine) reviewEnded(id cluster.ReplicaID, r *fleet.Replica, now time.Time) {
+func (m *Machine) updateEnded(id cluster.ReplicaID, r *fleet.Replica, now time.Time) {
 	e := m.records[id].ended
 	if r == nil {
-		m.move(id, record{phase: phaseListed})
+		m.setPhase(id, record{phase: phaseListed})
 		return
 	}
 	if state := r.State(); state != fleet.Open && state != fleet.Closing {
-		e.shown = true
+		e.listConfirmed = true
 		return
 	}
-	if e.shown {
-		m.opts.Log.Warn("replica serves again", "replica", id, "head", r.Head().ID, "head_born", r.Head().Born, e.why.attrs(now))
-		m.move(id, record{phase: phaseListed})
+	if e.listConfirmed {
+		m.opts.Log.Warn("replica serves again", "replica", id, "head", r.Head().ID, "head_born", r.Head().Born, e.evidence.attrs(now))
+		m.setPhase(id, record{phase: phaseListed})
 	}
 }
 
-// release frees one member of a replica whose head may serve on.
-func (m *Machine) release(id cluster.ReplicaID, e *ending, vm cluster.VMID, why evidence, now time.Time) {
-	m.opts.Log.Info("member released", "replica", id, "head", e.head, "vm", vm, why.attrs(now))
-	e.left[vm] = why
+// releaseMember releases one member of a replica whose head may still be serving.
+func (m *Machine) releaseMember(id cluster.ReplicaID, e *endingReplica, vm cluster.VMID, ev evidence, now time.Time) {
+	m.opts.Log.Info("member released", "replica", id, "head", e.head, "vm", vm, ev.attrs(now))
+	e.released[vm] = ev
 }
 
-// headStopped is the evidence of the list that the replica's serving member takes no
-// more requests for it. One that is not listed may be cut off from the store and serve
-// on.
-func (m *Machine) headStopped(list fleet.List, id cluster.ReplicaID, e *ending) (evidence, bool) {
+// findHeadStopped looks in the list for evidence that the head no longer takes requests for
+// the replica. An unlisted head proves nothing: it may be partitioned from the store and
+// still be serving.
+func (m *Machine) findHeadStopped(list fleet.List, id cluster.ReplicaID, e *endingReplica) (evidence, bool) {
 	s := list.Find(e.head)
 	if s == nil {
 		return evidence{}, false
 	}
 	stopped := !s.In(id) || s.Membership.State == fleet.Broken
-	return evidence{kind: headStopped, vm: s.ID, born: s.Born, at: list.ReadAt}, stopped
+	return evidence{kind: evidenceHeadStopped, vm: s.ID, processStart: s.Born, at: list.ReadAt}, stopped
 }
 
-// reviewEnding settles a replica whose head has stopped, and forgets one without a
-// member in the list.
-func (m *Machine) reviewEnding(list fleet.List, id cluster.ReplicaID, r *fleet.Replica, now time.Time) {
+// updateEnding ends a replica whose head has stopped serving, and drops the record of one
+// without any listed member.
+func (m *Machine) updateEnding(list fleet.List, id cluster.ReplicaID, r *fleet.Replica, now time.Time) {
 	e := m.endingOf(id)
 	if r != nil {
 		for _, member := range r.Members {
-			e.hold(member.ID)
+			e.addMember(member.ID)
 		}
 	}
-	if why, stopped := m.headStopped(list, id, e); stopped {
-		m.settle(id, e, why, now)
+	if ev, stopped := m.findHeadStopped(list, id, e); stopped {
+		m.markEnded(id, e, ev, now)
 		return
 	}
-	if r == nil && now.Sub(e.since) > forgetAfter {
-		m.opts.Log.Info("replica forgotten", "replica", id, "head", e.head, "held", e.held(), "reason", "no member is listed", "took", now.Sub(e.since))
-		m.move(id, record{phase: phaseListed})
+	if r == nil && now.Sub(e.startedAt) > unlistedRetention {
+		m.opts.Log.Info("replica forgotten", "replica", id, "head", e.head, "held", e.unreleased(), "reason", "no member is listed", "took", now.Sub(e.startedAt))
+		m.setPhase(id, record{phase: phaseListed})
 	}
 }
 
-// forgetAfter is how long a replica is remembered of which no member is listed: a
-// zone that was cut off comes back with its members as they were.
-const forgetAfter = 30 * time.Second
+// unlistedRetention is how long the record of a replica without a listed member is kept: the
+// members of a partitioned zone come back in the state they were in.
+const unlistedRetention = 30 * time.Second
 
-// breakUp begins to end a replica; progress goes on with it.
-func (m *Machine) breakUp(list fleet.List, a placement.Action, now time.Time) {
+// startEnding begins to shut down a replica; advanceEnding sends the orders.
+func (m *Machine) startEnding(list fleet.List, a placement.Action, now time.Time) {
 	switch m.phaseOf(a.Replica) {
 	case phaseJoining, phaseOpening:
-		m.giveUp(a.Replica, m.formingOf(a.Replica), a.Reason, now)
+		m.abandon(a.Replica, m.formingOf(a.Replica), a.Reason, now)
 		return
 	case phaseEnding, phaseEnded:
 		return
 	}
-	head, members := m.membersOf(list, a.Replica)
+	head, members := m.findMembers(list, a.Replica)
 	if head == "" && len(members) == 0 {
 		return
 	}
-	m.move(a.Replica, record{phase: phaseEnding, ending: newEnding(a.Reason, head, members, now)})
+	m.setPhase(a.Replica, record{phase: phaseEnding, ending: newEndingReplica(a.Reason, head, members, now)})
 	m.opts.Log.Info("placement", "action", a.Kind, "group", a.Group, "replica", a.Replica, "head", head,
-		"head_listed", list.Find(head) != nil, "head_born", m.seen[head].Born, "members", members, "fence", m.opts.Fence, "list_revision", list.Revision, "reason", a.Reason)
+		"head_listed", list.Find(head) != nil, "head_born", m.lastListed[head].Born, "members", members, "fence", m.opts.Fence, "list_revision", list.Revision, "reason", a.Reason)
 }
 
-// membersOf finds the members of a replica among the listed VMs, and its serving
-// one also among those that were listed before.
-func (m *Machine) membersOf(list fleet.List, id cluster.ReplicaID) (head cluster.VMID, members []cluster.VMID) {
+// findMembers returns the listed members of a replica, and its head even if that was only
+// listed earlier.
+func (m *Machine) findMembers(list fleet.List, id cluster.ReplicaID) (head cluster.VMID, members []cluster.VMID) {
 	for i := range list.Servers {
 		s := &list.Servers[i]
 		if !s.In(id) {
@@ -151,7 +152,7 @@
 			head = s.ID
 		}
 	}
-	for vm, s := range m.seen {
+	for vm, s := range m.lastListed {
 		if head == "" && s.In(id) && s.Membership.Rank == 0 {
 			head = vm
 		}
@@ -159,23 +160,23 @@
 	return head, members
 }
 
-// end has the serving member of a broken replica stop. One that lost a member
-// stands still: it leaves at once, and its requests go elsewhere. One whose member
-// is about to leave still works: it finishes first. Where the head does not
-// answer, each other member leaves by itself: only then may another replica have
-// it, for the head may be alive and serve others.
-func (m *Machine) end(list fleet.List, id cluster.ReplicaID, e *ending, now time.Time) {
+// advanceEnding orders the head to stop serving. A replica that lost a member is stalled: its
+// head leaves at once, and its requests are retried on other replicas. A replica with a
+// draining member still works: it finishes running requests first. If the head does not
+// respond, every other member is ordered to leave, and may join another replica only after
+// it has left, because the head may be alive and serving.
+func (m *Machine) advanceEnding(list fleet.List, id cluster.ReplicaID, e *endingReplica, now time.Time) {
 	m.stopHead(list, id, e, now)
-	if !e.headSilent && list.Find(e.head) != nil && m.down[e.head].since.IsZero() {
+	if !e.headUnresponsive && list.Find(e.head) != nil && m.down[e.head].since.IsZero() {
 		return
 	}
-	for _, vm := range e.held() {
+	for _, vm := range e.unreleased() {
 		s := list.Find(vm)
-		if vm == e.head || s == nil || now.Sub(e.sentAt[vm]) < resendAfter {
+		if vm == e.head || s == nil || now.Sub(e.sentAt[vm]) < resendInterval {
 			continue
 		}
 		if !s.In(id) {
-			m.release(id, e, vm, evidence{kind: memberElsewhere, vm: vm, born: s.Born, at: list.ReadAt}, now)
+			m.releaseMember(id, e, vm, evidence{kind: evidenceMemberElsewhere, vm: vm, processStart: s.Born, at: list.ReadAt}, now)
 			continue
 		}
 		if m.send(*s, m.leaveOrder(s.Membership)) {
@@ -188,14 +189,14 @@
 	return Order{Kind: Leave, Fence: m.opts.Fence, Replica: of.Replica, Epoch: of.Epoch}
 }
 
-// stopHead sends the head what ends its part.
-func (m *Machine) stopHead(list fleet.List, id cluster.ReplicaID, e *ending, now time.Time) {
-	head, known := m.seen[e.head]
-	if !known || !head.In(id) || now.Sub(e.sentAt[e.head]) < resendAfter {
+// stopHead orders the head to close, if the replica still works, or to leave.
+func (m *Machine) stopHead(list fleet.List, id cluster.ReplicaID, e *endingReplica, now time.Time) {
+	head, known := m.lastListed[e.head]
+	if !known || !head.In(id) || now.Sub(e.sentAt[e.head]) < resendInterval {
 		return
 	}
 	order := m.leaveOrder(head.Membership)
-	if e.reason == reasonLeaving && list.Find(e.head) != nil {
+	if e.reason == reasonMemberLeaving && list.Find(e.head) != nil {
 		switch head.Membership.State {
 		case fleet.Open:
 			order.Kind, order.Graceful = Close, true
@@ -208,24 +209,24 @@
 	}
 }
 
-// reasonLeaving is the policy's reason to break up a replica that still works.
-const reasonLeaving = "member-leaving"
+// reasonMemberLeaving is the policy's reason to shut down a replica that still works.
+const reasonMemberLeaving = "member-leaving"
 
-// takeLeave notes that the head or another member has left. Misfit says that the VM is
-// not in the replica any more. The answer of another VM at the address says nothing of
-// this one.
-func (m *Machine) takeLeave(id cluster.ReplicaID, e *ending, a OrderResult, now time.Time) {
-	switch a.Response {
+// handleLeaveResponse records that the head or another member has left. Conflict means that
+// the VM is no longer in the replica. A response from another VM at the same address proves
+// nothing about this one.
+func (m *Machine) handleLeaveResponse(id cluster.ReplicaID, e *endingReplica, result OrderResult, now time.Time) {
+	switch result.Response {
 	case Accepted, Done, Conflict:
 	default:
-		e.headSilent = e.headSilent || a.To.ID == e.head
+		e.headUnresponsive = e.headUnresponsive || result.To.ID == e.head
 		return
 	}
-	why := evidence{kind: memberLeft, vm: a.To.ID, born: a.To.Born, at: a.At}
-	if a.To.ID == e.head {
-		why.kind = headLeft
-		m.settle(id, e, why, now)
+	ev := evidence{kind: evidenceMemberLeft, vm: result.To.ID, processStart: result.To.Born, at: result.At}
+	if result.To.ID == e.head {
+		ev.kind = evidenceHeadLeft
+		m.markEnded(id, e, ev, now)
 		return
 	}
-	m.release(id, e, a.To.ID, why, now)
+	m.releaseMember(id, e, result.To.ID, ev, now)
 }
--- a/internal/lifecycle/evidence.go
+++ b/internal/lifecycle/evidence.go
@@ -7,36 +7,37 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// evidenceKind says why a replica, or one of its members, is known to serve no more.
+// evidenceKind is the kind of proof that a replica, or one of its members, has stopped serving.
 type evidenceKind string
 
-// Kinds of evidence that free a VM for another replica. Each comes from the VM's own
-// process, or from the fact that nothing could have made it serve. Silence, a refused
-// connection and absence from the list are none: the process may go on where it was.
+// Kinds of evidence that release a VM for another replica. Each comes from the VM's own
+// process, or from the fact that nothing could have made it serve. A timeout, a refused
+// connection and absence from the list are no evidence: the process may resume where it was.
 const (
-	// headLeft: the head answered a leave order.
-	headLeft evidenceKind = "head-left"
-	// headStopped: the head's entry says that it broke, is in no replica or in another one.
-	headStopped evidenceKind = "head-stopped"
-	// memberLeft: the member answered a leave order.
-	memberLeft evidenceKind = "member-left"
-	// memberElsewhere: the member's entry says that it is in no replica or in another one.
-	memberElsewhere evidenceKind = "member-elsewhere"
-	// neverOpened: no open order was ever sent for the replica.
-	neverOpened evidenceKind = "never-opened"
+	// evidenceHeadLeft: the head confirmed a leave order.
+	evidenceHeadLeft evidenceKind = "head-left"
+	// evidenceHeadStopped: the head's list entry reports broken, no replica or another replica.
+	evidenceHeadStopped evidenceKind = "head-stopped"
+	// evidenceMemberLeft: the member confirmed a leave order.
+	evidenceMemberLeft evidenceKind = "member-left"
+	// evidenceMemberElsewhere: the member's list entry reports no replica or another replica.
+	evidenceMemberElsewhere evidenceKind = "member-elsewhere"
+	// evidenceNeverOpened: no open order was ever sent for the replica.
+	evidenceNeverOpened evidenceKind = "never-opened"
 )
 
-// evidence is why a VM counts as free.
+// evidence is the proof on which a VM is released.
 type evidence struct {
 	kind evidenceKind
-	// vm is the VM that said so, and born the start of its process; empty for neverOpened.
-	vm   cluster.VMID
-	born time.Time
-	// at is when it was said, by this node's clock.
+	// vm is the VM that gave the evidence and processStart the start time of its process;
+	// both are zero for evidenceNeverOpened.
+	vm           cluster.VMID
+	processStart time.Time
+	// at is when the evidence was given, by this node's clock.
 	at time.Time
 }
 
-// attrs are the fields of a log line.
+// attrs returns the evidence as a group of log fields.
 func (e evidence) attrs(now time.Time) slog.Attr {
-	return slog.Group("evidence", "kind", e.kind, "vm", e.vm, "born", e.born, "age", now.Sub(e.at))
+	return slog.Group("evidence", "kind", e.kind, "vm", e.vm, "born", e.processStart, "age", now.Sub(e.at))
 }
--- a/internal/lifecycle/faults_test.go
+++ b/internal/lifecycle/faults_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// actionKind is what may happen to a world from outside.
+// actionKind is an external event in a simulation.
 type actionKind string
 
-// Kinds of actions. Those on a VM that end a fault undo the kind before them.
+// Kinds of actions. An action on a VM that ends a fault reverts the kind listed before it.
 const (
-	actWait     actionKind = "wait"
-	actHandOver actionKind = "hand-over"
-	actStale    actionKind = "list-stands-still"
-	actFresh    actionKind = "list-goes-on"
-	actCrash    actionKind = "crash"
-	actRestart  actionKind = "restart"
-	actReplace  actionKind = "replace"
-	actDrain    actionKind = "drain"
-	actFreeze   actionKind = "freeze"
-	actThaw     actionKind = "thaw"
-	actCut      actionKind = "cut-from-store"
-	actJoined   actionKind = "back-at-store"
-	actSilence  actionKind = "cut-from-holder"
-	actHear     actionKind = "back-at-holder"
-	actMute     actionKind = "answers-lost"
-	actSpeak    actionKind = "answers-come"
-	actDelay    actionKind = "orders-delayed"
-	actPass     actionKind = "orders-pass"
-	actCatchUp  actionKind = "delayed-orders-done"
+	actWait             actionKind = "wait"
+	actHandOver         actionKind = "hand-over"
+	actFreezeList       actionKind = "freeze-list"
+	actResumeList       actionKind = "resume-list"
+	actCrash            actionKind = "crash"
+	actRestart          actionKind = "restart"
+	actReplace          actionKind = "replace"
+	actDrain            actionKind = "drain"
+	actFreeze           actionKind = "freeze"
+	actThaw             actionKind = "thaw"
+	actDisconnectStore  actionKind = "disconnect-store"
+	actReconnectStore   actionKind = "reconnect-store"
+	actDisconnectHolder actionKind = "disconnect-holder"
+	actReconnectHolder  actionKind = "reconnect-holder"
+	actDropResponses    actionKind = "drop-responses"
+	actDeliverResponses actionKind = "deliver-responses"
+	actDelayOrders      actionKind = "delay-orders"
+	actDeliverOrders    actionKind = "deliver-orders"
+	actExecuteDelayed   actionKind = "execute-delayed-orders"
 )
 
-// action is one thing that happens; vm is the index of the VM, if it concerns one.
+// action is one event; vm is the index of the affected VM, or negative if there is none.
 type action struct {
 	kind actionKind
 	vm   int
@@ -46,8 +46,8 @@
 	return fmt.Sprintf("%s %d", a.kind, a.vm)
 }
 
-// vmActions are the actions that fit the VM's state.
-func vmActions(v *modelVM) (kinds []actionKind) {
+// vmActions returns the actions that are possible in the VM's state.
+func vmActions(v *simulatedVM) (kinds []actionKind) {
 	if !v.alive {
 		return []actionKind{actReplace}
 	}
@@ -59,39 +59,39 @@
 		}
 	}
 	toggle(v.frozen, actFreeze, actThaw)
-	toggle(v.cutStore, actCut, actJoined)
-	toggle(v.silent, actSilence, actHear)
-	toggle(v.mute, actMute, actSpeak)
-	toggle(v.late, actDelay, actPass)
-	if len(v.queue) > 0 {
-		kinds = append(kinds, actCatchUp)
+	toggle(v.storeDisconnected, actDisconnectStore, actReconnectStore)
+	toggle(v.holderDisconnected, actDisconnectHolder, actReconnectHolder)
+	toggle(v.dropsResponses, actDropResponses, actDeliverResponses)
+	toggle(v.delaysOrders, actDelayOrders, actDeliverOrders)
+	if len(v.delayedOrders) > 0 {
+		kinds = append(kinds, actExecuteDelayed)
 	}
 	kinds = append(kinds, actCrash)
-	if v.runs() {
+	if v.running() {
 		kinds = append(kinds, actRestart)
 	}
-	if v.runs() && v.drainedAt.IsZero() {
+	if v.running() && v.drainedAt.IsZero() {
 		kinds = append(kinds, actDrain)
 	}
 	return kinds
 }
 
-// ends reports whether the action ends a fault.
-func (a action) ends() bool {
+// endsFault reports whether the action ends a fault or is not one.
+func (a action) endsFault() bool {
 	switch a.kind {
-	case actWait, actReplace, actFresh, actThaw, actJoined, actHear, actSpeak, actPass, actCatchUp:
+	case actWait, actReplace, actResumeList, actThaw, actReconnectStore, actReconnectHolder, actDeliverResponses, actDeliverOrders, actExecuteDelayed:
 		return true
 	}
 	return false
 }
 
-// actions are all that may happen next to the world.
-func (w *world) actions() []action {
-	out := []action{{actWait, -1}, {actHandOver, -1}, {actStale, -1}}
-	if w.stale {
-		out[2].kind = actFresh
+// actions returns all actions that are possible next.
+func (sim *simulation) actions() []action {
+	out := []action{{actWait, -1}, {actHandOver, -1}, {actFreezeList, -1}}
+	if sim.listStale {
+		out[2].kind = actResumeList
 	}
-	for i, v := range w.vms {
+	for i, v := range sim.vms {
 		for _, kind := range vmActions(v) {
 			out = append(out, action{kind, i})
 		}
@@ -99,48 +99,48 @@
 	return out
 }
 
-// do has an action happen.
-func (w *world) do(a action) {
+// apply applies an action.
+func (sim *simulation) apply(a action) {
 	switch a.kind {
 	case actWait:
-		w.run()
+		sim.runUntilEvent()
 		return
 	case actHandOver:
-		w.handOver()
+		sim.handOver()
 		return
-	case actStale, actFresh:
-		w.stale = a.kind == actStale
+	case actFreezeList, actResumeList:
+		sim.listStale = a.kind == actFreezeList
 		return
 	}
-	v := w.vms[a.vm]
+	v := sim.vms[a.vm]
 	switch a.kind {
 	case actCrash:
 		v.alive = false
 	case actRestart:
-		v.restart(w.now)
+		v.restart(sim.now)
 	case actReplace:
-		v.replace(w.now)
+		v.replace(sim.now)
 	case actDrain:
-		v.drainedAt = w.now
+		v.drainedAt = sim.now
 	case actFreeze, actThaw:
 		v.frozen = a.kind == actFreeze
-	case actCut, actJoined:
-		v.cutStore = a.kind == actCut
-	case actSilence, actHear:
-		v.silent = a.kind == actSilence
-	case actMute, actSpeak:
-		v.mute = a.kind == actMute
-	case actDelay, actPass:
-		v.late = a.kind == actDelay
-	case actCatchUp:
-		w.flush(v)
+	case actDisconnectStore, actReconnectStore:
+		v.storeDisconnected = a.kind == actDisconnectStore
+	case actDisconnectHolder, actReconnectHolder:
+		v.holderDisconnected = a.kind == actDisconnectHolder
+	case actDropResponses, actDeliverResponses:
+		v.dropsResponses = a.kind == actDropResponses
+	case actDelayOrders, actDeliverOrders:
+		v.delaysOrders = a.kind == actDelayOrders
+	case actExecuteDelayed:
+		sim.executeDelayedOrders(v)
 	}
 }
 
-// fits reports whether the action can happen to the world as it is: a history that was
-// shortened may lack what made it possible.
-func (w *world) fits(a action) bool {
-	for _, possible := range w.actions() {
+// isPossible reports whether the action is possible in the current state: a shortened history may
+// lack the actions that it depends on.
+func (sim *simulation) isPossible(a action) bool {
+	for _, possible := range sim.actions() {
 		if possible == a {
 			return true
 		}
@@ -148,23 +148,23 @@
 	return false
 }
 
-// replay plays a history on a settled world and returns the world after it. Actions
-// that do not fit are passed over.
-func replay(start *world, history []action) *world {
-	w := start.clone()
+// replay applies a history to a copy of a settled simulation and returns the copy. Impossible
+// actions are skipped.
+func replay(start *simulation, history []action) *simulation {
+	sim := start.clone()
 	for _, a := range history {
-		if w.violation != "" {
+		if sim.violation != "" {
 			break
 		}
-		if w.fits(a) {
-			w.do(a)
+		if sim.isPossible(a) {
+			sim.apply(a)
 		}
 	}
-	return w
+	return sim
 }
 
-// shrink removes what the violation does not need from a history.
-func shrink(start *world, history []action, fails func(*world) bool) []action {
+// shrink removes the actions that the violation does not depend on.
+func shrink(start *simulation, history []action, fails func(*simulation) bool) []action {
 	for size := len(history) / 2; size > 0; {
 		shorter := false
 		for at := 0; at+size <= len(history); at++ {
@@ -181,35 +181,35 @@
 	return history
 }
 
-// table is the history as rows: the second, the action, and the VMs after it.
-func table(start *world, history []action) string {
+// formatHistory formats a history as rows of the time in seconds, the action and the VMs after it.
+func formatHistory(start *simulation, history []action) string {
 	var out strings.Builder
-	w := start.clone()
-	began := w.now
+	sim := start.clone()
+	started := sim.now
 	for _, a := range history {
-		if !w.fits(a) {
+		if !sim.isPossible(a) {
 			continue
 		}
-		w.do(a)
-		fmt.Fprintf(&out, "%6.1f  %-24s", w.now.Sub(began).Seconds(), a)
-		for _, v := range w.vms {
-			fmt.Fprintf(&out, " %s", describe(v))
+		sim.apply(a)
+		fmt.Fprintf(&out, "%6.1f  %-24s", sim.now.Sub(started).Seconds(), a)
+		for _, v := range sim.vms {
+			fmt.Fprintf(&out, " %s", formatVM(v))
 		}
 		fmt.Fprintln(&out)
 	}
-	fmt.Fprintf(&out, "%6.1f  %s\n", w.now.Sub(began).Seconds(), w.violation)
+	fmt.Fprintf(&out, "%6.1f  %s\n", sim.now.Sub(started).Seconds(), sim.violation)
 	return out.String()
 }
 
-func describe(v *modelVM) string {
+func formatVM(v *simulatedVM) string {
 	state := "free"
 	if v.member != nil {
-		state = fmt.Sprintf("%d:%s", v.member.Epoch&(1<<epochBits-1), v.member.State)
+		state = fmt.Sprintf("%d:%s", v.member.Epoch&(1<<epochSequenceBits-1), v.member.State)
 	}
 	for _, mark := range []struct {
 		on   bool
 		text string
-	}{{!v.alive, "dead"}, {v.frozen, "frozen"}, {v.cutStore, "cut"}, {v.silent, "silent"}, {v.mute, "mute"}, {v.late, "late"}, {!v.drainedAt.IsZero(), "draining"}} {
+	}{{!v.alive, "dead"}, {v.frozen, "frozen"}, {v.storeDisconnected, "no-store"}, {v.holderDisconnected, "silent"}, {v.dropsResponses, "drops-responses"}, {v.delaysOrders, "late"}, {!v.drainedAt.IsZero(), "draining"}} {
 		if mark.on {
 			state += "," + mark.text
 		}
@@ -217,12 +217,12 @@
 	return "[" + state + "]"
 }
 
-// settled is a world in which all replicas serve.
-func settled(o worldOptions) *world {
-	w := newWorld(o)
-	w.runFor(20 * time.Second)
-	if o.cold {
-		w.runFor(100 * time.Second)
-	}
-	return w
+// newSettledSimulation returns a simulation in which all replicas serve.
+func newSettledSimulation(o simulationOptions) *simulation {
+	sim := newSimulation(o)
+	sim.runFor(20 * time.Second)
+	if o.coldStart {
+		sim.runFor(100 * time.Second)
+	}
+	return sim
 }
--- a/internal/lifecycle/forming.go
+++ b/internal/lifecycle/forming.go
@@ -10,135 +10,136 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// forming is a replica whose members were ordered to join.
-type forming struct {
+// formingReplica tracks a replica whose members were ordered to join.
+type formingReplica struct {
 	replica  cluster.Replica
 	name     string
 	epoch    int64
 	deadline time.Time
 	sentAt   map[cluster.VMID]time.Time
 	joined   map[cluster.VMID]bool
-	// born tells the members' processes from later ones under the same id.
-	born   map[cluster.VMID]time.Time
-	openAt time.Time
+	// processStarts distinguishes the members' processes from later ones under the same id.
+	processStarts map[cluster.VMID]time.Time
+	openSentAt    time.Time
 }
 
-func newForming(name string, epoch int64, replica cluster.Replica, deadline time.Time) *forming {
-	return &forming{name: name, epoch: epoch, replica: replica, deadline: deadline, sentAt: make(map[cluster.VMID]time.Time),
-		joined: make(map[cluster.VMID]bool), born: make(map[cluster.VMID]time.Time)}
+func newFormingReplica(name string, epoch int64, replica cluster.Replica, deadline time.Time) *formingReplica {
+	return &formingReplica{name: name, epoch: epoch, replica: replica, deadline: deadline, sentAt: make(map[cluster.VMID]time.Time),
+		joined: make(map[cluster.VMID]bool), processStarts: make(map[cluster.VMID]time.Time)}
 }
 
-// adoptLoads counts, once, the loads that an earlier holder began: VMs that join a
-// replica whose weights their hosts don't have.
-func (m *Machine) adoptLoads(set *rules.Set, list fleet.List, now time.Time) {
-	if m.adopted {
+// countInheritedLoads counts, once, the loads that earlier holders started: those of VMs that
+// are joining a replica and do not have its weights staged.
+func (m *Machine) countInheritedLoads(set *rules.Set, list fleet.List, now time.Time) {
+	if m.inheritedLoadsCounted {
 		return
 	}
-	m.adopted = true
+	m.inheritedLoadsCounted = true
 	for _, s := range list.Servers {
 		if s.Membership == nil || s.Membership.State != fleet.Joining {
 			continue
 		}
 		model := fleet.ModelOf(s.Membership.Replica)
 		if g := placement.FindGroup(set.Groups, cluster.GroupName(model)); g != nil && !slices.Contains(s.Staged, model) {
-			m.loads.adopt(s.ID, now.Add(g.ColdLoad))
+			m.loads.addInherited(s.ID, now.Add(g.ColdLoad))
 		}
 	}
 }
 
-// loaded reports whether the VM's load has ended, or the VM is gone.
-func (m *Machine) loaded(list fleet.List, vm cluster.VMID) bool {
+// loadFinished reports whether the VM's load has finished or the VM has left the list.
+func (m *Machine) loadFinished(list fleet.List, vm cluster.VMID) bool {
 	s := list.Find(vm)
 	if s == nil {
 		return true
 	}
-	if f := m.formingOfVM[vm]; f != nil {
+	if f := m.formingByVM[vm]; f != nil {
 		return slices.Contains(s.Staged, f.replica.Model)
 	}
 	return len(s.Staged) > 0
 }
 
-// reviewForming takes note of what the list says of a replica that is being formed.
-func (m *Machine) reviewForming(list fleet.List, id cluster.ReplicaID, r *fleet.Replica, now time.Time) {
+// updateForming advances or abandons a forming replica according to the list.
+func (m *Machine) updateForming(list fleet.List, id cluster.ReplicaID, r *fleet.Replica, now time.Time) {
 	f := m.formingOf(id)
 	switch {
 	case r != nil && r.State() == fleet.Open:
-		m.move(id, record{phase: phaseListed})
+		m.setPhase(id, record{phase: phaseListed})
 	case now.After(f.deadline):
-		m.opts.Log.Warn("replica given up", "replica", id, "reason", "members not ready in time")
-		m.giveUp(id, f, "not-ready-in-time", now)
-	case m.lostMember(list, f):
-		m.giveUp(id, f, "member-lost", now)
+		m.opts.Log.Warn("replica formation timed out", "replica", id, "reason", "members not ready in time")
+		m.abandon(id, f, "not-ready-in-time", now)
+	case m.hasLostMember(list, f):
+		m.abandon(id, f, "member-lost", now)
 	}
 }
 
-func (m *Machine) lostMember(list fleet.List, f *forming) bool {
+// hasLostMember reports whether a member has left the list, is draining or was restarted.
+func (m *Machine) hasLostMember(list fleet.List, f *formingReplica) bool {
 	for _, id := range f.replica.Members {
 		s := list.Find(id)
-		if s == nil || s.Draining || !s.Born.Equal(f.born[id]) {
+		if s == nil || s.Draining || !s.Born.Equal(f.processStarts[id]) {
 			return true
 		}
 	}
 	return false
 }
 
-// giveUp ends a replica that is not known to serve. One that may have been told to
-// open, by this holder or by an earlier one, is ended like any other; of the others no
-// member ever serves.
-func (m *Machine) giveUp(id cluster.ReplicaID, f *forming, reason string, now time.Time) {
+// abandon ends a replica that is not known to serve. One that may have received an open order,
+// from this holder or an earlier one, is shut down like any other. Otherwise no member can be
+// serving, and all are released at once.
+func (m *Machine) abandon(id cluster.ReplicaID, f *formingReplica, reason string, now time.Time) {
 	if m.phaseOf(id) == phaseJoining {
-		m.move(id, record{phase: phaseEnded, ended: &ended{why: evidence{kind: neverOpened, at: now}}})
+		m.setPhase(id, record{phase: phaseEnded, ended: &endedReplica{evidence: evidence{kind: evidenceNeverOpened, at: now}}})
 		return
 	}
-	m.move(id, record{phase: phaseEnding, ending: newEnding(reason, f.replica.Serving, f.replica.Members, now)})
+	m.setPhase(id, record{phase: phaseEnding, ending: newEndingReplica(reason, f.replica.Serving, f.replica.Members, now)})
 }
 
-// loading is the model that a VM reads ahead; empty if none.
-func (m *Machine) loading(vm cluster.VMID) string {
-	if _, loads := m.loads.until[vm]; !loads {
+// stagingModel returns the model that a VM is staging; empty if none.
+func (m *Machine) stagingModel(vm cluster.VMID) string {
+	if _, loading := m.loads.deadlines[vm]; !loading {
 		delete(m.staging, vm)
 		return ""
 	}
 	return m.staging[vm]
 }
 
-// form begins a replica of the VMs that the policy chose.
-func (m *Machine) form(g *rules.Group, list fleet.List, a placement.Action, now time.Time) {
+// startForming forms a replica from the VMs that the policy chose.
+func (m *Machine) startForming(g *rules.Group, list fleet.List, a placement.Action, now time.Time) {
 	var cold []cluster.VMID
-	usual := g.WarmLoad
-	born := make(map[cluster.VMID]time.Time)
+	expectedLoad := g.WarmLoad
+	processStarts := make(map[cluster.VMID]time.Time)
 	for _, id := range a.Members {
 		s := list.Find(id)
 		if s == nil || m.inFlight[id] {
 			return
 		}
-		born[id] = s.Born
+		processStarts[id] = s.Born
 		if s.Model != g.Model && !slices.Contains(s.Staged, g.Model) {
 			cold = append(cold, id)
-			usual = g.ColdLoad
+			expectedLoad = g.ColdLoad
 		}
 	}
-	if !m.loads.begin(now, cold, g.ColdLoad, 0) {
+	if !m.loads.tryStart(now, cold, g.ColdLoad, 0) {
 		return
 	}
-	m.seq++
-	epoch := int64(m.opts.Fence)<<epochBits + m.seq
+	m.replicaSequence++
+	epoch := int64(m.opts.Fence)<<epochSequenceBits + m.replicaSequence
 	name := fleet.Name(g.Model, epoch)
 	id := fleet.ReplicaID(name, epoch)
-	f := newForming(name, epoch, cluster.Replica{ID: id, Group: g.Name, Model: g.Model, Zone: m.opts.Scope,
-		Generation: epoch, Fence: m.opts.Fence, Members: a.Members, Serving: a.Members[0]}, now.Add(lateLoad*usual+joinGrace))
-	f.born = born
-	m.move(id, record{phase: phaseJoining, forming: f})
+	f := newFormingReplica(name, epoch, cluster.Replica{ID: id, Group: g.Name, Model: g.Model, Zone: m.opts.Scope,
+		Generation: epoch, Fence: m.opts.Fence, Members: a.Members, Serving: a.Members[0]}, now.Add(loadTimeoutFactor*expectedLoad+joinGrace))
+	f.processStarts = processStarts
+	m.setPhase(id, record{phase: phaseJoining, forming: f})
 	m.opts.Log.Info("placement", "action", a.Kind, "group", a.Group, "replica", id, "members", a.Members,
 		"cold", len(cold), "fence", m.opts.Fence, "list_revision", list.Revision, "reason", a.Reason)
-	m.join(list, f, now)
+	m.sendJoins(list, f, now)
 }
 
-// join sends the join order to the members that have not taken it.
-func (m *Machine) join(list fleet.List, f *forming, now time.Time) {
+// sendJoins sends the join order to the members that have not confirmed it.
+func (m *Machine) sendJoins(list fleet.List, f *formingReplica, now time.Time) {
 	order := Order{Kind: Join, Fence: m.opts.Fence, Replica: f.name, Epoch: f.epoch, Model: f.replica.Model, Members: f.replica.Members}
 	for _, id := range f.replica.Members {
-		if f.joined[id] || now.Sub(f.sentAt[id]) < resendAfter {
+		if f.joined[id] || now.Sub(f.sentAt[id]) < resendInterval {
 			continue
 		}
 		if s := list.Find(id); s != nil && m.send(*s, order) {
@@ -147,20 +148,20 @@
 	}
 }
 
-// stage has a VM's host read weights ahead.
-func (m *Machine) stage(g *rules.Group, list fleet.List, a placement.Action, now time.Time) {
+// startStaging orders a VM to stage the group's model on its host.
+func (m *Machine) startStaging(g *rules.Group, list fleet.List, a placement.Action, now time.Time) {
 	s := list.Find(a.VM)
 	if s == nil || m.inFlight[a.VM] {
 		return
 	}
-	if _, loading := m.loads.until[a.VM]; loading {
+	if _, loading := m.loads.deadlines[a.VM]; loading {
 		return
 	}
-	reserve := spareReserve
-	if a.Repairs || m.freeLoad {
+	reserve := spareLoadReserve
+	if a.Repairs || m.unmeteredLoads {
 		reserve = 0
 	}
-	if !m.loads.begin(now, []cluster.VMID{a.VM}, g.ColdLoad, reserve) {
+	if !m.loads.tryStart(now, []cluster.VMID{a.VM}, g.ColdLoad, reserve) {
 		return
 	}
 	m.staging[a.VM] = g.Model
@@ -168,8 +169,9 @@
 	m.send(*s, Order{Kind: Stage, Fence: m.opts.Fence, Model: g.Model})
 }
 
-// noteJoined takes a membership in the list for the answer that did not come.
-func (m *Machine) noteJoined(list fleet.List, f *forming) {
+// markJoinedFromList marks members as joined whose list entry shows it, in case the response
+// to the join order was lost.
+func (m *Machine) markJoinedFromList(list fleet.List, f *formingReplica) {
 	for _, id := range f.replica.Members {
 		if s := list.Find(id); s != nil && s.In(f.replica.ID) {
 			f.joined[id] = true
@@ -177,31 +179,31 @@
 	}
 }
 
-// open has a replica serve once every member was seen ready.
-func (m *Machine) open(r *fleet.Replica, now time.Time) {
+// sendOpen orders the head of a replica whose members are all ready to open it.
+func (m *Machine) sendOpen(r *fleet.Replica, now time.Time) {
 	id := r.ID()
 	if m.phaseOf(id) == phaseListed {
-		m.adopt(r, now)
+		m.adoptReplica(r, now)
 	}
 	f := m.formingOf(id)
-	if now.Sub(f.openAt) < resendAfter {
+	if now.Sub(f.openSentAt) < resendInterval {
 		return
 	}
 	if m.send(*r.Head(), Order{Kind: Open, Fence: m.opts.Fence, Replica: r.Name, Epoch: r.Epoch}) {
-		f.openAt = now
+		f.openSentAt = now
 		if m.phaseOf(id) == phaseJoining {
-			m.move(id, record{phase: phaseOpening, forming: f})
+			m.setPhase(id, record{phase: phaseOpening, forming: f})
 		}
 		m.opts.Log.Info("placement", "action", "open", "group", r.Model, "replica", id, "head", r.Head().ID, "fence", m.opts.Fence, "reason", "all-members-ready")
 	}
 }
 
-// adopt takes over a ready replica of an earlier holder, or one that was closed.
-func (m *Machine) adopt(r *fleet.Replica, now time.Time) {
-	f := newForming(r.Name, r.Epoch, placementReplica(r, nil, m.opts.Scope), now.Add(joinGrace))
+// adoptReplica takes over a ready replica that an earlier holder formed or that was closed.
+func (m *Machine) adoptReplica(r *fleet.Replica, now time.Time) {
+	f := newFormingReplica(r.Name, r.Epoch, policyReplica(r, nil, m.opts.Scope), now.Add(joinGrace))
 	for _, member := range r.Members {
-		f.born[member.ID] = member.Born
+		f.processStarts[member.ID] = member.Born
 		f.joined[member.ID] = true
 	}
-	m.move(r.ID(), record{phase: phaseOpening, forming: f})
+	m.setPhase(r.ID(), record{phase: phaseOpening, forming: f})
 }
--- a/internal/lifecycle/inventory.go
+++ b/internal/lifecycle/inventory.go
@@ -10,33 +10,33 @@
 	"github.com/fennelcourse/fennelcourse/internal/placement"
 )
 
-// inventoryEvery is how often the holder logs what each domain holds.
-const inventoryEvery = 2 * time.Second
+// inventoryLogInterval is how often the holder logs the VM counts of each domain.
+const inventoryLogInterval = 2 * time.Second
 
-// inventory counts a domain's VMs.
-type inventory struct{ inReplicas, free, cold, loading int }
+// domainInventory counts the VMs of a fabric domain by state.
+type domainInventory struct{ inReplicas, free, cold, loading int }
 
-// logInventory writes what each domain holds: it tells afterwards why a replica was or
-// was not formed.
+// logInventory logs the VM counts of each domain, from which an operator can tell later why
+// a replica was or was not formed.
 func (m *Machine) logInventory(in placement.Input, now time.Time) {
-	if now.Sub(m.inventoryAt) < inventoryEvery {
+	if now.Sub(m.inventoryLoggedAt) < inventoryLogInterval {
 		return
 	}
-	m.inventoryAt = now
+	m.inventoryLoggedAt = now
 	held := make(map[cluster.VMID]bool)
 	for _, r := range in.Replicas {
 		for _, vm := range r.Members {
 			held[vm] = true
 		}
 	}
-	domains := make(map[cluster.DomainID]*inventory)
+	domains := make(map[cluster.DomainID]*domainInventory)
 	for _, vm := range in.VMs {
 		d := domains[vm.Domain]
 		if d == nil {
-			d = &inventory{}
+			d = &domainInventory{}
 			domains[vm.Domain] = d
 		}
-		_, loading := m.loads.until[vm.ID]
+		_, loading := m.loads.deadlines[vm.ID]
 		switch {
 		case loading:
 			d.loading++
@@ -53,5 +53,5 @@
 		parts = append(parts, fmt.Sprintf("%s:held=%d,free=%d,cold=%d,loading=%d", id, d.inReplicas, d.free, d.cold, d.loading))
 	}
 	slices.Sort(parts)
-	m.opts.Log.Info("inventory", "replicas", len(in.Replicas), "ending", len(m.inPhase(phaseEnding)), "domains", strings.Join(parts, " "))
+	m.opts.Log.Info("inventory", "replicas", len(in.Replicas), "ending", len(m.replicasInPhase(phaseEnding)), "domains", strings.Join(parts, " "))
 }
--- a/internal/lifecycle/liveness.go
+++ b/internal/lifecycle/liveness.go
@@ -10,115 +10,120 @@
 )
 
 const (
-	// ProbeTimeout is many round trips; a VM that is alive answers in a few ms.
+	// ProbeTimeout bounds one probe. It allows for many round trips: a live VM responds within
+	// a few milliseconds.
 	ProbeTimeout = 250 * time.Millisecond
-	// presentFor is how long the answer of a VM that is not listed counts, and
-	// probeEvery how often it is probed.
-	presentFor = 2500 * time.Millisecond
-	probeEvery = time.Second
-	// downFor is how long a VM that did not answer counts as down while the list
-	// still has it: a dead one is gone from the list by then.
-	downFor = 8 * time.Second
+	// responseValidFor is how long an unlisted VM counts as reachable after its last probe
+	// response.
+	responseValidFor = 2500 * time.Millisecond
+	// probeInterval is the minimum time between two probes of the same unlisted VM or
+	// stalled replica.
+	probeInterval = time.Second
+	// downValidFor is how long a listed VM counts as down after a failed probe. The entry of a
+	// dead VM has left the list by then.
+	downValidFor = 8 * time.Second
 )
 
-// silence is a VM that a probe found not to answer.
-type silence struct {
-	born  time.Time
-	since time.Time
+// probeFailure records that a listed VM did not respond to probes.
+type probeFailure struct {
+	processStart time.Time
+	since        time.Time
 }
 
-// presence is what is known of a VM that is not listed.
-type presence struct {
-	server                            fleet.Server
-	firstProbed, probedAt, answeredAt time.Time
+// unlistedVM is the probe state of a VM that is missing from the list.
+type unlistedVM struct {
+	server                               fleet.Server
+	firstProbedAt, probedAt, respondedAt time.Time
 }
 
-// probe asks for probes of the members of replicas that stand still. Many nodes may
-// report the same one.
-func (m *Machine) probe(replicas []fleet.Replica, suspected map[cluster.ReplicaID]bool, now time.Time) {
-	for id, at := range m.suspectedAt {
-		if now.Sub(at) > probeEvery {
-			delete(m.suspectedAt, id)
+// probeStalled requests probes of the members of replicas reported as stalled. Many nodes may
+// report the same replica, so each is probed once per probeInterval.
+func (m *Machine) probeStalled(replicas []fleet.Replica, stalled map[cluster.ReplicaID]bool, now time.Time) {
+	for id, at := range m.stallProbedAt {
+		if now.Sub(at) > probeInterval {
+			delete(m.stallProbedAt, id)
 		}
 	}
 	for i := range replicas {
 		r := &replicas[i]
 		id := r.ID()
-		if _, probed := m.suspectedAt[id]; !suspected[id] || probed || !r.Serves() {
+		if _, probed := m.stallProbedAt[id]; !stalled[id] || probed || !r.Serves() {
 			continue
 		}
-		m.suspectedAt[id] = now
+		m.stallProbedAt[id] = now
 		m.out.ProbeReplicas = append(m.out.ProbeReplicas, ReplicaProbe{id, r.Members})
 	}
 }
 
-// probeMissing asks for probes of the members that replicas lack in the list. One that
-// answers is cut off from the store or leaving without a word: its replica works on.
-func (m *Machine) probeMissing(list fleet.List, replicas []fleet.Replica, now time.Time) {
+// probeUnlisted requests probes of replica members that are missing from the list. A member
+// that responds is partitioned from the store, or is shutting down without an announcement:
+// its replica still works.
+func (m *Machine) probeUnlisted(list fleet.List, replicas []fleet.Replica, now time.Time) {
 	for i := range replicas {
 		r := &replicas[i]
 		if r.State() != fleet.Open || len(r.Members) == r.Size || m.endingOf(r.ID()) != nil {
 			continue
 		}
-		for _, vm := range slices.Sorted(maps.Keys(m.seen)) {
-			s := m.seen[vm]
+		for _, vm := range slices.Sorted(maps.Keys(m.lastListed)) {
+			s := m.lastListed[vm]
 			if list.Find(vm) == nil && s.In(r.ID()) {
-				m.probePresence(s, now)
+				m.probeUnlistedVM(s, now)
 			}
 		}
 	}
-	for vm := range m.present {
+	for vm := range m.unlistedVMs {
 		if list.Find(vm) != nil {
-			delete(m.present, vm)
+			delete(m.unlistedVMs, vm)
 		}
 	}
 }
 
-func (m *Machine) probePresence(s fleet.Server, now time.Time) {
-	p := m.present[s.ID]
-	if p != nil && now.Sub(p.probedAt) <= probeEvery {
+func (m *Machine) probeUnlistedVM(s fleet.Server, now time.Time) {
+	p := m.unlistedVMs[s.ID]
+	if p != nil && now.Sub(p.probedAt) <= probeInterval {
 		return
 	}
 	if p == nil {
-		p = &presence{server: s, firstProbed: now}
-		m.present[s.ID] = p
+		p = &unlistedVM{server: s, firstProbedAt: now}
+		m.unlistedVMs[s.ID] = p
 	}
 	p.probedAt = now
 	m.out.ProbeUnlisted = append(m.out.ProbeUnlisted, s)
 }
 
-// takeProbes notes what probes have found.
-func (m *Machine) takeProbes(in Input) {
+// recordProbeResults records the results of earlier probes.
+func (m *Machine) recordProbeResults(in Input) {
 	for _, s := range in.Unresponsive {
-		m.down[s.ID] = silence{born: s.Born, since: in.Now}
+		m.down[s.ID] = probeFailure{processStart: s.Born, since: in.Now}
 	}
 	for _, vm := range in.RespondingUnlisted {
-		if p := m.present[vm]; p != nil {
-			p.answeredAt = in.Now
+		if p := m.unlistedVMs[vm]; p != nil {
+			p.respondedAt = in.Now
 		}
 	}
 }
 
-// unlisted are the VMs of a replica that the list lacks and that may work on:
-// they answered lately, or were only just probed for the first time.
-func (m *Machine) unlisted(id cluster.ReplicaID, now time.Time) (out []fleet.Server) {
-	for _, vm := range slices.Sorted(maps.Keys(m.present)) {
-		p := m.present[vm]
-		waits := p.answeredAt.IsZero() && now.Sub(p.firstProbed) < 2*ProbeTimeout
-		if p.server.In(id) && (waits || now.Sub(p.answeredAt) < presentFor) {
+// reachableUnlisted returns the unlisted members of a replica that may still work: they
+// responded recently, or their first probe is still pending.
+func (m *Machine) reachableUnlisted(id cluster.ReplicaID, now time.Time) (out []fleet.Server) {
+	for _, vm := range slices.Sorted(maps.Keys(m.unlistedVMs)) {
+		p := m.unlistedVMs[vm]
+		pending := p.respondedAt.IsZero() && now.Sub(p.firstProbedAt) < 2*ProbeTimeout
+		if p.server.In(id) && (pending || now.Sub(p.respondedAt) < responseValidFor) {
 			out = append(out, p.server)
 		}
 	}
 	return out
 }
 
-// downSince is when the VM was found silent; zero if it is not, or has started anew.
+// downSince returns when probes of the VM failed; zero if they did not, or if the VM has been
+// restarted since.
 func (m *Machine) downSince(s *fleet.Server, now time.Time) time.Time {
 	d, found := m.down[s.ID]
 	if !found {
 		return time.Time{}
 	}
-	if !d.born.Equal(s.Born) || now.Sub(d.since) > downFor {
+	if !d.processStart.Equal(s.Born) || now.Sub(d.since) > downValidFor {
 		delete(m.down, s.ID)
 		return time.Time{}
 	}
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -1,8 +1,8 @@
-// Package lifecycle decides how replicas of VMs that say their own state in a list
-// come and go: which VMs join one, when it opens, when it is ended, and what proves
-// that a VM is free for another. A Machine is one holder's view; it takes what was seen
-// and the time, and returns the orders and probes to send. It reads no clock and sends
-// nothing itself.
+// Package lifecycle decides how replicas are formed and shut down on a platform where VMs
+// report their own state in a list: which VMs join a replica, when it opens, when it ends,
+// and which evidence releases a VM for another replica. A Machine holds the state of one
+// holder of the placement lease. Each step takes the observations and the time and returns
+// the orders and probes to send; a Machine does no I/O and reads no clock.
 package lifecycle
 
 import (
@@ -13,12 +13,12 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// OrderKind says what an order asks of a VM.
+// OrderKind is the operation that an order requests from a VM.
 type OrderKind string
 
-// Kinds of orders. Stage loads weights onto the VM's host. Join makes it a member
-// of a replica. Open has a ready serving member take requests; Close ends that
-// and returns it to ready. Leave takes a member out at once.
+// Kinds of orders. Stage loads weights onto the VM's host. Join makes the VM a member of a
+// replica. Open makes a ready serving member accept requests; Close returns it to ready.
+// Leave removes a member at once.
 const (
 	Stage OrderKind = "stage"
 	Join  OrderKind = "join"
@@ -27,26 +27,28 @@
 	Leave OrderKind = "leave"
 )
 
-// Order is one order to one VM.
+// Order is a command to one VM.
 type Order struct {
 	Kind  OrderKind
 	Fence cluster.Fence
-	// Replica and Epoch name the replica of all kinds but Stage.
+	// Replica and Epoch identify the replica; unset for Stage.
 	Replica string
 	Epoch   int64
-	// Model is what Stage and Join load; Members are the VMs of a Join, the
-	// serving one first.
+	// Model is the model that Stage and Join load. Members lists the VMs of a Join, the
+	// serving member first.
 	Model   string
 	Members []cluster.VMID
-	// Graceful has a Close let running requests end; without it they are cut.
+	// Graceful makes Close wait for running requests; otherwise they are canceled.
 	Graceful bool
 }
 
-// Response is what a VM said to an order.
+// Response is a VM's response to an order.
 type Response string
 
-// Answers. Conflict: the order does not fit the VM's state. Fenced: the VM has seen
-// a higher fencing number or epoch. WrongVM: another VM has the address.
+// Responses to orders. Accepted: the VM has started to execute the order. Done: the order has
+// been executed or was already in effect. Conflict: the order does not apply in the VM's
+// state. Fenced: the VM has seen a higher fencing number or epoch. WrongVM: another VM
+// responded at the address. Invalid: the VM rejected the order as malformed.
 const (
 	Accepted Response = "begun"
 	Done     Response = "done"
@@ -56,55 +58,56 @@
 	Invalid  Response = "invalid"
 )
 
-// Input is what a Machine looks at in one step.
+// Input holds the observations for one step of a Machine.
 type Input struct {
 	Now   time.Time
 	List  fleet.List
 	Rules *rules.Set
-	// UnmeteredLoads is true while loads do not count yet: nobody has sent a request.
+	// UnmeteredLoads is true before the first request of a deployment, while loads do not count
+	// against the weight store's limits.
 	UnmeteredLoads bool
-	// LeaseRemaining is how long this holder may still act.
+	// LeaseRemaining is how much longer this holder may act.
 	LeaseRemaining time.Duration
-	// Stalled are replicas that stand still as callers' requests show.
+	// Stalled holds the replicas reported as stalled because requests on them make no progress.
 	Stalled map[cluster.ReplicaID]bool
-	// OrderResults are the orders whose outcome came since the last step.
+	// OrderResults are the results of orders received since the last step.
 	OrderResults []OrderResult
-	// Unresponsive are listed VMs that probes found not to answer, Answering those that the
-	// list lacks and that answered.
-	Unresponsive       []fleet.Server
+	// Unresponsive are listed VMs that did not respond to probes.
+	Unresponsive []fleet.Server
+	// RespondingUnlisted are VMs missing from the list that responded to probes.
 	RespondingUnlisted []cluster.VMID
 }
 
-// OrderResult is an order with what came of it.
+// OrderResult is the result of sending one order.
 type OrderResult struct {
-	// To is the VM as it was listed when the order was sent.
-	To     fleet.Server
-	Order  Order
+	// To is the VM's list entry at the time of sending.
+	To       fleet.Server
+	Order    Order
 	Response Response
-	// Err is set when no answer came; the order may still be carried out.
+	// Err is set if there was no response; the order may still be executed.
 	Err error
-	// NotSent is true when the order did not leave this node.
+	// NotSent is true if the order did not leave this node.
 	NotSent bool
-	// At is when the answer came.
+	// At is the time of the response or error.
 	At time.Time
 }
 
-// Output is what a step asks to be done.
+// Output holds the orders and probes that a step requests.
 type Output struct {
 	SendOrders []OutgoingOrder
-	// ProbeReplicas are replicas whose members are to be probed.
+	// ProbeReplicas are stalled replicas whose members are to be probed.
 	ProbeReplicas []ReplicaProbe
-	// ProbeUnlisted are VMs that the list lacks, to be probed.
+	// ProbeUnlisted are VMs to be probed that are missing from the list.
 	ProbeUnlisted []fleet.Server
 }
 
-// OutgoingOrder is an order with its VM.
+// OutgoingOrder is an order and the VM to send it to.
 type OutgoingOrder struct {
 	To    fleet.Server
 	Order Order
 }
 
-// ReplicaProbe is a replica with the members to probe.
+// ReplicaProbe is a request to probe the listed members of a replica.
 type ReplicaProbe struct {
 	Replica cluster.ReplicaID
 	Members []fleet.Server
--- a/internal/lifecycle/quiescence_test.go
+++ b/internal/lifecycle/quiescence_test.go
@@ -12,7 +12,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// countingPolicy counts how often it is asked for a plan.
+// countingPolicy counts calls of Plan.
 type countingPolicy struct {
 	placement.Policy
 	plans int
@@ -23,29 +23,29 @@
 	return c.Policy.Plan(in, now)
 }
 
-// settledFleet is a machine of a fleet whose replicas were all formed.
-func settledFleet(t *testing.T, vms int) (*Machine, *countingPolicy, fleet.List, time.Time) {
+// newSettledFleet returns a machine of a fleet whose replicas are all formed.
+func newSettledFleet(t *testing.T, vms int) (*Machine, *countingPolicy, fleet.List, time.Time) {
 	t.Helper()
 	now := time.Unix(1000, 0)
-	list := fleetOf(vms, now)
+	list := newFleetList(vms, now)
 	policy := &countingPolicy{Policy: placement.Mix{}}
 	m := newBenchMachine(list)
 	m.opts.Policy = policy
-	var answered []OrderResult
+	var results []OrderResult
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		list.Changed++
-		answered = carryOut(&list, m.Step(benchInput(list, now, answered)), now)
+		results = applyOrders(&list, m.Step(benchInput(list, now, results)), now)
 	}
-	require.Empty(t, answered)
+	require.Empty(t, results)
 	policy.plans = 0
 	return m, policy, list, now
 }
 
-// The holder of a large fleet must not spend its share of a core on looking at VMs that did not change.
+// Guards against the holder of a large fleet using processor time to replan VMs that did not change.
 func TestNothingIsPlannedWhileNothingChanges(t *testing.T) {
 	for _, vms := range []int{1095, 4500} {
-		m, policy, list, now := settledFleet(t, vms)
+		m, policy, list, now := newSettledFleet(t, vms)
 		for range 100 {
 			now = now.Add(100 * time.Millisecond)
 			m.Step(benchInput(list, now, nil))
@@ -54,17 +54,17 @@
 	}
 }
 
-// A holder that settled must still act on whatever comes.
+// Guards against a quiescent holder ignoring new input of any kind.
 func TestAnythingNewIsPlannedFor(t *testing.T) {
 	for name, change := range map[string]func(in *Input){
-		"list":      func(in *Input) { in.List.Changed++ },
-		"rules":     func(in *Input) { in.Rules = rules.Assemble(rules.Set{Groups: twoModels.Groups}) },
-		"loads":     func(in *Input) { in.UnmeteredLoads = false },
-		"silent":    func(in *Input) { in.Unresponsive = in.List.Servers[:1] },
-		"suspected": func(in *Input) { in.Stalled = map[cluster.ReplicaID]bool{"large/1.1": true} },
+		"list":    func(in *Input) { in.List.Changed++ },
+		"rules":   func(in *Input) { in.Rules = rules.Assemble(rules.Set{Groups: twoModels.Groups}) },
+		"loads":   func(in *Input) { in.UnmeteredLoads = false },
+		"silent":  func(in *Input) { in.Unresponsive = in.List.Servers[:1] },
+		"stalled": func(in *Input) { in.Stalled = map[cluster.ReplicaID]bool{"large/1.1": true} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, policy, list, now := settledFleet(t, 2*fabricDomain)
+			m, policy, list, now := newSettledFleet(t, 2*vmsPerDomain)
 			m.Step(benchInput(list, now, nil))
 			policy.plans = 0
 			in := benchInput(list, now, nil)
--- a/internal/lifecycle/sightings.go
+++ b/internal/lifecycle/sightings.go
@@ -7,55 +7,54 @@
 	"github.com/fennelcourse/fennelcourse/internal/fleet"
 )
 
-// sighting is how the holder last saw a VM in the list.
-type sighting struct {
-	born       time.Time
-	membership *fleet.Membership
-	// unlistedAt is when the VM was first missing from the list; zero while it is there.
+// vmObservation is a VM's state when the holder last saw it in the list.
+type vmObservation struct {
+	processStart time.Time
+	membership   *fleet.Membership
+	// unlistedAt is when the VM was first missing from the list; zero while it is listed.
 	unlistedAt time.Time
-	// look is when it was last listed, as the number of the look.
-	look int64
+	// observation is the value of Machine.observations when the VM was last listed.
+	observation int64
 }
 
-// logSightings writes a line for each VM that left the list, came back to it, or was
-// started anew, with the start of its process: it tells afterwards whether a VM that
-// came back is the process that went.
-func (m *Machine) logSightings(list fleet.List, now time.Time) {
-	m.looks++
+// logVMChanges logs each VM that left the list, returned to it or was restarted, with the start
+// time of its process, which shows whether a VM that returned is still the same process.
+func (m *Machine) logVMChanges(list fleet.List, now time.Time) {
+	m.observations++
 	for i := range list.Servers {
 		s := &list.Servers[i]
-		before, known := m.sightings[s.ID]
+		previous, known := m.observedVMs[s.ID]
 		switch {
-		case !known && m.sightingsAt.IsZero():
+		case !known && m.observedAt.IsZero():
 		case !known:
-			m.logSighting("listed", s.ID, s.Born, s.Membership, list, "draining", s.Draining)
-		case !before.unlistedAt.IsZero():
-			m.logSighting("listed-again", s.ID, s.Born, s.Membership, list, "born_before", before.born,
-				"same_process", s.Born.Equal(before.born), "away", now.Sub(before.unlistedAt))
-		case !s.Born.Equal(before.born):
-			m.logSighting("started-anew", s.ID, s.Born, s.Membership, list, "born_before", before.born)
+			m.logVMChange("listed", s.ID, s.Born, s.Membership, list, "draining", s.Draining)
+		case !previous.unlistedAt.IsZero():
+			m.logVMChange("listed-again", s.ID, s.Born, s.Membership, list, "born_before", previous.processStart,
+				"same_process", s.Born.Equal(previous.processStart), "away", now.Sub(previous.unlistedAt))
+		case !s.Born.Equal(previous.processStart):
+			m.logVMChange("restarted", s.ID, s.Born, s.Membership, list, "born_before", previous.processStart)
 		}
-		m.sightings[s.ID] = sighting{born: s.Born, membership: s.Membership, look: m.looks}
+		m.observedVMs[s.ID] = vmObservation{processStart: s.Born, membership: s.Membership, observation: m.observations}
 	}
-	for vm, s := range m.sightings {
+	for vm, s := range m.observedVMs {
 		switch {
-		case s.look == m.looks:
+		case s.observation == m.observations:
 		case s.unlistedAt.IsZero():
 			s.unlistedAt = now
-			m.sightings[vm] = s
-			m.logSighting("unlisted", vm, s.born, s.membership, list)
-		case now.Sub(s.unlistedAt) > forgetAfter:
-			delete(m.sightings, vm)
+			m.observedVMs[vm] = s
+			m.logVMChange("unlisted", vm, s.processStart, s.membership, list)
+		case now.Sub(s.unlistedAt) > unlistedRetention:
+			delete(m.observedVMs, vm)
 		}
 	}
-	m.sightingsAt = now
+	m.observedAt = now
 }
 
-func (m *Machine) logSighting(change string, vm cluster.VMID, born time.Time, membership *fleet.Membership, list fleet.List, more ...any) {
+func (m *Machine) logVMChange(change string, vm cluster.VMID, processStart time.Time, membership *fleet.Membership, list fleet.List, extra ...any) {
 	replica, state := cluster.ReplicaID(""), fleet.State("")
 	if membership != nil {
 		replica, state = fleet.ReplicaID(membership.Replica, membership.Epoch), membership.State
 	}
-	fields := []any{"change", change, "vm", vm, "born", born, "replica", replica, "state", state, "list_revision", list.Revision}
-	m.opts.Log.Info("vm", append(fields, more...)...)
+	fields := []any{"change", change, "vm", vm, "born", processStart, "replica", replica, "state", state, "list_revision", list.Revision}
+	m.opts.Log.Info("vm", append(fields, extra...)...)
 }
--- a/internal/lifecycle/transitions.go
+++ b/internal/lifecycle/transitions.go
@@ -7,11 +7,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// phase is where a replica stands in this holder's records.
+// phase is the state of a replica in this holder's records.
 type phase string
 
-// Phases. A replica without a record is listed: it serves, or nobody acts on it, and
-// what its members say in the list is all that is known.
+// Phases. A replica without a record is listed: it serves, or needs no action, and its
+// members' list entries are all that is known of it.
 const (
 	phaseListed  phase = "listed"
 	phaseJoining phase = "joining"
@@ -20,39 +20,39 @@
 	phaseEnded   phase = "ended"
 )
 
-// transition is a change of phase that may happen. One that frees VMs names the
-// evidence that it takes.
+// transition is an allowed change of phase. A transition that releases VMs names the kinds
+// of evidence that it requires.
 type transition struct {
-	from, to phase
-	when     string
-	evidence []evidenceKind
+	from, to  phase
+	condition string
+	evidence  []evidenceKind
 }
 
-// transitions are all changes of phase that may happen.
+// transitions lists every allowed change of phase.
 var transitions = []transition{
-	{from: phaseListed, to: phaseJoining, when: "the policy forms it; join orders go out"},
-	{from: phaseListed, to: phaseOpening, when: "it is ready and an earlier holder formed it, or it was closed"},
-	{from: phaseListed, to: phaseEnding, when: "the policy breaks it up"},
-	{from: phaseJoining, to: phaseOpening, when: "every member is ready; the open order goes out"},
-	{from: phaseJoining, to: phaseEnded, when: "a member is lost or not ready in time", evidence: []evidenceKind{neverOpened}},
-	{from: phaseOpening, to: phaseListed, when: "the head says that it is open"},
-	{from: phaseOpening, to: phaseEnding, when: "a member is lost, or the head does not open in time"},
-	{from: phaseEnding, to: phaseEnded, when: "the head is known to serve no more", evidence: []evidenceKind{headLeft, headStopped}},
-	{from: phaseEnding, to: phaseListed, when: "no member has been listed for long"},
-	{from: phaseEnded, to: phaseListed, when: "no member names it any more, or its head serves again"},
+	{from: phaseListed, to: phaseJoining, condition: "the policy forms the replica; join orders are sent"},
+	{from: phaseListed, to: phaseOpening, condition: "the replica is ready and was formed by an earlier holder, or was closed"},
+	{from: phaseListed, to: phaseEnding, condition: "the policy breaks up the replica"},
+	{from: phaseJoining, to: phaseOpening, condition: "every member is ready; the open order is sent"},
+	{from: phaseJoining, to: phaseEnded, condition: "a member is lost or not ready in time", evidence: []evidenceKind{evidenceNeverOpened}},
+	{from: phaseOpening, to: phaseListed, condition: "the head reports open"},
+	{from: phaseOpening, to: phaseEnding, condition: "a member is lost, or the head does not open in time"},
+	{from: phaseEnding, to: phaseEnded, condition: "the head is known to have stopped serving", evidence: []evidenceKind{evidenceHeadLeft, evidenceHeadStopped}},
+	{from: phaseEnding, to: phaseListed, condition: "no member has been listed for unlistedRetention"},
+	{from: phaseEnded, to: phaseListed, condition: "no member reports the replica any longer, or its head serves again"},
 }
 
-// record is what the holder keeps of a replica; which part is set follows from phase.
+// record is the holder's state of one replica; phase determines which pointer is set.
 type record struct {
 	phase phase
-	// forming is set while joining and opening.
-	forming *forming
-	ending  *ending
-	ended   *ended
+	// forming is set in phaseJoining and phaseOpening.
+	forming *formingReplica
+	ending  *endingReplica
+	ended   *endedReplica
 }
 
-// allowed returns the transition between two phases, nil if there is none.
-func allowed(from, to phase) *transition {
+// findTransition returns the transition between two phases, or nil if it is not allowed.
+func findTransition(from, to phase) *transition {
 	for i := range transitions {
 		if transitions[i].from == from && transitions[i].to == to {
 			return &transitions[i]
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// phaseOf is the replica's phase.
+// phaseOf returns the replica's phase.
 func (m *Machine) phaseOf(id cluster.ReplicaID) phase {
 	if r := m.records[id]; r != nil {
 		return r.phase
@@ -69,12 +69,12 @@
 	return phaseListed
 }
 
-// move changes a replica's phase. A change that the table doesn't have, or one that
-// lacks its evidence, is a fault of this package: it is logged and not made.
-func (m *Machine) move(id cluster.ReplicaID, next record) bool {
+// setPhase changes a replica's phase. A change that is not in the table, or that lacks the
+// required evidence, is a bug in this package: it is logged and rejected.
+func (m *Machine) setPhase(id cluster.ReplicaID, next record) bool {
 	from := m.phaseOf(id)
-	t := allowed(from, next.phase)
-	if t == nil || len(t.evidence) > 0 && (next.ended == nil || !slices.Contains(t.evidence, next.ended.why.kind)) {
+	t := findTransition(from, next.phase)
+	if t == nil || len(t.evidence) > 0 && (next.ended == nil || !slices.Contains(t.evidence, next.ended.evidence.kind)) {
 		m.opts.Log.Error("transition refused", "replica", id, "from", from, "to", next.phase)
 		return false
 	}
@@ -86,8 +86,8 @@
 	return true
 }
 
-// inPhase are the replicas in a phase, in order.
-func (m *Machine) inPhase(phases ...phase) (ids []cluster.ReplicaID) {
+// replicasInPhase returns the ids of the replicas in any of the phases, sorted.
+func (m *Machine) replicasInPhase(phases ...phase) (ids []cluster.ReplicaID) {
 	for _, id := range slices.Sorted(maps.Keys(m.records)) {
 		if slices.Contains(phases, m.records[id].phase) {
 			ids = append(ids, id)
@@ -96,16 +96,16 @@
 	return ids
 }
 
-// endingOf is the ending of a replica, nil if it is not in that phase.
-func (m *Machine) endingOf(id cluster.ReplicaID) *ending {
+// endingOf returns the shutdown state of a replica, or nil if it is not in phaseEnding.
+func (m *Machine) endingOf(id cluster.ReplicaID) *endingReplica {
 	if r := m.records[id]; r != nil {
 		return r.ending
 	}
 	return nil
 }
 
-// formingOf is the forming of a replica, nil if it is not in such a phase.
-func (m *Machine) formingOf(id cluster.ReplicaID) *forming {
+// formingOf returns the formation state of a replica, or nil if it is neither joining nor opening.
+func (m *Machine) formingOf(id cluster.ReplicaID) *formingReplica {
 	if r := m.records[id]; r != nil {
 		return r.forming
 	}
--- a/internal/lifecycle/vm_test.go
+++ b/internal/lifecycle/vm_test.go
@@ -8,60 +8,60 @@
 	"github.com/fennelcourse/fennelcourse/internal/fleet"
 )
 
-// Times of a VM, as the users publish them.
+// Timing of a VM according to the users' published protocol.
 const (
-	vmBeat       = 1200 * time.Millisecond
-	vmLapse      = 3 * vmBeat
-	vmRejoin     = 200 * time.Millisecond
-	vmWarm       = time.Second
-	vmCold       = 4 * time.Second
-	vmForm       = 300 * time.Millisecond
-	vmStall      = 5 * time.Second
-	vmDrain      = 4 * time.Second
-	vmClose      = 500 * time.Millisecond
-	vmRetainsFor = 1 // models that a host keeps
+	vmHeartbeat       = 1200 * time.Millisecond
+	vmEntryTTL        = 3 * vmHeartbeat
+	vmRejoinTime      = 200 * time.Millisecond
+	vmWarmLoad        = time.Second
+	vmColdLoad        = 4 * time.Second
+	vmOpenTime        = 300 * time.Millisecond
+	vmStallTimeout    = 5 * time.Second
+	vmDrainTime       = 4 * time.Second
+	vmCloseTime       = 500 * time.Millisecond
+	vmMaxStagedModels = 1 // models that a host keeps staged
 )
 
-// modelVM is a VM as the published protocol describes it.
-type modelVM struct {
-	id     cluster.VMID
-	domain cluster.DomainID
-	born   time.Time
-	// alive is false for good once the VM has crashed.
+// simulatedVM simulates a VM according to the published protocol.
+type simulatedVM struct {
+	id           cluster.VMID
+	domain       cluster.DomainID
+	processStart time.Time
+	// alive is false once the VM has crashed permanently.
 	alive bool
-	// frozen VMs refuse connections, write no entry and keep their state.
+	// frozen VMs refuse connections, do not write their entry and keep their state.
 	frozen bool
-	// cutStore VMs write no entry; silent ones hear nothing of the holder; mute ones
-	// carry orders out and their answers are lost; late ones queue orders, which may be
-	// carried out after newer ones.
-	cutStore, silent, mute, late bool
-	queue                        []Order
-	drainedAt                    time.Time
+	// storeDisconnected VMs do not write their entry; holderDisconnected ones receive nothing from the
+	// holder; the responses of dropsResponses ones are lost; delaysOrders ones queue orders, which may
+	// be executed after newer ones.
+	storeDisconnected, holderDisconnected, dropsResponses, delaysOrders bool
+	delayedOrders                                                       []Order
+	drainedAt                                                           time.Time
 
 	member  *fleet.Membership
 	members []cluster.VMID
-	// dueAt is when the membership's next state comes; zero if none does.
-	dueAt time.Time
-	// stalledSince is since when a member is lost; zero while all are there.
+	// nextStateAt is when the membership's next state change is due; zero if none is.
+	nextStateAt time.Time
+	// stalledSince is when the head lost a member; zero while it has all of them.
 	stalledSince time.Time
 	lastModel    string
 	staged       []string
 	stagedAt     time.Time
 	staging      string
-	epochSeen    int64
-	fenceSeen    cluster.Fence
+	highestEpoch int64
+	highestFence cluster.Fence
 
-	beatAt time.Time
+	heartbeatAt time.Time
 }
 
-func (v *modelVM) runs() bool { return v.alive && !v.frozen }
+func (v *simulatedVM) running() bool { return v.alive && !v.frozen }
 
 // in reports whether the VM is a member of the replica.
-func (v *modelVM) in(id cluster.ReplicaID) bool { return v.entry().In(id) }
+func (v *simulatedVM) in(id cluster.ReplicaID) bool { return v.entry().In(id) }
 
-// entry is what the VM says of itself.
-func (v *modelVM) entry() fleet.Server {
-	s := fleet.Server{ID: v.id, Service: "models", Domain: v.domain, Slots: 8, Born: v.born, Draining: !v.drainedAt.IsZero(),
+// entry returns the VM's list entry.
+func (v *simulatedVM) entry() fleet.Server {
+	s := fleet.Server{ID: v.id, Service: "models", Domain: v.domain, Slots: 8, Born: v.processStart, Draining: !v.drainedAt.IsZero(),
 		Staged: slices.Clone(v.staged), Model: v.lastModel}
 	if v.member != nil {
 		m := *v.member
@@ -70,28 +70,29 @@
 	return s
 }
 
-// restart begins the VM's process anew under its id.
-func (v *modelVM) restart(now time.Time) {
-	*v = modelVM{id: v.id, domain: v.domain, alive: true, born: now, staged: v.staged, beatAt: now,
-		cutStore: v.cutStore, silent: v.silent, mute: v.mute, late: v.late}
+// restart replaces the VM's process by a new one under the same id.
+func (v *simulatedVM) restart(now time.Time) {
+	*v = simulatedVM{id: v.id, domain: v.domain, alive: true, processStart: now, staged: v.staged, heartbeatAt: now,
+		storeDisconnected: v.storeDisconnected, holderDisconnected: v.holderDisconnected, dropsResponses: v.dropsResponses, delaysOrders: v.delaysOrders}
 }
 
-// replace puts a new VM without weights in the place of one that is gone.
-func (v *modelVM) replace(now time.Time) {
-	*v = modelVM{id: v.id + "n", domain: v.domain, alive: true, born: now, beatAt: now}
+// replace replaces a crashed VM by a new one without weights.
+func (v *simulatedVM) replace(now time.Time) {
+	*v = simulatedVM{id: v.id + "n", domain: v.domain, alive: true, processStart: now, heartbeatAt: now}
 }
 
-// carryOut does an order at now and returns the answer; loads counts the loads that it begins.
-func (v *modelVM) carryOut(o Order, now time.Time, loads *int) Response {
-	if o.Fence < v.fenceSeen {
+// execute executes an order at now and returns the response. It adds the loads that it starts to
+// loads.
+func (v *simulatedVM) execute(o Order, now time.Time, loads *int) Response {
+	if o.Fence < v.highestFence {
 		return Fenced
 	}
-	v.fenceSeen = o.Fence
+	v.highestFence = o.Fence
 	id := fleet.ReplicaID(o.Replica, o.Epoch)
 	switch o.Kind {
 	case Stage:
 		if !slices.Contains(v.staged, o.Model) && v.staging != o.Model {
-			v.staging, v.stagedAt = o.Model, now.Add(vmCold)
+			v.staging, v.stagedAt = o.Model, now.Add(vmColdLoad)
 			*loads++
 		}
 		return Accepted
@@ -104,13 +105,13 @@
 		case v.member.State != fleet.Ready:
 			return Done
 		}
-		v.dueAt = now.Add(vmForm)
+		v.nextStateAt = now.Add(vmOpenTime)
 		return Accepted
 	case Close:
 		if !v.in(id) || v.member.State != fleet.Open {
 			return Conflict
 		}
-		v.member.State, v.dueAt = fleet.Closing, now.Add(vmClose)
+		v.member.State, v.nextStateAt = fleet.Closing, now.Add(vmCloseTime)
 		return Accepted
 	case Leave:
 		if v.in(id) {
@@ -121,14 +122,14 @@
 	return Invalid
 }
 
-func (v *modelVM) leave() {
-	v.member, v.members, v.dueAt, v.stalledSince = nil, nil, time.Time{}, time.Time{}
+func (v *simulatedVM) leave() {
+	v.member, v.members, v.nextStateAt, v.stalledSince = nil, nil, time.Time{}, time.Time{}
 }
 
-func (v *modelVM) join(o Order, now time.Time, loads *int) Response {
+func (v *simulatedVM) join(o Order, now time.Time, loads *int) Response {
 	id := fleet.ReplicaID(o.Replica, o.Epoch)
 	switch {
-	case o.Epoch < v.epochSeen:
+	case o.Epoch < v.highestEpoch:
 		return Fenced
 	case v.in(id) && !slices.Equal(v.members, o.Members):
 		return Fenced
@@ -136,40 +137,40 @@
 		return Done
 	}
 	v.leave()
-	v.epochSeen = o.Epoch
+	v.highestEpoch = o.Epoch
 	v.members = slices.Clone(o.Members)
 	v.member = &fleet.Membership{Replica: o.Replica, Epoch: o.Epoch, Rank: slices.Index(o.Members, v.id), State: fleet.Joining}
 	switch {
 	case v.lastModel == o.Model:
-		v.dueAt = now.Add(vmRejoin)
+		v.nextStateAt = now.Add(vmRejoinTime)
 	case slices.Contains(v.staged, o.Model):
-		v.dueAt = now.Add(vmWarm)
+		v.nextStateAt = now.Add(vmWarmLoad)
 	default:
 		*loads++
-		v.dueAt = now.Add(vmCold)
-		v.staging, v.stagedAt = o.Model, v.dueAt
+		v.nextStateAt = now.Add(vmColdLoad)
+		v.staging, v.stagedAt = o.Model, v.nextStateAt
 	}
 	return Accepted
 }
 
-// advance brings the VM's own steps that are due.
-func (v *modelVM) advance(now time.Time, lost func(*modelVM) bool) {
-	if !v.drainedAt.IsZero() && now.Sub(v.drainedAt) > vmDrain {
+// advance executes the VM's state changes that are due.
+func (v *simulatedVM) advance(now time.Time, lost func(*simulatedVM) bool) {
+	if !v.drainedAt.IsZero() && now.Sub(v.drainedAt) > vmDrainTime {
 		v.alive = false
 	}
-	if !v.runs() {
+	if !v.running() {
 		return
 	}
 	if v.staging != "" && !now.Before(v.stagedAt) {
 		v.staged = append([]string{v.staging}, v.staged...)
-		v.staged = v.staged[:min(len(v.staged), vmRetainsFor)]
+		v.staged = v.staged[:min(len(v.staged), vmMaxStagedModels)]
 		v.staging = ""
 	}
 	if v.member == nil {
 		return
 	}
-	if !v.dueAt.IsZero() && !now.Before(v.dueAt) {
-		v.dueAt = time.Time{}
+	if !v.nextStateAt.IsZero() && !now.Before(v.nextStateAt) {
+		v.nextStateAt = time.Time{}
 		switch v.member.State {
 		case fleet.Joining:
 			v.member.State, v.lastModel = fleet.Ready, fleet.ModelOf(v.member.Replica)
@@ -179,11 +180,11 @@
 			v.member.State = fleet.Ready
 		}
 	}
-	v.stall(now, lost(v))
+	v.checkStall(now, lost(v))
 }
 
-// stall breaks the VM's replica when it has lacked a member for long.
-func (v *modelVM) stall(now time.Time, lost bool) {
+// checkStall marks the VM's replica broken once it has lacked a member for vmStallTimeout.
+func (v *simulatedVM) checkStall(now time.Time, lost bool) {
 	serves := v.member.State == fleet.Open || v.member.State == fleet.Closing
 	if !serves || !lost {
 		v.stalledSince = time.Time{}
@@ -192,15 +193,15 @@
 	if v.stalledSince.IsZero() {
 		v.stalledSince = now
 	}
-	if now.Sub(v.stalledSince) >= vmStall {
-		v.member.State, v.dueAt = fleet.Broken, time.Time{}
+	if now.Sub(v.stalledSince) >= vmStallTimeout {
+		v.member.State, v.nextStateAt = fleet.Broken, time.Time{}
 	}
 }
 
-// clone returns a copy that shares nothing that changes.
-func (v *modelVM) clone() *modelVM {
+// clone returns a copy that shares no mutable state.
+func (v *simulatedVM) clone() *simulatedVM {
 	c := *v
-	c.queue, c.members, c.staged = slices.Clone(v.queue), slices.Clone(v.members), slices.Clone(v.staged)
+	c.delayedOrders, c.members, c.staged = slices.Clone(v.delayedOrders), slices.Clone(v.members), slices.Clone(v.staged)
 	if v.member != nil {
 		m := *v.member
 		c.member = &m
--- a/internal/lifecycle/world_test.go
+++ b/internal/lifecycle/world_test.go
@@ -19,34 +19,34 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// worldTick is the time between two looks of the holder.
-const worldTick = 100 * time.Millisecond
-
-// world is a holder before VMs, in its own time.
-type world struct {
-	now   time.Time
-	set   *rules.Set
-	free  bool
-	vms   []*modelVM
-	fence cluster.Fence
-	// machine is the holder's; seen are the servers as its node saw them.
-	machine *Machine
-	seen    map[cluster.VMID]fleet.Server
-	list    fleet.List
-	stale   bool
-	next    Input
-	// pending are orders without an answer, told as such once they time out.
+// simulationStep is the time between two steps of the holder.
+const simulationStep = 100 * time.Millisecond
+
+// simulation simulates a holder and VMs on a virtual clock.
+type simulation struct {
+	now            time.Time
+	rules          *rules.Set
+	unmeteredLoads bool
+	vms            []*simulatedVM
+	fence          cluster.Fence
+	// machine is the holder's; lastListed holds the last list entries that the holder's node saw.
+	machine    *Machine
+	lastListed map[cluster.VMID]fleet.Server
+	list       fleet.List
+	listStale  bool
+	next       Input
+	// pending holds orders without a response, whose timeouts are reported when due.
 	pending []pendingOrder
-	// ready has who was ever ready in which replica.
-	ready map[readyKey]bool
-	// loadsAt are the starts of loads that count.
-	loadsAt   []time.Time
-	violation string
+	// everReady records which VM was ever ready in which replica.
+	everReady map[readyKey]bool
+	// loadStarts holds the start times of metered loads.
+	loadStarts []time.Time
+	violation  string
 }
 
 type pendingOrder struct {
-	at      time.Time
-	outcome OrderResult
+	deadline time.Time
+	result   OrderResult
 }
 
 type readyKey struct {
@@ -54,48 +54,48 @@
 	vm      cluster.VMID
 }
 
-// worldOptions sets up a world.
-type worldOptions struct {
+// simulationOptions configures a simulation.
+type simulationOptions struct {
 	domains, vms int
-	// size is the number of VMs in a replica.
+	// size is the number of VMs of a replica.
 	size int
-	// cold worlds load weights at a bounded rate.
-	cold bool
+	// coldStart makes VMs start without weights, which then load at a limited rate.
+	coldStart bool
 }
 
-func newWorld(o worldOptions) *world {
-	group := rules.Group{Name: "m", Model: "m", VMs: o.size, SameDomain: true, Servers: "models", ColdLoad: vmCold, WarmLoad: vmWarm}
-	w := &world{now: time.Unix(1000, 0), set: rules.Assemble(rules.Set{Groups: []rules.Group{group}}), free: !o.cold, fence: 1,
-		seen: make(map[cluster.VMID]fleet.Server), ready: make(map[readyKey]bool)}
-	if o.cold {
-		w.set.Weights = rules.WeightStore{LoadsPerSecond: 1.25, LoadsAtOnce: 12}
+func newSimulation(o simulationOptions) *simulation {
+	group := rules.Group{Name: "m", Model: "m", VMs: o.size, SameDomain: true, Servers: "models", ColdLoad: vmColdLoad, WarmLoad: vmWarmLoad}
+	sim := &simulation{now: time.Unix(1000, 0), rules: rules.Assemble(rules.Set{Groups: []rules.Group{group}}), unmeteredLoads: !o.coldStart, fence: 1,
+		lastListed: make(map[cluster.VMID]fleet.Server), everReady: make(map[readyKey]bool)}
+	if o.coldStart {
+		sim.rules.Weights = rules.WeightStore{LoadsPerSecond: 1.25, LoadsAtOnce: 12}
 	}
 	for d := range o.domains {
 		for i := range o.vms {
-			at := w.now.Add(-time.Duration(i) * 250 * time.Millisecond)
-			w.vms = append(w.vms, &modelVM{id: cluster.VMID(fmt.Sprintf("vm-%02d-%02d", d, i)), domain: cluster.DomainID(fmt.Sprint("d", d)),
-				alive: true, born: w.now, beatAt: at})
-			if !o.cold {
-				w.vms[len(w.vms)-1].staged = []string{"m"}
+			at := sim.now.Add(-time.Duration(i) * 250 * time.Millisecond)
+			sim.vms = append(sim.vms, &simulatedVM{id: cluster.VMID(fmt.Sprintf("vm-%02d-%02d", d, i)), domain: cluster.DomainID(fmt.Sprint("d", d)),
+				alive: true, processStart: sim.now, heartbeatAt: at})
+			if !o.coldStart {
+				sim.vms[len(sim.vms)-1].staged = []string{"m"}
 			}
 		}
 	}
-	w.handOver()
-	return w
+	sim.handOver()
+	return sim
 }
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
-// handOver has another node take the lease: it knows only what is listed now.
-func (w *world) handOver() {
-	w.fence++
-	w.stale, w.next, w.pending = false, Input{}, nil
-	w.seen = make(map[cluster.VMID]fleet.Server)
-	w.machine = NewMachine(Options{Scope: "here", Fence: w.fence, Policy: placement.Mix{}, Log: quiet, LastListed: w.seen})
+// handOver gives the lease to another node, which knows only what is listed now.
+func (sim *simulation) handOver() {
+	sim.fence++
+	sim.listStale, sim.next, sim.pending = false, Input{}, nil
+	sim.lastListed = make(map[cluster.VMID]fleet.Server)
+	sim.machine = NewMachine(Options{Scope: "here", Fence: sim.fence, Policy: placement.Mix{}, Log: discardLogger, LastListed: sim.lastListed})
 }
 
-func (w *world) find(id cluster.VMID) *modelVM {
-	for _, v := range w.vms {
+func (sim *simulation) find(id cluster.VMID) *simulatedVM {
+	for _, v := range sim.vms {
 		if v.id == id {
 			return v
 		}
@@ -103,268 +103,268 @@
 	return nil
 }
 
-// lostTo reports whether a head lacks a member.
-func (w *world) lostTo(head *modelVM) bool {
+// hasLostMember reports whether a head has lost a member.
+func (sim *simulation) hasLostMember(head *simulatedVM) bool {
 	id := fleet.ReplicaID(head.member.Replica, head.member.Epoch)
 	return slices.ContainsFunc(head.members, func(vm cluster.VMID) bool {
-		v := w.find(vm)
-		return v == nil || !v.runs() || !v.in(id)
+		v := sim.find(vm)
+		return v == nil || !v.running() || !v.in(id)
 	})
 }
 
-// tick advances the world by one look of the holder. It reports whether anything
-// happened that a fault could interleave with.
-func (w *world) tick() (eventful bool) {
-	w.now = w.now.Add(worldTick)
-	for _, v := range w.vms {
-		v.advance(w.now, w.lostTo)
-		w.noteReady(v)
-	}
-	eventful = w.publish()
-	for _, s := range w.list.Servers {
-		w.seen[s.ID] = s
-	}
-	w.timeOut()
-	in := w.next
-	w.next = Input{}
-	in.Now, in.Rules, in.UnmeteredLoads, in.LeaseRemaining, in.List = w.now, w.set, w.free, time.Hour, w.list
-	out := w.machine.Step(in)
+// step advances the simulation by one step of the holder. It reports whether an event occurred that
+// a fault could interleave with.
+func (sim *simulation) step() (eventful bool) {
+	sim.now = sim.now.Add(simulationStep)
+	for _, v := range sim.vms {
+		v.advance(sim.now, sim.hasLostMember)
+		sim.recordReady(v)
+	}
+	eventful = sim.publish()
+	for _, s := range sim.list.Servers {
+		sim.lastListed[s.ID] = s
+	}
+	sim.expireOrders()
+	in := sim.next
+	sim.next = Input{}
+	in.Now, in.Rules, in.UnmeteredLoads, in.LeaseRemaining, in.List = sim.now, sim.rules, sim.unmeteredLoads, time.Hour, sim.list
+	out := sim.machine.Step(in)
 	for _, s := range out.SendOrders {
-		w.deliver(s)
+		sim.deliver(s)
 	}
 	for _, p := range out.ProbeUnlisted {
-		if v := w.find(p.ID); v != nil && v.runs() && !v.silent && !v.mute {
-			w.next.RespondingUnlisted = append(w.next.RespondingUnlisted, v.id)
+		if v := sim.find(p.ID); v != nil && v.running() && !v.holderDisconnected && !v.dropsResponses {
+			sim.next.RespondingUnlisted = append(sim.next.RespondingUnlisted, v.id)
 		}
 	}
 	return eventful || len(out.SendOrders) > 0 || len(in.OrderResults) > 0
 }
 
-func (w *world) noteReady(v *modelVM) {
-	if v.runs() && v.member != nil && v.member.State == fleet.Ready {
-		w.ready[readyKey{fleet.ReplicaID(v.member.Replica, v.member.Epoch), v.id}] = true
+func (sim *simulation) recordReady(v *simulatedVM) {
+	if v.running() && v.member != nil && v.member.State == fleet.Ready {
+		sim.everReady[readyKey{fleet.ReplicaID(v.member.Replica, v.member.Epoch), v.id}] = true
 	}
 }
 
-// publish brings the VMs' entries to the holder's list; it reports whether the list changed.
-func (w *world) publish() bool {
-	list := fleet.List{Revision: 1 << 40, ReadAt: w.now}
-	for _, v := range w.vms {
-		if v.runs() && !v.cutStore {
-			for w.now.Sub(v.beatAt) >= vmBeat {
-				v.beatAt = v.beatAt.Add(vmBeat)
+// publish updates the holder's list from the VMs' entries and reports whether it changed.
+func (sim *simulation) publish() bool {
+	list := fleet.List{Revision: 1 << 40, ReadAt: sim.now}
+	for _, v := range sim.vms {
+		if v.running() && !v.storeDisconnected {
+			for sim.now.Sub(v.heartbeatAt) >= vmHeartbeat {
+				v.heartbeatAt = v.heartbeatAt.Add(vmHeartbeat)
 			}
 			list.Servers = append(list.Servers, v.entry())
 			continue
 		}
-		if w.now.Sub(v.beatAt) < vmLapse {
-			if s := w.list.Find(v.id); s != nil {
+		if sim.now.Sub(v.heartbeatAt) < vmEntryTTL {
+			if s := sim.list.Find(v.id); s != nil {
 				list.Servers = append(list.Servers, *s)
 			}
 		}
 	}
-	if w.stale {
+	if sim.listStale {
 		return false
 	}
-	changed := !list.Same(w.list)
-	list.Changed = w.list.Changed
+	changed := !list.Same(sim.list)
+	list.Changed = sim.list.Changed
 	if changed || list.Changed == 0 {
 		list.Changed++
 	}
-	w.list = list
+	sim.list = list
 	return changed
 }
 
-// timeOut tells the holder of the orders that had no answer in time.
-func (w *world) timeOut() {
-	kept := w.pending[:0:0]
-	for _, p := range w.pending {
-		if w.now.Before(p.at) {
+// expireOrders reports orders without a response to the holder once they have timed out.
+func (sim *simulation) expireOrders() {
+	kept := sim.pending[:0:0]
+	for _, p := range sim.pending {
+		if sim.now.Before(p.deadline) {
 			kept = append(kept, p)
 			continue
 		}
-		w.next.OrderResults = append(w.next.OrderResults, p.outcome)
+		sim.next.OrderResults = append(sim.next.OrderResults, p.result)
 	}
-	w.pending = kept
+	sim.pending = kept
 }
 
-// deliver brings an order to its VM, or not.
-func (w *world) deliver(s OutgoingOrder) {
-	outcome := OrderResult{To: s.To, Order: s.Order, At: w.now}
-	v := w.find(s.To.ID)
+// deliver delivers an order to its VM, unless a fault prevents it.
+func (sim *simulation) deliver(s OutgoingOrder) {
+	result := OrderResult{To: s.To, Order: s.Order, At: sim.now}
+	v := sim.find(s.To.ID)
 	switch {
-	case v == nil || !v.alive || v.silent:
-		outcome.Err = context.DeadlineExceeded
+	case v == nil || !v.alive || v.holderDisconnected:
+		result.Err = context.DeadlineExceeded
 	case v.frozen:
-		outcome.Err = syscall.ECONNREFUSED
-		w.next.OrderResults = append(w.next.OrderResults, outcome)
+		result.Err = syscall.ECONNREFUSED
+		sim.next.OrderResults = append(sim.next.OrderResults, result)
 		return
-	case v.late:
-		v.queue = append(v.queue, s.Order)
-		outcome.Err = context.DeadlineExceeded
+	case v.delaysOrders:
+		v.delayedOrders = append(v.delayedOrders, s.Order)
+		result.Err = context.DeadlineExceeded
 	default:
-		outcome.Response = w.carryOut(v, s.Order, true)
-		if !v.mute {
-			w.next.OrderResults = append(w.next.OrderResults, outcome)
+		result.Response = sim.execute(v, s.Order, true)
+		if !v.dropsResponses {
+			sim.next.OrderResults = append(sim.next.OrderResults, result)
 			return
 		}
-		outcome.Response, outcome.Err = "", context.DeadlineExceeded
+		result.Response, result.Err = "", context.DeadlineExceeded
 	}
-	w.pending = append(w.pending, pendingOrder{w.now.Add(OrderTimeout), outcome})
+	sim.pending = append(sim.pending, pendingOrder{sim.now.Add(OrderTimeout), result})
 }
 
-// carryOut has a VM do an order, and checks what must always hold.
-func (w *world) carryOut(v *modelVM, o Order, counts bool) Response {
+// execute makes a VM execute an order and checks the invariants.
+func (sim *simulation) execute(v *simulatedVM, o Order, counts bool) Response {
 	before, loads := v.clone(), 0
-	answer := v.carryOut(o, w.now, &loads)
-	if o.Kind == Join && answer == Accepted {
-		w.checkJoin(before, o)
+	response := v.execute(o, sim.now, &loads)
+	if o.Kind == Join && response == Accepted {
+		sim.checkJoin(before, o)
 	}
-	if o.Kind == Open && answer == Accepted {
-		w.checkOpen(v)
+	if o.Kind == Open && response == Accepted {
+		sim.checkOpen(v)
 	}
 	for range loads {
-		if counts && !w.free {
-			w.loadsAt = append(w.loadsAt, w.now)
+		if counts && !sim.unmeteredLoads {
+			sim.loadStarts = append(sim.loadStarts, sim.now)
 		}
 	}
-	return answer
+	return response
 }
 
-// checkJoin: no VM joins a replica while another that it belongs to may still serve.
-func (w *world) checkJoin(v *modelVM, o Order) {
+// checkJoin checks that no VM joins a replica while another one that it belongs to may still serve.
+func (sim *simulation) checkJoin(v *simulatedVM, o Order) {
 	if v.member == nil || v.member.Epoch == o.Epoch {
 		return
 	}
 	id := fleet.ReplicaID(v.member.Replica, v.member.Epoch)
-	head := w.find(v.members[0])
+	head := sim.find(v.members[0])
 	if head != nil && head.alive && head.in(id) && (head.member.State == fleet.Open || head.member.State == fleet.Closing) {
-		w.violate("%s joins %s while %s, head %s, is %s", v.id, o.Replica, id, head.id, head.member.State)
+		sim.violate("%s joins %s while %s, head %s, is %s", v.id, o.Replica, id, head.id, head.member.State)
 	}
 }
 
-// checkOpen: nothing opens of which a member was never ready.
-func (w *world) checkOpen(head *modelVM) {
+// checkOpen checks that no replica opens of which a member was never ready.
+func (sim *simulation) checkOpen(head *simulatedVM) {
 	id := fleet.ReplicaID(head.member.Replica, head.member.Epoch)
-	if len(head.members) != w.set.Groups[0].VMs {
-		w.violate("%s opens with %d members", id, len(head.members))
+	if len(head.members) != sim.rules.Groups[0].VMs {
+		sim.violate("%s opens with %d members", id, len(head.members))
 	}
 	for _, vm := range head.members {
-		if !w.ready[readyKey{id, vm}] {
-			w.violate("%s opens and %s was never ready", id, vm)
+		if !sim.everReady[readyKey{id, vm}] {
+			sim.violate("%s opens and %s was never ready", id, vm)
 		}
 	}
 }
 
-// checkLoads: loads stay within the weight store's rate in any window.
-func (w *world) checkLoads() {
+// checkLoads checks that loads stay within the weight store's rate in any window.
+func (sim *simulation) checkLoads() {
 	const window = 5 * time.Second
-	most := w.set.Weights.LoadsPerSecond*window.Seconds()*1.1 + 3
-	for i, from := range w.loadsAt {
+	allowed := sim.rules.Weights.LoadsPerSecond*window.Seconds()*1.1 + 3
+	for i, from := range sim.loadStarts {
 		n := 0
-		for _, at := range w.loadsAt[i:] {
+		for _, at := range sim.loadStarts[i:] {
 			if at.Sub(from) < window {
 				n++
 			}
 		}
-		if float64(n) > most {
-			w.violate("%d loads within %s", n, window)
+		if float64(n) > allowed {
+			sim.violate("%d loads within %s", n, window)
 		}
 	}
 }
 
-func (w *world) violate(format string, args ...any) {
-	if w.violation == "" {
-		w.violation = fmt.Sprintf(format, args...)
+func (sim *simulation) violate(format string, args ...any) {
+	if sim.violation == "" {
+		sim.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// waitMost is how long run waits for something to happen.
-const waitMost = 2 * time.Second
+// maxEventWait is how long runUntilEvent waits for an event.
+const maxEventWait = 2 * time.Second
 
-// run advances the world until something happens.
-func (w *world) run() {
-	for until := w.now.Add(waitMost); w.now.Before(until) && w.violation == ""; {
-		if w.tick() {
+// runUntilEvent advances the simulation until an event.
+func (sim *simulation) runUntilEvent() {
+	for until := sim.now.Add(maxEventWait); sim.now.Before(until) && sim.violation == ""; {
+		if sim.step() {
 			return
 		}
 	}
 }
 
-// runFor advances the world by a time.
-func (w *world) runFor(d time.Duration) {
-	for until := w.now.Add(d); w.now.Before(until) && w.violation == ""; {
-		w.tick()
+// runFor advances the simulation by a duration.
+func (sim *simulation) runFor(d time.Duration) {
+	for until := sim.now.Add(d); sim.now.Before(until) && sim.violation == ""; {
+		sim.step()
 	}
 }
 
-// heal ends all faults but those that are for good.
-func (w *world) heal() {
-	w.stale = false
-	for _, v := range w.vms {
-		v.frozen, v.cutStore, v.silent, v.mute, v.late = false, false, false, false, false
-		w.flush(v)
+// endFaults ends all faults that are not permanent.
+func (sim *simulation) endFaults() {
+	sim.listStale = false
+	for _, v := range sim.vms {
+		v.frozen, v.storeDisconnected, v.holderDisconnected, v.dropsResponses, v.delaysOrders = false, false, false, false, false
+		sim.executeDelayedOrders(v)
 	}
 }
 
-// flush has a VM carry out what it kept for later.
-func (w *world) flush(v *modelVM) {
-	queue := v.queue
-	v.queue = nil
+// executeDelayedOrders makes a VM execute its delayed orders.
+func (sim *simulation) executeDelayedOrders(v *simulatedVM) {
+	queue := v.delayedOrders
+	v.delayedOrders = nil
 	for _, o := range queue {
-		if v.runs() {
-			w.carryOut(v, o, false)
+		if v.running() {
+			sim.execute(v, o, false)
 		}
 	}
 }
 
-// serving counts the whole replicas that are open, and possible is how many there could be.
-func (w *world) serving() (open, possible int) {
+// countServing returns the number of open, complete replicas and how many the VMs suffice for.
+func (sim *simulation) countServing() (open, possible int) {
 	usable := make(map[cluster.DomainID]int)
-	for _, v := range w.vms {
-		if v.runs() && v.drainedAt.IsZero() {
+	for _, v := range sim.vms {
+		if v.running() && v.drainedAt.IsZero() {
 			usable[v.domain]++
 		}
-		if v.runs() && v.member != nil && v.member.State == fleet.Open && !w.lostTo(v) {
+		if v.running() && v.member != nil && v.member.State == fleet.Open && !sim.hasLostMember(v) {
 			open++
 		}
 	}
 	for _, n := range usable {
-		possible += n / w.set.Groups[0].VMs
+		possible += n / sim.rules.Groups[0].VMs
 	}
 	return open, possible
 }
 
-// clone returns a copy of the world that goes its own way.
-func (w *world) clone() *world {
-	c := *w
+// clone returns an independent copy of the simulation.
+func (sim *simulation) clone() *simulation {
+	c := *sim
 	c.vms = nil
-	for _, v := range w.vms {
+	for _, v := range sim.vms {
 		c.vms = append(c.vms, v.clone())
 	}
-	c.seen = maps.Clone(w.seen)
-	c.machine = w.machine.clone(c.seen)
-	c.ready = maps.Clone(w.ready)
-	c.pending, c.loadsAt = slices.Clone(w.pending), slices.Clone(w.loadsAt)
-	c.next.OrderResults, c.next.RespondingUnlisted = slices.Clone(w.next.OrderResults), slices.Clone(w.next.RespondingUnlisted)
+	c.lastListed = maps.Clone(sim.lastListed)
+	c.machine = sim.machine.clone(c.lastListed)
+	c.everReady = maps.Clone(sim.everReady)
+	c.pending, c.loadStarts = slices.Clone(sim.pending), slices.Clone(sim.loadStarts)
+	c.next.OrderResults, c.next.RespondingUnlisted = slices.Clone(sim.next.OrderResults), slices.Clone(sim.next.RespondingUnlisted)
 	return &c
 }
 
-// clone returns a copy of the machine, on the given servers seen. Its limit of loads
-// starts anew: only worlds in which loads are free are cloned.
-func (m *Machine) clone(seen map[cluster.VMID]fleet.Server) *Machine {
+// clone returns a copy of the machine that uses the given list entries. The copy has a fresh rate
+// limiter, which matters only where loads are metered.
+func (m *Machine) clone(lastListed map[cluster.VMID]fleet.Server) *Machine {
 	c := *m
-	c.seen, c.opts.LastListed = seen, seen
+	c.lastListed, c.opts.LastListed = lastListed, lastListed
 	limits := *m.loads
-	limits.until = maps.Clone(m.loads.until)
+	limits.deadlines = maps.Clone(m.loads.deadlines)
 	limits.limiter = rate.NewLimiter(m.loads.limiter.Limit(), loadBurst)
 	c.loads = &limits
-	c.staging, c.down, c.sightings, c.inFlight = maps.Clone(m.staging), maps.Clone(m.down), maps.Clone(m.sightings), maps.Clone(m.inFlight)
-	c.suspectedAt = maps.Clone(m.suspectedAt)
-	c.present = make(map[cluster.VMID]*presence, len(m.present))
-	for vm, p := range m.present {
-		one := *p
-		c.present[vm] = &one
+	c.staging, c.down, c.observedVMs, c.inFlight = maps.Clone(m.staging), maps.Clone(m.down), maps.Clone(m.observedVMs), maps.Clone(m.inFlight)
+	c.stallProbedAt = maps.Clone(m.stallProbedAt)
+	c.unlistedVMs = make(map[cluster.VMID]*unlistedVM, len(m.unlistedVMs))
+	for vm, p := range m.unlistedVMs {
+		copied := *p
+		c.unlistedVMs[vm] = &copied
 	}
 	c.records = make(map[cluster.ReplicaID]*record, len(m.records))
 	for id, r := range m.records {
@@ -377,12 +377,12 @@
 	c := record{phase: r.phase}
 	if r.forming != nil {
 		f := *r.forming
-		f.sentAt, f.joined, f.born = maps.Clone(f.sentAt), maps.Clone(f.joined), maps.Clone(f.born)
+		f.sentAt, f.joined, f.processStarts = maps.Clone(f.sentAt), maps.Clone(f.joined), maps.Clone(f.processStarts)
 		c.forming = &f
 	}
 	if r.ending != nil {
 		e := *r.ending
-		e.members, e.left, e.sentAt = slices.Clone(e.members), maps.Clone(e.left), maps.Clone(e.sentAt)
+		e.members, e.released, e.sentAt = slices.Clone(e.members), maps.Clone(e.released), maps.Clone(e.sentAt)
 		c.ending = &e
 	}
 	if r.ended != nil {
@@ -392,85 +392,85 @@
 	return &c
 }
 
-// hash identifies the state of the world, whatever the time and the numbers of its replicas.
-func (w *world) hash() uint64 {
+// hash returns a hash of the simulation's state, independent of the time and of replica names.
+func (sim *simulation) hash() uint64 {
 	h := fnv.New64a()
-	names := w.names()
+	numbers := sim.numberReplicas()
 	age := func(t time.Time) int64 {
 		if t.IsZero() {
 			return -1 << 30
 		}
-		return min(int64(w.now.Sub(t)/worldTick), 400)
+		return min(int64(sim.now.Sub(t)/simulationStep), 400)
 	}
-	name := func(id cluster.ReplicaID) int { return names[id] }
+	number := func(id cluster.ReplicaID) int { return numbers[id] }
 	member := func(m *fleet.Membership) string {
 		if m == nil {
 			return "-"
 		}
-		return fmt.Sprint(name(fleet.ReplicaID(m.Replica, m.Epoch)), m.Rank, m.State)
+		return fmt.Sprint(number(fleet.ReplicaID(m.Replica, m.Epoch)), m.Rank, m.State)
 	}
 	order := func(o Order) string {
-		return fmt.Sprint(o.Kind, w.fence-o.Fence, name(fleet.ReplicaID(o.Replica, o.Epoch)))
+		return fmt.Sprint(o.Kind, sim.fence-o.Fence, number(fleet.ReplicaID(o.Replica, o.Epoch)))
 	}
-	for _, v := range w.vms {
-		fmt.Fprint(h, v.alive, v.frozen, v.cutStore, v.silent, v.mute, v.late, age(v.drainedAt), age(v.born), member(v.member), v.members,
-			age(v.dueAt), age(v.stalledSince), v.lastModel, v.staged, v.staging, age(v.stagedAt), age(v.beatAt), w.fence-v.fenceSeen)
-		for _, o := range v.queue {
+	for _, v := range sim.vms {
+		fmt.Fprint(h, v.alive, v.frozen, v.storeDisconnected, v.holderDisconnected, v.dropsResponses, v.delaysOrders, age(v.drainedAt), age(v.processStart), member(v.member), v.members,
+			age(v.nextStateAt), age(v.stalledSince), v.lastModel, v.staged, v.staging, age(v.stagedAt), age(v.heartbeatAt), sim.fence-v.highestFence)
+		for _, o := range v.delayedOrders {
 			fmt.Fprint(h, order(o))
 		}
 	}
-	fmt.Fprint(h, "|", w.stale)
-	for _, s := range w.list.Servers {
+	fmt.Fprint(h, "|", sim.listStale)
+	for _, s := range sim.list.Servers {
 		fmt.Fprint(h, s.ID, age(s.Born), s.Draining, member(s.Membership), s.Staged, s.Model)
 	}
-	for _, p := range w.pending {
-		fmt.Fprint(h, "p", age(p.at), p.outcome.To.ID, order(p.outcome.Order))
+	for _, p := range sim.pending {
+		fmt.Fprint(h, "p", age(p.deadline), p.result.To.ID, order(p.result.Order))
 	}
-	for _, a := range w.next.OrderResults {
+	for _, a := range sim.next.OrderResults {
 		fmt.Fprint(h, "a", a.To.ID, order(a.Order), a.Response, a.Err != nil)
 	}
-	fmt.Fprint(h, w.next.RespondingUnlisted)
-	w.machine.print(h, age, name, member)
+	fmt.Fprint(h, sim.next.RespondingUnlisted)
+	sim.machine.writeState(h, age, number, member)
 	return h.Sum64()
 }
 
-// names numbers the replicas that anything still names, oldest first.
-func (w *world) names() map[cluster.ReplicaID]int {
+// numberReplicas numbers the replicas that are still referred to, oldest first.
+func (sim *simulation) numberReplicas() map[cluster.ReplicaID]int {
 	epochs := make(map[cluster.ReplicaID]int64)
-	note := func(replica string, epoch int64) { epochs[fleet.ReplicaID(replica, epoch)] = epoch }
-	servers := slices.Clone(w.list.Servers)
-	servers = slices.AppendSeq(servers, maps.Values(w.seen))
-	for _, v := range w.vms {
+	add := func(replica string, epoch int64) { epochs[fleet.ReplicaID(replica, epoch)] = epoch }
+	servers := slices.Clone(sim.list.Servers)
+	servers = slices.AppendSeq(servers, maps.Values(sim.lastListed))
+	for _, v := range sim.vms {
 		servers = append(servers, v.entry())
-		for _, o := range v.queue {
-			note(o.Replica, o.Epoch)
+		for _, o := range v.delayedOrders {
+			add(o.Replica, o.Epoch)
 		}
 	}
 	for _, s := range servers {
 		if s.Membership != nil {
-			note(s.Membership.Replica, s.Membership.Epoch)
+			add(s.Membership.Replica, s.Membership.Epoch)
 		}
 	}
-	for _, p := range w.pending {
-		note(p.outcome.Order.Replica, p.outcome.Order.Epoch)
+	for _, p := range sim.pending {
+		add(p.result.Order.Replica, p.result.Order.Epoch)
 	}
-	for _, a := range w.next.OrderResults {
-		note(a.Order.Replica, a.Order.Epoch)
+	for _, a := range sim.next.OrderResults {
+		add(a.Order.Replica, a.Order.Epoch)
 	}
-	for id, r := range w.machine.records {
+	for id, r := range sim.machine.records {
 		if r.forming != nil {
-			note(r.forming.name, r.forming.epoch)
+			add(r.forming.name, r.forming.epoch)
 		} else {
 			name, _, _ := strings.Cut(string(id), ".")
 			var epoch int64
 			_, _ = fmt.Sscanf(name, "m/%d", &epoch)
-			note(name, epoch)
+			add(name, epoch)
 		}
 	}
 	ids := slices.SortedFunc(maps.Keys(epochs), func(a, b cluster.ReplicaID) int { return int(epochs[a] - epochs[b]) })
-	names := make(map[cluster.ReplicaID]int, len(ids))
+	numbers := make(map[cluster.ReplicaID]int, len(ids))
 	for i, id := range ids {
-		names[id] = i + 1
+		numbers[id] = i + 1
 	}
-	return names
+	return numbers
 }
