--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -31,7 +31,7 @@
 	// PaceWatch has the store's watch answer at least as often as wait says, also
 	// while nothing changes, and leave a pause after changes; may be nil.
 	PaceWatch func(pace func() (wait, pause time.Duration))
-	Orders    formation.Orders
+	Orders    formation.OrderClient
 	Backend   func(pool *conns.Pool) relay.Backend
 	// Front returns the callers' handler.
 	Front func(f Front) http.Handler
@@ -145,12 +145,12 @@
 	}
 	n.control = formation.NewController(formation.Options{
 		Scope: scope, Node: set.Node, Store: p.Store, List: n.currentList, Rules: n.rules.Load,
-		Refresh:   n.mirror.Refresh,
-		LeaseHeld: func() bool { return n.held.Load() || !n.mirror.Loaded() },
-		Standby:   n.feed != nil,
-		FreeLoads: func() bool { return set.Process.FirstStart && !n.asked.Load() },
-		OnWorking: n.replicaWorks,
-		Orders:    p.Orders, Policy: opts.Decisions.Place, Log: log,
+		Refresh:             n.mirror.Refresh,
+		LeaseHeld:           func() bool { return n.held.Load() || !n.mirror.Loaded() },
+		Standby:             n.feed != nil,
+		UnmeteredLoads:      func() bool { return set.Process.FirstStart && !n.asked.Load() },
+		OnMembersResponsive: n.replicaWorks,
+		Client:              p.Orders, Policy: opts.Decisions.Place, Log: log,
 	})
 	return n
 }
@@ -186,7 +186,7 @@
 	switch {
 	case n.mirror.RecentlyRequested():
 		return feed.WatchWait, 0
-	case n.control.Holding() || n.feed == nil:
+	case n.control.HoldsLease() || n.feed == nil:
 		return quietWait, 0
 	}
 	return quietWait, quietPause
--- /dev/null
+++ b/internal/formation/acquire_schedule_test.go
@@ -0,0 +1,67 @@
+package formation
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// simulateAcquisition simulates nodes that compete for a free lease. The nodes learn that it is held
+// with a delay of propagation. It returns the number of attempts and the time of the first.
+func simulateAcquisition(watchers, standbys int, propagation time.Duration) (attempts int, acquiredAfter time.Duration) {
+	start := time.Unix(1000, 0)
+	var schedules []*acquireSchedule
+	for i := range watchers + standbys {
+		schedules = append(schedules, newAcquireSchedule(i >= watchers))
+	}
+	var heldAt time.Time
+	for now := start; now.Sub(start) < 5*time.Second; now = now.Add(10 * time.Millisecond) {
+		free := heldAt.IsZero() || now.Sub(heldAt) < propagation
+		for _, s := range schedules {
+			if !s.due(free, now) {
+				continue
+			}
+			attempts++
+			s.recordAttempt(true, now)
+			if heldAt.IsZero() {
+				heldAt = now
+			}
+		}
+	}
+	return attempts, heldAt.Sub(start)
+}
+
+// Guards against calls from every node to the store at the same moment when a lease expires.
+func TestFewNodesTryForAFreeLease(t *testing.T) {
+	for _, nodes := range []int{117, 420} {
+		for range 50 {
+			attempts, acquiredAfter := simulateAcquisition(3, nodes-3, 100*time.Millisecond)
+			require.LessOrEqual(t, attempts, 3)
+			require.LessOrEqual(t, acquiredAfter, watcherSpread+10*time.Millisecond)
+		}
+	}
+}
+
+// Guards against a lease without a holder when every node that watches the store directly is lost.
+func TestStandbysTryWhenTheFirstAreLost(t *testing.T) {
+	for range 50 {
+		attempts, acquiredAfter := simulateAcquisition(0, 114, 100*time.Millisecond)
+		require.Less(t, attempts, 114/2)
+		require.Less(t, acquiredAfter, standbyDelay+standbySpread)
+	}
+}
+
+// Guards against attempts at a constant rate on a store that does not respond.
+func TestTriesBackOffWhileTheStoreDoesNotAnswer(t *testing.T) {
+	now := time.Unix(1000, 0)
+	schedule, attempts := newAcquireSchedule(false), 0
+	for range 3000 {
+		now = now.Add(10 * time.Millisecond)
+		if schedule.due(true, now) {
+			attempts++
+			schedule.recordAttempt(false, now)
+		}
+	}
+	require.Less(t, attempts, 40, "in 30 s")
+}
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -108,7 +108,7 @@
 }
 
 // carryOut does an order and returns its answer.
-func (v *vm) carryOut(o lifecycle.Order) lifecycle.Answer {
+func (v *vm) carryOut(o lifecycle.Order) lifecycle.Response {
 	w := v.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -159,7 +159,7 @@
 	form   = 300 * time.Millisecond
 )
 
-func (v *vm) join(o lifecycle.Order) lifecycle.Answer {
+func (v *vm) join(o lifecycle.Order) lifecycle.Response {
 	if o.Epoch < v.epoch {
 		return lifecycle.Fenced
 	}
@@ -193,13 +193,13 @@
 		}
 		v.publish()
 	})
-	return lifecycle.Begun
+	return lifecycle.Accepted
 }
 
-func (v *vm) open(o lifecycle.Order) lifecycle.Answer {
+func (v *vm) open(o lifecycle.Order) lifecycle.Response {
 	m := v.entry.Membership
 	if m == nil || m.Epoch != o.Epoch || m.Rank != 0 || m.State != fleet.Ready {
-		return lifecycle.Misfit
+		return lifecycle.Conflict
 	}
 	order := v.order
 	v.after(form, func() {
@@ -211,21 +211,21 @@
 		v.head = &head{replica: enginemodel.Replica{Figures: v.w.scenario.figures(v.w.model(v.model))}, jobs: make(map[*enginemodel.Job]*answer)}
 		v.publish()
 	})
-	return lifecycle.Begun
+	return lifecycle.Accepted
 }
 
-func (v *vm) close(o lifecycle.Order) lifecycle.Answer {
+func (v *vm) close(o lifecycle.Order) lifecycle.Response {
 	m := v.entry.Membership
 	if m == nil || m.Epoch != o.Epoch || m.State != fleet.Open {
-		return lifecycle.Misfit
+		return lifecycle.Conflict
 	}
-	if !o.Finish {
+	if !o.Graceful {
 		v.head.fail()
 	}
 	v.setState(fleet.Closing)
 	v.publish()
 	v.settle()
-	return lifecycle.Begun
+	return lifecycle.Accepted
 }
 
 // setState replaces the membership rather than changing it: its entry may be on the
