--- a/internal/claims/manager.go
+++ b/internal/claims/manager.go
@@ -21,7 +21,7 @@
 	DefaultPendingLimit = 5 * time.Minute
 	DefaultMaxBatch     = 100
 	DefaultLinger       = 2 * time.Millisecond
-	DefaultSettleLinger = 20 * time.Millisecond
+	DefaultSettlementLinger = 20 * time.Millisecond
 	DefaultTimeout      = 1500 * time.Millisecond
 	DefaultMaxUnsettled = 32 << 20
 	// DispatchWindow is how long after Claim a call may still be dispatched; see
@@ -128,7 +128,7 @@
 	setDefault(&o.PendingLimit, DefaultPendingLimit)
 	setDefault(&o.MaxBatch, DefaultMaxBatch)
 	setDefault(&o.Linger, DefaultLinger)
-	setDefault(&o.SettleLinger, DefaultSettleLinger)
+	setDefault(&o.SettleLinger, DefaultSettlementLinger)
 	setDefault(&o.Timeout, DefaultTimeout)
 	setDefault(&o.MaxUnsettled, DefaultMaxUnsettled)
 	if o.Now == nil {
