--- a/internal/claims/manager.go
+++ b/internal/claims/manager.go
@@ -68,8 +68,8 @@
 	// MaxBatch bounds the claims in one transaction, Linger the wait for more.
 	MaxBatch int
 	Linger   time.Duration
-	// SettleLinger is the wait for more outcomes to record in one transaction.
-	SettleLinger time.Duration
+	// SettlementLinger is the wait for more outcomes to record in one transaction.
+	SettlementLinger time.Duration
 	// Timeout bounds the time that Claim tries to reach the store.
 	Timeout time.Duration
 	// MaxUnsettled bounds the bytes of outcomes that wait for the store.
@@ -111,7 +111,7 @@
 		self:    writer{Node: opts.Node, Incarnation: opts.Incarnation},
 		leases:  newLeases(opts.Store, opts.Retention, opts.Timeout/attemptShare, opts.Now),
 		claims:  newBatcher(f, down, opts.MaxBatch, opts.Linger),
-		settle:  newSettler(f, opts.MaxBatch, opts.MaxUnsettled, opts.SettleLinger),
+		settle:  newSettler(f, opts.MaxBatch, opts.MaxUnsettled, opts.SettlementLinger),
 		freed:   newFreedClaims(maxFreed),
 		down:    down,
 		stopped: stopped,
@@ -128,7 +128,7 @@
 	setDefault(&o.PendingLimit, DefaultPendingLimit)
 	setDefault(&o.MaxBatch, DefaultMaxBatch)
 	setDefault(&o.Linger, DefaultLinger)
-	setDefault(&o.SettleLinger, DefaultSettlementLinger)
+	setDefault(&o.SettlementLinger, DefaultSettlementLinger)
 	setDefault(&o.Timeout, DefaultTimeout)
 	setDefault(&o.MaxUnsettled, DefaultMaxUnsettled)
 	if o.Now == nil {
