--- a/internal/claims/manager.go
+++ b/internal/claims/manager.go
@@ -23,7 +23,7 @@
 	DefaultLinger       = 2 * time.Millisecond
 	DefaultSettlementLinger = 20 * time.Millisecond
 	DefaultTimeout      = 1500 * time.Millisecond
-	DefaultMaxUnsettled = 32 << 20
+	DefaultMaxSettlementBytes = 32 << 20
 	// DispatchWindow is how long after Claim a call may still be dispatched; see
 	// Claim.StillHeld.
 	DispatchWindow = time.Minute
@@ -130,7 +130,7 @@
 	setDefault(&o.Linger, DefaultLinger)
 	setDefault(&o.SettlementLinger, DefaultSettlementLinger)
 	setDefault(&o.Timeout, DefaultTimeout)
-	setDefault(&o.MaxUnsettled, DefaultMaxUnsettled)
+	setDefault(&o.MaxUnsettled, DefaultMaxSettlementBytes)
 	if o.Now == nil {
 		o.Now = time.Now
 	}
