--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -322,7 +322,7 @@
 // recorded is bounded: what doesn't fit is lost, and its repeats must hear
 // "unknown" and not be run again.
 func TestUnsettledOutcomesAreBounded(t *testing.T) {
-	small := func(o *Options) { o.MaxUnsettled = 3 * (settlementOverhead + 400) }
+	small := func(o *Options) { o.MaxSettlementBytes = 3 * (settlementOverhead + 400) }
 	withSystem(t, func(t *testing.T, s *system) {
 		var held []*Claim
 		for i := range 10 {
@@ -335,7 +335,7 @@
 			s.backend.run(fmt.Sprintf("k%d", i))
 			claim.Finish(t.Context(), answerTo("k"))
 		}
-		require.LessOrEqual(t, s.a.settle.bytes, s.a.opts.MaxUnsettled)
+		require.LessOrEqual(t, s.a.settle.bytes, s.a.opts.MaxSettlementBytes)
 		s.store.SetFaults(memstore.Faults{})
 		time.Sleep(DefaultPendingLimit + time.Second)
 		recorded := 0
--- a/internal/claims/manager.go
+++ b/internal/claims/manager.go
@@ -72,8 +72,8 @@
 	SettlementLinger time.Duration
 	// Timeout bounds the time that Claim tries to reach the store.
 	Timeout time.Duration
-	// MaxUnsettled bounds the bytes of outcomes that wait for the store.
-	MaxUnsettled int
+	// MaxSettlementBytes bounds the bytes of outcomes that wait for the store.
+	MaxSettlementBytes int
 	Log          *slog.Logger
 }
 
@@ -111,7 +111,7 @@
 		self:    writer{Node: opts.Node, Incarnation: opts.Incarnation},
 		leases:  newLeases(opts.Store, opts.Retention, opts.Timeout/attemptShare, opts.Now),
 		claims:  newBatcher(f, down, opts.MaxBatch, opts.Linger),
-		settle:  newSettler(f, opts.MaxBatch, opts.MaxUnsettled, opts.SettlementLinger),
+		settle:  newSettler(f, opts.MaxBatch, opts.MaxSettlementBytes, opts.SettlementLinger),
 		freed:   newFreedClaims(maxFreed),
 		down:    down,
 		stopped: stopped,
@@ -130,7 +130,7 @@
 	setDefault(&o.Linger, DefaultLinger)
 	setDefault(&o.SettlementLinger, DefaultSettlementLinger)
 	setDefault(&o.Timeout, DefaultTimeout)
-	setDefault(&o.MaxUnsettled, DefaultMaxSettlementBytes)
+	setDefault(&o.MaxSettlementBytes, DefaultMaxSettlementBytes)
 	if o.Now == nil {
 		o.Now = time.Now
 	}
