--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -396,7 +396,7 @@
 		future := keyAt(time.Now().Add(time.Hour))
 		require.Equal(t, fennelerr.InvalidRequest, s.serve(s.a, future, "body", fateOK).code)
 		require.Equal(t, fennelerr.InvalidRequest, s.serve(s.a, "", "body", fateOK).code)
-		strict := startNode(s.store, "c", 1, func(o *Options) { o.RequireTimedKeys = true })
+		strict := startNode(s.store, "c", 1, func(o *Options) { o.RequireUUIDv7Keys = true })
 		defer strict.kill()
 		require.Equal(t, fennelerr.InvalidRequest, s.serve(strict, "opaque", "body", fateOK).code)
 	})
--- a/internal/claims/manager.go
+++ b/internal/claims/manager.go
@@ -63,8 +63,8 @@
 	// PendingLimit is longer than any call takes: a claim pending for longer
 	// counts as lost, and its fate as unknown.
 	PendingLimit time.Duration
-	// RequireTimedKeys refuses keys that don't carry their time (UUID version 7).
-	RequireTimedKeys bool
+	// RequireUUIDv7Keys refuses keys that don't carry their time (UUID version 7).
+	RequireUUIDv7Keys bool
 	// MaxBatch bounds the claims in one transaction, Linger the wait for more.
 	MaxBatch int
 	Linger   time.Duration
@@ -171,7 +171,7 @@
 // It returns early when ctx ends; a claim that comes through later is given back.
 func (m *Manager) Claim(ctx context.Context, call Call) (*Claim, *Answer, error) {
 	now := m.opts.Now()
-	if err := checkKey(call.Key, now, m.opts.Retention, m.opts.RequireTimedKeys); err != nil {
+	if err := checkKey(call.Key, now, m.opts.Retention, m.opts.RequireUUIDv7Keys); err != nil {
 		count(string(err.Code))
 		return nil, nil, err
 	}
