--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -99,7 +99,7 @@
 		if err != nil {
 			return nil, err
 		}
-		report := ledger.Account(z, from, to, windows, corrections)
+		report := ledger.BuildReport(z, from, to, windows, corrections)
 		operator.AddReport(out, z, &report)
 	}
 	return out, nil
--- a/internal/entry/outages.go
+++ b/internal/entry/outages.go
@@ -142,7 +142,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.cut()
-	return ledger.Account(o.zone, from, to, slices.Concat(o.windows, stored), corrections)
+	return ledger.BuildReport(o.zone, from, to, slices.Concat(o.windows, stored), corrections)
 }
 
 type strandedKey struct {
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -24,7 +24,7 @@
 	}
 	b.ResetTimer()
 	for range b.N {
-		Account("praha-a", second(0), second(days*24*3600), windows, nil)
+		BuildReport("praha-a", second(0), second(days*24*3600), windows, nil)
 	}
 	b.ReportMetric(float64(bytes)/days/2, "B/observer-day")
 	b.ReportMetric(float64(len(windows))/days/2, "windows/observer-day")
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -154,7 +154,7 @@
 		p.step(now, events[now])
 	}
 	twice := slices.Concat(p.windows, p.windows) // a window that is sent twice counts once
-	return Account("z", second(from), second(to), twice, p.corrections)
+	return BuildReport("z", second(from), second(to), twice, p.corrections)
 }
 
 // The account of random events equals one made second by second.
@@ -191,7 +191,7 @@
 		}
 		r.Tick(second(length))
 		w, _ := r.Cut()
-		rep := Account("z", second(0), second(length), append(windows, w), nil)
+		rep := BuildReport("z", second(0), second(length), append(windows, w), nil)
 		got := map[Measure]float64{}
 		for _, row := range rep.Rows {
 			if row.Cause == "" {
@@ -230,7 +230,7 @@
 func account(t *testing.T, s store.Store, from, to time.Time) Report {
 	windows, corrections, err := Load(t.Context(), s, "z", from, to)
 	require.NoError(t, err)
-	return Account("z", from, to, windows, corrections)
+	return BuildReport("z", from, to, windows, corrections)
 }
 
 // The store goes down during an outage and loses answers before and after. What
--- a/internal/ledger/report.go
+++ b/internal/ledger/report.go
@@ -47,10 +47,10 @@
 	Reason   string `json:"reason,omitempty"`
 }
 
-// Account makes the report of a zone from the windows and corrections of all its
+// BuildReport makes the report of a zone from the windows and corrections of all its
 // observers. Windows may come twice and in any order: pieces are joined by their
 // root, and covered time by its union, so nothing counts twice.
-func Account(zone cluster.ZoneID, from, to time.Time, windows []Window, corrections []Correction) Report {
+func BuildReport(zone cluster.ZoneID, from, to time.Time, windows []Window, corrections []Correction) Report {
 	period := Span{from, to}
 	coverage := coverageOf(windows, period)
 	views := correct(viewsOf(windows), corrections)
