--- a/internal/daemon/gauges_test.go
+++ b/internal/daemon/gauges_test.go
@@ -23,7 +23,7 @@
 	seen := map[cluster.ReplicaID]seenReplica{"a": {group: "fit"}, "b": {group: "fit", down: true}, "c": {group: "balcao"}}
 	l := &ledgerDuty{down: downByGroup(seen), stranded: map[strandedKey]int{{"fit", causeNotWhole}: 3, {"", causeUnassigned}: 1}}
 	require.Empty(t, shown(l))
-	l.keeper = &ledger.Keeper{}
+	l.keeper = &ledger.Writer{}
 	require.Equal(t, `fennel_ledger_down_replicas{group="balcao"} 0
 fennel_ledger_down_replicas{group="fit"} 1
 fennel_ledger_stranded_accelerators{group="",cause="unassigned"} 1
--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -31,7 +31,7 @@
 	changed chan struct{}
 
 	mu     sync.Mutex
-	keeper *ledger.Keeper
+	keeper *ledger.Writer
 	// known are the replicas, missing ones included, as the keeper was told of them.
 	known map[cluster.ReplicaID]seenReplica
 	// down counts the replicas told to be down, by group.
--- a/internal/entry/outages.go
+++ b/internal/entry/outages.go
@@ -42,7 +42,7 @@
 type outages struct {
 	zone cluster.ZoneID
 	// keeper brings the record to the store; nil for a node that follows a feed.
-	keeper *ledger.Keeper
+	keeper *ledger.Writer
 
 	mu       sync.Mutex
 	recorder *ledger.Recorder
--- a/internal/ledger/keeper.go
+++ b/internal/ledger/keeper.go
@@ -33,8 +33,8 @@
 	windowsDropped = metrics.NewCounter("fennel_ledger_windows_dropped_total")
 )
 
-// Keeper runs a Recorder on the clock and brings its windows to the store.
-type Keeper struct {
+// Writer runs a Recorder on the clock and brings its windows to the store.
+type Writer struct {
 	store store.Store
 	opts  RecorderOptions
 	log   *slog.Logger
@@ -47,13 +47,13 @@
 }
 
 // NewKeeper starts observing now; Run does the rest.
-func NewKeeper(s store.Store, opts RecorderOptions, log *slog.Logger) *Keeper {
+func NewKeeper(s store.Store, opts RecorderOptions, log *slog.Logger) *Writer {
 	now := time.Now()
-	return &Keeper{store: s, opts: opts, log: log, recorder: NewRecorder(opts, now), cutAt: now}
+	return &Writer{store: s, opts: opts, log: log, recorder: NewRecorder(opts, now), cutAt: now}
 }
 
 // Feed takes an event in. Events of one replica come in order.
-func (k *Keeper) Feed(ev Event) {
+func (k *Writer) Feed(ev Event) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.recorder.Apply(ev)
@@ -61,7 +61,7 @@
 
 // Run observes until ctx ends and then writes what is left, within the timeout
 // of one write.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Writer) Run(ctx context.Context) {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	wait, next := tickEvery, time.Time{}
@@ -87,13 +87,13 @@
 }
 
 // Pending returns how many windows wait for the store.
-func (k *Keeper) Pending() int {
+func (k *Writer) Pending() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.pending)
 }
 
-func (k *Keeper) tick(now time.Time) {
+func (k *Writer) tick(now time.Time) {
 	k.mu.Lock()
 	k.recorder.Tick(now)
 	length := QuietWindow
@@ -110,7 +110,7 @@
 // cut moves the recorder's window to the pending ones. When too much waits, the
 // oldest windows are dropped whole: their time then shows as unobserved, which
 // is the truth about what can still be accounted for.
-func (k *Keeper) cut() {
+func (k *Writer) cut() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	w, ok := k.recorder.Cut()
@@ -131,7 +131,7 @@
 // flush writes the pending windows in order and reports whether none is left. A
 // window's key is its own, so that one whose answer was lost can be sent again:
 // the guard fails, and its presence shows that it has been written.
-func (k *Keeper) flush(ctx context.Context) bool {
+func (k *Writer) flush(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	for {
@@ -149,7 +149,7 @@
 }
 
 // write puts all windows of a batch, or finds which of them are in the store already.
-func (k *Keeper) write(ctx context.Context, batch []Window) (there []Window, err error) {
+func (k *Writer) write(ctx context.Context, batch []Window) (there []Window, err error) {
 	var txn store.Txn
 	for _, w := range batch {
 		key := windowKey(w)
@@ -175,7 +175,7 @@
 	return there, nil
 }
 
-func (k *Keeper) head() []Window {
+func (k *Writer) head() []Window {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return append([]Window(nil), k.pending[:min(len(k.pending), windowsPerTxn)]...)
@@ -183,7 +183,7 @@
 
 // written removes the windows that are in the store. While they were written,
 // older ones may have been dropped.
-func (k *Keeper) written(there []Window) {
+func (k *Writer) written(there []Window) {
 	done := make(map[uint64]bool, len(there))
 	for _, w := range there {
 		done[w.Seq] = true
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -219,7 +219,7 @@
 	require.Equal(t, 1, r.Late)
 }
 
-func startKeeper(s store.Store, observer cluster.NodeID) (k *Keeper, stop func()) {
+func startKeeper(s store.Store, observer cluster.NodeID) (k *Writer, stop func()) {
 	k = NewKeeper(s, RecorderOptions{Observer: observer, Incarnation: 1, Zone: "z"}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
