--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -87,7 +87,7 @@
 // begin starts a keeper; the returned func ends it and waits for its last write.
 func (l *ledgerDuty) begin(ctx context.Context) func() {
 	n := l.n
-	keeper := ledger.NewKeeper(n.store, ledger.RecorderOptions{Observer: n.set.Node, Incarnation: uint64(time.Now().UnixNano()), Zone: n.set.Zone}, n.log)
+	keeper := ledger.NewWriter(n.store, ledger.RecorderOptions{Observer: n.set.Node, Incarnation: uint64(time.Now().UnixNano()), Zone: n.set.Zone}, n.log)
 	l.mu.Lock()
 	l.keeper, l.known, l.down, l.stranded = keeper, map[cluster.ReplicaID]seenReplica{}, nil, map[strandedKey]int{}
 	l.mu.Unlock()
--- a/internal/entry/outages.go
+++ b/internal/entry/outages.go
@@ -59,7 +59,7 @@
 
 // keep has the record brought to the store from now on.
 func (o *outages) keep(s store.Store, node cluster.NodeID, log *slog.Logger) {
-	o.keeper = ledger.NewKeeper(s, ledger.RecorderOptions{Observer: node, Incarnation: uint64(time.Now().UnixNano()), Zone: o.zone}, log)
+	o.keeper = ledger.NewWriter(s, ledger.RecorderOptions{Observer: node, Incarnation: uint64(time.Now().UnixNano()), Zone: o.zone}, log)
 }
 
 // run brings the record to the store until ctx ends.
--- a/internal/ledger/keeper.go
+++ b/internal/ledger/keeper.go
@@ -46,8 +46,8 @@
 	held     int // intervals in pending
 }
 
-// NewKeeper starts observing now; Run does the rest.
-func NewKeeper(s store.Store, opts RecorderOptions, log *slog.Logger) *Writer {
+// NewWriter starts observing now; Run does the rest.
+func NewWriter(s store.Store, opts RecorderOptions, log *slog.Logger) *Writer {
 	now := time.Now()
 	return &Writer{store: s, opts: opts, log: log, recorder: NewRecorder(opts, now), cutAt: now}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -220,7 +220,7 @@
 }
 
 func startKeeper(s store.Store, observer cluster.NodeID) (k *Writer, stop func()) {
-	k = NewKeeper(s, RecorderOptions{Observer: observer, Incarnation: 1, Zone: "z"}, slog.New(slog.DiscardHandler))
+	k = NewWriter(s, RecorderOptions{Observer: observer, Incarnation: 1, Zone: "z"}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); k.Run(ctx) }()
