--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -129,7 +129,7 @@
 	seen := l.replicasNow()
 	l.down = downByGroup(seen)
 	for _, ev := range replicaEvents(l.known, seen, now) {
-		l.keeper.Feed(ev)
+		l.keeper.Record(ev)
 	}
 	l.known = seen
 }
@@ -236,6 +236,6 @@
 			continue
 		}
 		l.stranded[key] = count
-		l.keeper.Feed(ledger.Event{Kind: ledger.StrandedNow, At: now, Group: key.group, Cause: key.cause, Count: count})
+		l.keeper.Record(ledger.Event{Kind: ledger.StrandedNow, At: now, Group: key.group, Cause: key.cause, Count: count})
 	}
 }
--- a/internal/entry/outages.go
+++ b/internal/entry/outages.go
@@ -73,7 +73,7 @@
 func (o *outages) apply(ev ledger.Event) {
 	o.recorder.Apply(ev)
 	if o.keeper != nil {
-		o.keeper.Feed(ev)
+		o.keeper.Record(ev)
 	}
 }
 
--- a/internal/ledger/keeper.go
+++ b/internal/ledger/keeper.go
@@ -52,8 +52,8 @@
 	return &Writer{store: s, opts: opts, log: log, recorder: NewRecorder(opts, now), cutAt: now}
 }
 
-// Feed takes an event in. Events of one replica come in order.
-func (k *Writer) Feed(ev Event) {
+// Record takes an event in. Events of one replica come in order.
+func (k *Writer) Record(ev Event) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.recorder.Apply(ev)
