--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -302,12 +302,12 @@
 	defer s.Close()
 	c := Correction{ID: "c1", Corrects: "a/1/1", From: second(0), To: second(1), Author: "Ana", Reason: "checked"}
 	s.SetFaults(memstore.Faults{LoseAnswers: 1})
-	require.NoError(t, Append(t.Context(), s, "z", c), "the lost answer is settled by trying again")
-	require.NoError(t, Append(t.Context(), s, "z", c), "idempotent")
+	require.NoError(t, AppendCorrection(t.Context(), s, "z", c), "the lost answer is settled by trying again")
+	require.NoError(t, AppendCorrection(t.Context(), s, "z", c), "idempotent")
 	other := c
 	other.Reason = "changed"
-	require.Equal(t, fennelerr.Conflict, fennelerr.CodeOf(Append(t.Context(), s, "z", other)))
-	require.Equal(t, fennelerr.InvalidRequest, fennelerr.CodeOf(Append(t.Context(), s, "z", Correction{ID: "c2"})))
+	require.Equal(t, fennelerr.Conflict, fennelerr.CodeOf(AppendCorrection(t.Context(), s, "z", other)))
+	require.Equal(t, fennelerr.InvalidRequest, fennelerr.CodeOf(AppendCorrection(t.Context(), s, "z", Correction{ID: "c2"})))
 	_, corrections, err := Load(t.Context(), s, "z", second(0), second(1))
 	require.NoError(t, err)
 	require.Equal(t, []Correction{c}, corrections)
--- a/internal/ledger/storage.go
+++ b/internal/ledger/storage.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// Append adds a correction. Its ID is the caller's and makes a repeat idempotent.
-func Append(ctx context.Context, s store.Store, zone cluster.ZoneID, c Correction) error {
+// AppendCorrection adds a correction. Its ID is the caller's and makes a repeat idempotent.
+func AppendCorrection(ctx context.Context, s store.Store, zone cluster.ZoneID, c Correction) error {
 	key := correctionsPrefix(zone) + c.ID
 	if c.ID == "" || c.Corrects == "" || c.Author == "" || c.Reason == "" || c.To.Before(c.From) {
 		return fennelerr.New(fennelerr.InvalidRequest, "a correction needs id, interval, author, reason and from <= to").WithOp("ledger.append")
