--- a/internal/daemon/ledger_test.go
+++ b/internal/daemon/ledger_test.go
@@ -32,7 +32,7 @@
 		}
 		told = seen
 	}
-	window, ok := rec.Cut()
+	window, ok := rec.CloseWindow()
 	require.True(t, ok)
 	length := map[cluster.ReplicaID]time.Duration{}
 	for _, i := range window.Intervals {
--- a/internal/entry/outages.go
+++ b/internal/entry/outages.go
@@ -127,7 +127,7 @@
 
 // cut ends a window; the caller holds o.mu.
 func (o *outages) cut() {
-	w, any := o.recorder.Cut()
+	w, any := o.recorder.CloseWindow()
 	if !any {
 		return
 	}
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -52,7 +52,7 @@
 		}
 		if now-cutAt >= int(length/time.Second) {
 			cutAt = now
-			if w, ok := r.Cut(); ok {
+			if w, ok := r.CloseWindow(); ok {
 				windows = append(windows, w)
 			}
 		}
--- a/internal/ledger/keeper.go
+++ b/internal/ledger/keeper.go
@@ -113,7 +113,7 @@
 func (k *Writer) cut() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	w, ok := k.recorder.Cut()
+	w, ok := k.recorder.CloseWindow()
 	k.cutAt = k.recorder.last
 	if !ok {
 		return
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -62,7 +62,7 @@
 }
 
 func (p *player) cut(r *Recorder) {
-	if w, ok := r.Cut(); ok {
+	if w, ok := r.CloseWindow(); ok {
 		p.windows = append(p.windows, w)
 	}
 }
@@ -182,7 +182,7 @@
 				stranded = ev.Count
 				r.Apply(ev)
 			case 3:
-				if w, ok := r.Cut(); ok {
+				if w, ok := r.CloseWindow(); ok {
 					windows = append(windows, w)
 				}
 			}
@@ -190,7 +190,7 @@
 			wantStranded += stranded
 		}
 		r.Tick(second(length))
-		w, _ := r.Cut()
+		w, _ := r.CloseWindow()
 		rep := BuildReport("z", second(0), second(length), append(windows, w), nil)
 		got := map[Measure]float64{}
 		for _, row := range rep.Rows {
@@ -210,10 +210,10 @@
 func TestLateEvents(t *testing.T) {
 	r := NewRecorder(RecorderOptions{Observer: "a", Zone: "z", MaxGap: time.Hour}, second(0))
 	r.Tick(second(60))
-	first, _ := r.Cut()
+	first, _ := r.CloseWindow()
 	r.Apply(Event{Kind: ReplicaDown, At: second(50), Group: "fit", Replica: "r1"})
 	r.Tick(second(120))
-	next, _ := r.Cut()
+	next, _ := r.CloseWindow()
 	require.Empty(t, first.Intervals)
 	require.Equal(t, second(60), next.Intervals[0].From)
 	require.Equal(t, 1, r.Late)
--- a/internal/ledger/recorder.go
+++ b/internal/ledger/recorder.go
@@ -186,10 +186,10 @@
 // Eventful reports whether the current window holds anything beside coverage.
 func (r *Recorder) Eventful() bool { return len(r.closed) > 0 || len(r.open) > 0 }
 
-// Cut ends the current window at the last tick and starts the next one. What was
+// CloseWindow ends the current window at the last tick and starts the next one. What was
 // covered before the cut can't be lost with this process any more, once the
 // window is in the store.
-func (r *Recorder) Cut() (Window, bool) {
+func (r *Recorder) CloseWindow() (Window, bool) {
 	r.cutOpen(r.last)
 	r.cover(r.last)
 	if len(r.covered) == 0 {
