--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -216,7 +216,7 @@
 	next, _ := r.CloseWindow()
 	require.Empty(t, first.Intervals)
 	require.Equal(t, second(60), next.Intervals[0].From)
-	require.Equal(t, 1, r.Late)
+	require.Equal(t, 1, r.LateEvents)
 }
 
 func startKeeper(s store.Store, observer cluster.NodeID) (k *Writer, stop func()) {
--- a/internal/ledger/recorder.go
+++ b/internal/ledger/recorder.go
@@ -34,9 +34,9 @@
 	covered     []Span
 	closed      []Interval
 	open        map[subject]*openInterval
-	// Late counts events from before the current window; they count from its
+	// LateEvents counts events from before the current window; they count from its
 	// beginning, since windows that are cut are not changed.
-	Late int
+	LateEvents int
 }
 
 // subject is what an interval is about: a replica, or a group's stranded
@@ -84,7 +84,7 @@
 // Apply takes an event in. Its time lies between the window's start and now.
 func (r *Recorder) Apply(ev Event) {
 	if ev.At.Before(r.start) {
-		r.Late++
+		r.LateEvents++
 		ev.At = r.start
 	}
 	r.Tick(later(ev.At, r.last))
