--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -47,7 +47,7 @@
 			r.Apply(Event{Kind: ReplicaUp, At: second(now), Group: "poradce", Replica: replica})
 		}
 		length := QuietWindow
-		if r.Eventful() {
+		if r.HasIntervals() {
 			length = EventfulWindow
 		}
 		if now-cutAt >= int(length/time.Second) {
--- a/internal/ledger/keeper.go
+++ b/internal/ledger/keeper.go
@@ -97,7 +97,7 @@
 	k.mu.Lock()
 	k.recorder.Tick(now)
 	length := QuietWindow
-	if k.recorder.Eventful() {
+	if k.recorder.HasIntervals() {
 		length = EventfulWindow
 	}
 	due := now.Sub(k.cutAt) >= length
--- a/internal/ledger/recorder.go
+++ b/internal/ledger/recorder.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// Eventful reports whether the current window holds anything beside coverage.
-func (r *Recorder) Eventful() bool { return len(r.closed) > 0 || len(r.open) > 0 }
+// HasIntervals reports whether the current window holds anything beside coverage.
+func (r *Recorder) HasIntervals() bool { return len(r.closed) > 0 || len(r.open) > 0 }
 
 // CloseWindow ends the current window at the last tick and starts the next one. What was
 // covered before the cut can't be lost with this process any more, once the
