--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -236,6 +236,6 @@
 			continue
 		}
 		l.stranded[key] = count
-		l.keeper.Record(ledger.Event{Kind: ledger.StrandedNow, At: now, Group: key.group, Cause: key.cause, Count: count})
+		l.keeper.Record(ledger.Event{Kind: ledger.StrandedCount, At: now, Group: key.group, Cause: key.cause, Count: count})
 	}
 }
--- a/internal/entry/outages.go
+++ b/internal/entry/outages.go
@@ -115,7 +115,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for key, n := range idle {
-		o.apply(ledger.Event{Kind: ledger.StrandedNow, At: now, Group: key.group, Cause: key.cause, Count: n})
+		o.apply(ledger.Event{Kind: ledger.StrandedCount, At: now, Group: key.group, Cause: key.cause, Count: n})
 	}
 	o.recorder.Tick(now)
 	if now.Sub(o.cutAt) < cutEvery {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -87,7 +87,7 @@
 	case "stranded":
 		n, err := strconv.Atoi(ev[2])
 		require.NoError(p.t, err)
-		r.Apply(Event{Kind: StrandedNow, At: second(now), Group: cluster.GroupName(ev[1]), Count: n, Cause: Cause(ev[3])})
+		r.Apply(Event{Kind: StrandedCount, At: second(now), Group: cluster.GroupName(ev[1]), Count: n, Cause: Cause(ev[3])})
 	default:
 		kind, ok := map[string]EventKind{"down": ReplicaDown, "up": ReplicaUp, "gone": ReplicaGone}[ev[0]]
 		require.True(p.t, ok, ev)
@@ -178,7 +178,7 @@
 				delete(down, ev.Replica)
 				r.Apply(ev)
 			case 2:
-				ev.Kind, ev.Cause, ev.Count = StrandedNow, "x", rapid.IntRange(0, 3).Draw(rt, "count")
+				ev.Kind, ev.Cause, ev.Count = StrandedCount, "x", rapid.IntRange(0, 3).Draw(rt, "count")
 				stranded = ev.Count
 				r.Apply(ev)
 			case 3:
--- a/internal/ledger/recorder.go
+++ b/internal/ledger/recorder.go
@@ -96,7 +96,7 @@
 		r.set(subject{measure: Downtime, group: ev.Group, replica: ev.Replica}, ev, 1)
 	case ReplicaUp, ReplicaGone:
 		r.set(subject{measure: Downtime, group: ev.Group, replica: ev.Replica}, ev, 0)
-	case StrandedNow:
+	case StrandedCount:
 		r.set(subject{measure: Stranded, group: ev.Group, cause: ev.Cause}, ev, ev.Count)
 	}
 }
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -36,13 +36,13 @@
 // EventKind is what an observer saw.
 type EventKind int
 
-// Events. ReplicaGone ends a replica that regrouping has replaced. StrandedNow
+// Events. ReplicaGone ends a replica that regrouping has replaced. StrandedCount
 // states the number of stranded accelerators of a group under one cause; zero ends it.
 const (
 	ReplicaDown EventKind = iota
 	ReplicaUp
 	ReplicaGone
-	StrandedNow
+	StrandedCount
 )
 
 // Event is one observation. Right after the start of an observer, the state of
