--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -48,7 +48,7 @@
 		}
 		length := QuietWindow
 		if r.HasIntervals() {
-			length = EventfulWindow
+			length = OutageWindowLength
 		}
 		if now-cutAt >= int(length/time.Second) {
 			cutAt = now
--- a/internal/ledger/keeper.go
+++ b/internal/ledger/keeper.go
@@ -15,9 +15,9 @@
 // Defaults and bounds of a Keeper.
 const (
 	tickEvery = time.Second
-	// EventfulWindow is a window's length while something is down or stranded,
+	// OutageWindowLength is a window's length while something is down or stranded,
 	// QuietWindow otherwise: what a node that dies takes along with it.
-	EventfulWindow = time.Minute
+	OutageWindowLength = time.Minute
 	QuietWindow    = 5 * time.Minute
 	// MaxPending bounds the windows that wait for the store: a day of eventful ones.
 	MaxPending = 1440
@@ -98,7 +98,7 @@
 	k.recorder.Tick(now)
 	length := QuietWindow
 	if k.recorder.HasIntervals() {
-		length = EventfulWindow
+		length = OutageWindowLength
 	}
 	due := now.Sub(k.cutAt) >= length
 	k.mu.Unlock()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -51,7 +51,7 @@
 	for name, r := range p.recorders {
 		if !p.paused[name] {
 			r.Tick(second(now))
-			if now%int(EventfulWindow/time.Second) == 0 {
+			if now%int(OutageWindowLength/time.Second) == 0 {
 				p.cut(r)
 			}
 		}
