--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -46,7 +46,7 @@
 		case 600:
 			r.Apply(Event{Kind: ReplicaUp, At: second(now), Group: "poradce", Replica: replica})
 		}
-		length := QuietWindow
+		length := WindowLength
 		if r.HasIntervals() {
 			length = OutageWindowLength
 		}
--- a/internal/ledger/keeper.go
+++ b/internal/ledger/keeper.go
@@ -18,7 +18,7 @@
 	// OutageWindowLength is a window's length while something is down or stranded,
 	// QuietWindow otherwise: what a node that dies takes along with it.
 	OutageWindowLength = time.Minute
-	QuietWindow    = 5 * time.Minute
+	WindowLength    = 5 * time.Minute
 	// MaxPending bounds the windows that wait for the store: a day of eventful ones.
 	MaxPending = 1440
 	// maxPendingIntervals bounds what they hold, at about 350 bytes each.
@@ -96,7 +96,7 @@
 func (k *Writer) tick(now time.Time) {
 	k.mu.Lock()
 	k.recorder.Tick(now)
-	length := QuietWindow
+	length := WindowLength
 	if k.recorder.HasIntervals() {
 		length = OutageWindowLength
 	}
--- a/internal/ledger/storage.go
+++ b/internal/ledger/storage.go
@@ -15,7 +15,7 @@
 
 // loadMargin is longer than any window, so that one that began before a period
 // is read with it.
-const loadMargin = 2 * QuietWindow
+const loadMargin = 2 * WindowLength
 
 const (
 	pageSize = 200
