--- a/internal/claims/active.go
+++ b/internal/claims/active.go
@@ -6,17 +6,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// activeShards spreads the calls in progress over locks.
+// activeShards is the number of independently locked parts of activeCalls.
 const activeShards = 64
 
-// active holds the calls that this node is claiming, running or still recording,
-// by digest. A repeat of one is answered from here, without the store; that also
-// keeps two writes on one key out of one batch.
-type active struct {
-	shards [activeShards]activeShard
+// activeCalls holds, by digest, the calls that this node is claiming, running or
+// still recording. A repeat of one is answered from here without a store call,
+// which also keeps two writes to one key out of the same batch.
+type activeCalls struct {
+	shards [activeShards]activeCallShard
 }
 
-type activeShard struct {
+type activeCallShard struct {
 	mu    sync.Mutex
 	calls map[digest]*activeCall
 }
@@ -28,12 +28,13 @@
 	rec record
 }
 
-func (a *active) shard(d digest) *activeShard {
+func (a *activeCalls) shard(d digest) *activeCallShard {
 	return &a.shards[xxhash.Sum64String(string(d))%activeShards]
 }
 
-// begin enters a call, or returns the record of the one that is there already.
-func (a *active) begin(d digest, rec record) (existing record, ok bool) {
+// begin adds a call. If the digest is present already, it returns the existing
+// record and false.
+func (a *activeCalls) begin(d digest, rec record) (existing record, ok bool) {
 	s := a.shard(d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,8 +48,8 @@
 	return record{}, true
 }
 
-// update replaces the call's record if it is still the one that id entered.
-func (a *active) update(d digest, rec record) {
+// update replaces the call's record if the call was added with the same write ID.
+func (a *activeCalls) update(d digest, rec record) {
 	s := a.shard(d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,8 +58,8 @@
 	}
 }
 
-// end removes the call that id entered.
-func (a *active) end(d digest, id writeID) {
+// end removes the call that was added with id.
+func (a *activeCalls) end(d digest, id writeID) {
 	s := a.shard(d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +68,7 @@
 	}
 }
 
-func (a *active) size() int {
+func (a *activeCalls) size() int {
 	n := 0
 	for i := range a.shards {
 		s := &a.shards[i]
@@ -78,21 +79,21 @@
 	return n
 }
 
-// freedClaims remembers claims of this process that certainly never ran while
-// their records may still stand in the store. Forgetting one is safe: its key
-// then stays pending until it counts as lost.
-type freedClaims struct {
+// notRunClaims is a bounded set of this process's claims that were certainly never
+// dispatched but whose records may still be in the store. Evicting one is safe: its
+// key then stays pending until Options.PendingLimit.
+type notRunClaims struct {
 	mu    sync.Mutex
 	ids   map[writeID]struct{}
 	order []writeID // oldest first
 	limit int
 }
 
-func newFreedClaims(limit int) *freedClaims {
-	return &freedClaims{ids: make(map[writeID]struct{}), limit: limit}
+func newNotRunClaims(limit int) *notRunClaims {
+	return &notRunClaims{ids: make(map[writeID]struct{}), limit: limit}
 }
 
-func (f *freedClaims) add(id writeID) {
+func (f *notRunClaims) add(id writeID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.ids[id]; ok {
@@ -106,7 +107,7 @@
 	f.order = append(f.order, id)
 }
 
-func (f *freedClaims) has(id writeID) bool {
+func (f *notRunClaims) has(id writeID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, ok := f.ids[id]
--- a/internal/claims/batch.go
+++ b/internal/claims/batch.go
@@ -10,50 +10,51 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// breaker refuses calls for a moment after the store has failed, so that callers
-// are answered at once instead of waiting in line for a store that is down.
-type breaker struct {
+// circuitBreaker rejects calls for breakerCooldown after the store has failed, so that
+// callers get an error at once instead of queueing for a store that is down.
+type circuitBreaker struct {
 	now   func() time.Time
 	until atomic.Int64 // Unix nanoseconds
 }
 
-func (b *breaker) open() bool { return b.now().UnixNano() < b.until.Load() }
+func (b *circuitBreaker) open() bool { return b.now().UnixNano() < b.until.Load() }
 
-func (b *breaker) trip() { b.until.Store(b.now().Add(downFor).UnixNano()) }
+func (b *circuitBreaker) trip() { b.until.Store(b.now().Add(breakerCooldown).UnixNano()) }
 
-var errDown = errors.New("the store did not answer a moment ago")
+var errCircuitOpen = errors.New("the store did not answer within the last second; the write was not sent")
 
-// refusedAsDown is the failure of a write that was not sent.
-func refusedAsDown() *store.Error {
-	return &store.Error{Kind: store.Unavailable, Outcome: store.Refused, Op: "txn", Err: errDown}
+// circuitOpenError returns the error for a write that the open breaker rejected.
+func circuitOpenError() *store.Error {
+	return &store.Error{Kind: store.Unavailable, Outcome: store.Refused, Op: "txn", Err: errCircuitOpen}
 }
 
-// batcher gathers writes for a short while and flushes them together.
+// batcher collects writes for up to linger and flushes them together.
 type batcher struct {
 	flusher
-	breaker  *breaker
-	in       chan *write
+	breaker  *circuitBreaker
+	writes   chan *write
 	maxBatch int
 	linger   time.Duration
-	// slots bounds the transactions in flight.
+	// slots limits the number of transactions in flight.
 	slots chan struct{}
 }
 
-func newBatcher(f flusher, br *breaker, maxBatch int, linger time.Duration) *batcher {
-	f.onDown = br.trip
-	return &batcher{flusher: f, breaker: br, in: make(chan *write), maxBatch: maxBatch, linger: linger, slots: make(chan struct{}, maxFlushes)}
+func newBatcher(f flusher, br *circuitBreaker, maxBatch int, linger time.Duration) *batcher {
+	f.onUnavailable = br.trip
+	return &batcher{flusher: f, breaker: br, writes: make(chan *write), maxBatch: maxBatch, linger: linger, slots: make(chan struct{}, maxFlushes)}
 }
 
-// maxFlushes bounds a node's claim transactions in flight.
+// maxFlushes is the largest number of claim transactions that a node has in flight.
 const maxFlushes = 4
 
-// run gathers and flushes until ctx ends; flushes outlive it by at most their limit.
+// run batches and flushes writes until ctx ends. Flushes in flight may outlast it
+// by their total timeout.
 func (b *batcher) run(ctx context.Context) {
 	var next *write
 	for {
 		if next == nil {
 			select {
-			case next = <-b.in:
+			case next = <-b.writes:
 			case <-ctx.Done():
 				return
 			}
@@ -62,22 +63,22 @@
 		batch, next = b.gather(ctx, next)
 		b.slots <- struct{}{}
 		go func() {
-			b.flushUnlessDown(context.WithoutCancel(ctx), batch)
+			b.flushUnlessOpen(context.WithoutCancel(ctx), batch)
 			<-b.slots
 		}()
 	}
 }
 
-func (b *batcher) flushUnlessDown(ctx context.Context, batch []*write) {
+func (b *batcher) flushUnlessOpen(ctx context.Context, batch []*write) {
 	if b.breaker.open() {
-		fail(batch, refusedAsDown(), false)
+		deliverFailure(batch, circuitOpenError(), false)
 		return
 	}
-	b.flush(ctx, batch) // a store that does not answer trips the breaker
+	b.flush(ctx, batch) // trips the breaker if the store does not answer
 }
 
-// gather collects a batch of different keys; a second write on a key of the
-// batch is returned as next and opens the following one.
+// gather collects a batch of writes with distinct keys. A second write to a key of
+// the batch ends it and is returned as next, the first write of the next batch.
 func (b *batcher) gather(ctx context.Context, first *write) (batch []*write, next *write) {
 	linger := time.NewTimer(b.linger)
 	defer linger.Stop()
@@ -85,7 +86,7 @@
 	batch = append(batch, first)
 	for len(batch) < b.maxBatch {
 		select {
-		case w := <-b.in:
+		case w := <-b.writes:
 			if keys[w.op.Key] {
 				return batch, w
 			}
@@ -100,11 +101,11 @@
 	return batch, nil
 }
 
-// do hands a write in and waits for its result; every flush ends within its
-// limit, so the wait does too. stopped ends when the batcher does.
-func (b *batcher) do(stopped context.Context, w *write) writeResult {
+// submit queues a write and waits for its result. The wait is bounded, since every
+// flush ends within its total timeout. stopped ends when the batcher stops.
+func (b *batcher) submit(stopped context.Context, w *write) writeResult {
 	select {
-	case b.in <- w:
+	case b.writes <- w:
 		return <-w.result
 	case <-stopped.Done():
 		return writeResult{err: &store.Error{Kind: store.Unavailable, Outcome: store.Refused, Op: "txn", Err: stopped.Err()}}
--- a/internal/claims/bench_test.go
+++ b/internal/claims/bench_test.go
@@ -15,13 +15,13 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/etcdgw"
 )
 
-// benchAnswer is a booking's confirmation as a plain service may write it.
+// benchAnswer has the size of a typical booking confirmation.
 var benchAnswer = Answer{Status: 201, ContentType: "application/json", Body: make([]byte, 200)}
 
-// BenchmarkClaim measures claim and recorded answer of one call, through the
-// JSON gateway on loopback, at several numbers of callers. Beside time it reports
-// the store's calls and live bytes per claim. The naive way is one lease and two
-// transactions per call.
+// BenchmarkClaim measures claiming a key and recording its answer through the JSON
+// gateway on loopback, for several numbers of concurrent callers. It also reports the
+// store calls and the live bytes in the store per claim. The naive variant uses one
+// lease and two transactions per call.
 //
 //	go test -bench Claim -run '^$' ./internal/claims
 func BenchmarkClaim(b *testing.B) {
@@ -50,7 +50,7 @@
 
 func naiveClaimAndFinish(b *testing.B, s store.Store, key string) {
 	call := callOf(key, "body")
-	rec := newRecord(writer{Node: "a", Incarnation: 1}.writeID(1), call, time.Now())
+	rec := newRecord(processID{Node: "a", Incarnation: 1}.writeID(1), call, time.Now())
 	at := digestOf(call).storeKey()
 	lease, err := s.Grant(b.Context(), DefaultRetention)
 	if err != nil {
@@ -62,7 +62,7 @@
 		b.Error("not claimed", err)
 		return
 	}
-	rec.State, rec.Answer = Done, bounded(benchAnswer)
+	rec.State, rec.Answer = Done, limitAnswer(benchAnswer)
 	_, err = s.Txn(b.Context(), store.Txn{Then: []store.Op{store.Put(at, rec.encode(), lease)}})
 	if err != nil {
 		b.Error(err)
@@ -97,7 +97,7 @@
 	for range callers {
 		<-done
 	}
-	finish() // the outcomes that still wait belong to the work
+	finish() // recording the pending outcomes is part of the measured work
 	b.StopTimer()
 	reportStore(b, p)
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -15,7 +15,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// Replies that the tests expect again and again.
+// Replies that several tests expect.
 var (
 	ran        = reply{answer: "booked k", run: fennelerr.Ran}
 	inUse      = reply{code: fennelerr.KeyInProgress, run: fennelerr.Unknown}
@@ -25,17 +25,17 @@
 	reused     = reply{code: fennelerr.KeyReused, run: fennelerr.NotRun}
 )
 
-// system is two nodes, a store and a backend on a fake clock.
-type system struct {
+// testSystem is two nodes, a store and a backend in a synctest bubble.
+type testSystem struct {
 	t       *testing.T
 	store   *memstore.Store
 	backend backend
 	a, b    *node
 }
 
-func withSystem(t *testing.T, test func(t *testing.T, s *system), change ...func(*Options)) {
+func withSystem(t *testing.T, test func(t *testing.T, s *testSystem), change ...func(*Options)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &system{t: t, store: newStore(t)}
+		s := &testSystem{t: t, store: newStore(t)}
 		s.a = startNode(s.store, "a", 1, change...)
 		s.b = startNode(s.store, "b", 1, change...)
 		defer s.a.kill()
@@ -44,44 +44,44 @@
 	})
 }
 
-func (s *system) serve(n *node, key, body string, f fate) reply {
-	r, _ := serve(context.Background(), n, &s.backend, callOf(key, body), f)
+func (s *testSystem) serve(n *node, key, body string, end ending) reply {
+	r, _ := serve(context.Background(), n, &s.backend, callOf(key, body), end)
 	return r
 }
 
-// settle gives the nodes time to bring outcomes to the store.
-func settle() { time.Sleep(10 * time.Second) }
+// waitForSettlements gives the nodes time to write outcomes to the store.
+func waitForSettlements() { time.Sleep(10 * time.Second) }
 
-func TestWhatARepeatGets(t *testing.T) {
+func TestRepeatReply(t *testing.T) {
 	cases := []struct {
 		name  string
-		first fate
+		first ending
 		reply reply
 		body  string
-		// again is the repeat's reply, at the same node and at another.
+		// again is the expected reply to the repeat, on the same and on the other node.
 		again reply
 		runs  int
 	}{
-		{"after an answer", fateOK, ran, "body", ran, 1},
-		{"after a lost answer", fateAnswerLost, unknown, "body", unknown, 1},
-		{"after not run", fateNotStarted, notStarted, "body", ran, 1},
-		{"with another body, after an answer", fateOK, ran, "other", reused, 1},
-		{"with another body, after a lost answer", fateAnswerLost, unknown, "other", reused, 1},
-		{"with another body, after not run", fateNotStarted, notStarted, "other", ran, 1},
+		{"after an answer", endsAnswered, ran, "body", ran, 1},
+		{"after a lost answer", endsAnswerLost, unknown, "body", unknown, 1},
+		{"after not run", endsNotStarted, notStarted, "body", ran, 1},
+		{"with another body, after an answer", endsAnswered, ran, "other", reused, 1},
+		{"with another body, after a lost answer", endsAnswerLost, unknown, "other", reused, 1},
+		{"with another body, after not run", endsNotStarted, notStarted, "other", ran, 1},
 	}
 	for _, c := range cases {
 		for _, repeatAt := range []string{"same node, at once", "same node", "other node"} {
 			t.Run(c.name+", "+repeatAt, func(t *testing.T) {
-				withSystem(t, func(t *testing.T, s *system) {
+				withSystem(t, func(t *testing.T, s *testSystem) {
 					require.Equal(t, c.reply, s.serve(s.a, "k", "body", c.first))
 					n := s.a
 					if repeatAt == "other node" {
 						n = s.b
 					}
 					if repeatAt != "same node, at once" {
-						settle()
+						waitForSettlements()
 					}
-					require.Equal(t, c.again, s.serve(n, "k", c.body, fateOK))
+					require.Equal(t, c.again, s.serve(n, "k", c.body, endsAnswered))
 					require.Equal(t, c.runs, s.backend.count("k"))
 				})
 			})
@@ -89,43 +89,42 @@
 	}
 }
 
-// Two nodes get the same booking at the same moment, because the balancer sent a
-// repeat elsewhere while the first was still running. The customer must be
-// charged once, and the second caller must not hear that nothing was run.
-func TestSameKeyAtTwoNodesAtOnce(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
+// A load balancer sends a repeat to another node while the first call is running. The
+// call must run once, and the repeat must not be told that the call was not run.
+func TestSameKeyOnTwoNodesConcurrently(t *testing.T) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
 		claim, _, err := s.a.Claim(t.Context(), callOf("k", "body"))
 		require.NoError(t, err)
-		require.Equal(t, inUse, s.serve(s.b, "k", "body", fateOK))
-		require.Equal(t, inUse, s.serve(s.a, "k", "body", fateOK))
+		require.Equal(t, inUse, s.serve(s.b, "k", "body", endsAnswered))
+		require.Equal(t, inUse, s.serve(s.a, "k", "body", endsAnswered))
 		s.backend.run("k")
 		claim.Finish(t.Context(), answerTo("k"))
-		settle()
-		require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK))
+		waitForSettlements()
+		require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered))
 		require.Equal(t, 1, s.backend.count("k"))
 	})
-	withSystem(t, func(t *testing.T, s *system) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
 		var wg sync.WaitGroup
 		for i := range 20 {
 			n := []*node{s.a, s.b}[i%2]
-			wg.Go(func() { s.serve(n, "race", "body", fateOK) })
+			wg.Go(func() { s.serve(n, "race", "body", endsAnswered) })
 		}
 		wg.Wait()
 		require.Equal(t, 1, s.backend.count("race"))
 	})
 }
 
-// The store takes a claim in and its answer is lost on the way back. The node
-// must find out that the key is its own: otherwise the caller hears of another
-// request in progress that doesn't exist, and the booking can't be made at all.
+// The store applies a claim, but its answer is lost. The node must recognize the claim
+// as its own; otherwise the caller is told that another request is in progress, and
+// the call can never run.
 func TestClaimAppliedButAnswerLost(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
-		require.Equal(t, ran, s.serve(s.a, "warm-up", "body", fateOK).withKey("k"))
-		settle()
+	withSystem(t, func(t *testing.T, s *testSystem) {
+		require.Equal(t, ran, s.serve(s.a, "warm-up", "body", endsAnswered).withKey("k"))
+		waitForSettlements()
 		s.store.SetFaults(memstore.Faults{LoseAnswers: 1})
-		require.Equal(t, ran, s.serve(s.a, "k", "body", fateOK))
-		settle()
-		require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK))
+		require.Equal(t, ran, s.serve(s.a, "k", "body", endsAnswered))
+		waitForSettlements()
+		require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered))
 		require.Equal(t, 1, s.backend.count("k"))
 	})
 }
@@ -135,9 +134,9 @@
 	return r
 }
 
-// The store is down when a booking comes in, or goes down before it has answered.
-// The caller is refused as not run, at once when the store is known to be down,
-// and may send the booking again later under the same key.
+// The store is down when a call comes in, or fails before it answers. The call must be
+// refused as not run, immediately if the breaker is open, and must succeed when it is
+// sent again under the same key.
 func TestStoreDownBeforeAndDuring(t *testing.T) {
 	for name, faults := range map[string]memstore.Faults{
 		"refused":          {Down: true},
@@ -147,57 +146,56 @@
 		"all writes lost":  {DropWrites: 1000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withSystem(t, func(t *testing.T, s *system) {
-				s.serve(s.a, "warm-up", "body", fateOK)
-				settle()
+			withSystem(t, func(t *testing.T, s *testSystem) {
+				s.serve(s.a, "warm-up", "body", endsAnswered)
+				waitForSettlements()
 				s.store.SetFaults(faults)
-				require.Equal(t, storeDown, s.serve(s.a, "k", "body", fateOK))
+				require.Equal(t, storeDown, s.serve(s.a, "k", "body", endsAnswered))
 				began := time.Now()
-				require.Equal(t, storeDown, s.serve(s.a, "k", "body", fateOK))
+				require.Equal(t, storeDown, s.serve(s.a, "k", "body", endsAnswered))
 				require.Zero(t, time.Since(began), "refused at once")
 				s.store.SetFaults(memstore.Faults{})
-				settle()
-				require.Equal(t, ran, s.serve(s.a, "k", "body", fateOK))
-				settle()
-				require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK))
+				waitForSettlements()
+				require.Equal(t, ran, s.serve(s.a, "k", "body", endsAnswered))
+				waitForSettlements()
+				require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered))
 				require.Equal(t, 1, s.backend.count("k"))
 			})
 		})
 	}
 }
 
-// The store takes most of a second for each call. Bookings get slower and are not
-// refused.
+// The store takes 700 ms for each operation. Calls must get slower but not be refused.
 func TestSlowStore(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
-		s.serve(s.a, "warm-up", "body", fateOK)
-		settle()
+	withSystem(t, func(t *testing.T, s *testSystem) {
+		s.serve(s.a, "warm-up", "body", endsAnswered)
+		waitForSettlements()
 		s.store.SetFaults(memstore.Faults{Delay: 700 * time.Millisecond})
-		require.Equal(t, ran, s.serve(s.a, "k", "body", fateOK))
+		require.Equal(t, ran, s.serve(s.a, "k", "body", endsAnswered))
 	})
 }
 
-// The store hangs while a great many callers book. Those who stand in line behind
-// the first batches must not wait for one time limit after the other.
-func TestNoLineBeforeAStoreThatHangs(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
-		s.serve(s.a, "warm-up", "body", fateOK)
-		settle()
+// The store hangs under many concurrent calls. The calls queued behind the first
+// batches must not wait for several timeouts in turn.
+func TestCallsDoNotQueueBehindHungStore(t *testing.T) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
+		s.serve(s.a, "warm-up", "body", endsAnswered)
+		waitForSettlements()
 		s.store.SetFaults(memstore.Faults{Delay: time.Hour})
 		began := time.Now()
 		var wg sync.WaitGroup
 		for i := range 20 * DefaultMaxBatch {
-			wg.Go(func() { s.serve(s.a, fmt.Sprintf("k%d", i), "body", fateOK) })
+			wg.Go(func() { s.serve(s.a, fmt.Sprintf("k%d", i), "body", endsAnswered) })
 		}
 		wg.Wait()
 		require.Less(t, time.Since(began), DefaultTimeout+100*time.Millisecond)
 	})
 }
 
-// The store goes down while a booking runs. Its caller gets the answer at once,
-// a repeat at the same node too, and once the store is back, one at any node.
+// The store goes down while a call runs. Its caller and repeats on the same node must
+// get the answer at once, and repeats on any node once the store is back.
 func TestStoreDownAfterDispatch(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
 		claim, _, err := s.a.Claim(t.Context(), callOf("k", "body"))
 		require.NoError(t, err)
 		s.store.SetFaults(memstore.Faults{Down: true})
@@ -206,124 +204,124 @@
 		claim.Finish(t.Context(), answerTo("k"))
 		require.Zero(t, time.Since(began))
 		time.Sleep(time.Hour)
-		require.Equal(t, ran, s.serve(s.a, "k", "body", fateOK))
-		require.Equal(t, storeDown, s.serve(s.b, "k", "body", fateOK))
+		require.Equal(t, ran, s.serve(s.a, "k", "body", endsAnswered))
+		require.Equal(t, storeDown, s.serve(s.b, "k", "body", endsAnswered))
 		s.store.SetFaults(memstore.Faults{})
-		settle()
-		require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK))
+		waitForSettlements()
+		require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered))
 		require.Equal(t, 1, s.backend.count("k"))
 	})
 }
 
-// A node dies with a claim in its hands. Nobody can tell whether its booking
-// went out, so nobody may run it again, and callers must hear "unknown" rather
-// than "in progress" for good.
+// A node is killed while it holds a claim. Whether the call was dispatched is unknown,
+// so no node may run it again, and repeats must get "outcome unknown" eventually
+// instead of "in progress" forever.
 func TestNodeKilled(t *testing.T) {
 	for name, c := range map[string]struct {
-		fate fate
+		end  ending
 		runs int
 	}{
-		"between claim and dispatch": {fateKilledBeforeDispatch, 0},
-		"after dispatch":             {fateKilledAfterDispatch, 1},
+		"between claim and dispatch": {endsKilledBeforeDispatch, 0},
+		"after dispatch":             {endsKilledAfterDispatch, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withSystem(t, func(t *testing.T, s *system) {
-				s.serve(s.a, "k", "body", c.fate)
-				require.Equal(t, inUse, s.serve(s.b, "k", "body", fateOK))
+			withSystem(t, func(t *testing.T, s *testSystem) {
+				s.serve(s.a, "k", "body", c.end)
+				require.Equal(t, inUse, s.serve(s.b, "k", "body", endsAnswered))
 				restarted := startNode(s.store, "a", 2)
 				defer restarted.kill()
-				require.Equal(t, unknown, s.serve(restarted, "k", "body", fateOK))
+				require.Equal(t, unknown, s.serve(restarted, "k", "body", endsAnswered))
 				time.Sleep(DefaultPendingLimit + time.Second)
-				require.Equal(t, unknown, s.serve(s.b, "k", "body", fateOK))
+				require.Equal(t, unknown, s.serve(s.b, "k", "body", endsAnswered))
 				require.Equal(t, c.runs, s.backend.count("k"))
 			})
 		})
 	}
 }
 
-// A node is paused with a claim in its hands for longer than claims are kept. The
-// key is forgotten meanwhile and the booking made through another node. The node
-// wakes up believing that the booking is its own to dispatch.
-func TestHolderPausedPastTheRetention(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
+// A node that holds a claim is paused for longer than the retention. The claim expires
+// and the call runs on another node. When the first node resumes, it must not dispatch
+// the call again.
+func TestHolderPausedPastRetention(t *testing.T) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
 		claim, _, err := s.a.Claim(t.Context(), callOf("k", "body"))
 		require.NoError(t, err)
 		require.True(t, claim.StillHeld(time.Now()))
 		time.Sleep(2 * DefaultRetention)
-		require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK))
+		require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered))
 		if claim.StillHeld(time.Now()) {
 			s.backend.run("k")
 		}
 		claim.Release(t.Context())
-		settle()
-		require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK), "the late release leaves the other node's claim alone")
+		waitForSettlements()
+		require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered), "the late release must not delete the other node's claim")
 		require.Equal(t, 1, s.backend.count("k"))
 	})
 }
 
-// A claim's write is held up in the network: the node hears nothing, reads that
-// the key is free, and refuses the booking as not run. Then the write arrives
-// after all and the key looks taken for a day, though the caller was told to
-// come back.
-func TestClaimArrivesLate(t *testing.T) {
-	refuseAndDeliverLate := func(t *testing.T, s *system) {
-		s.serve(s.a, "warm-up", "body", fateOK)
-		settle()
+// A claim's write is delayed in the network: the node gets no answer, reads that the
+// key is absent and refuses the call as not run. Then the write is applied. Unless it
+// is removed, the key stays claimed for the whole retention (24 h), although the
+// caller was told that it may send the call again.
+func TestClaimWriteAppliedLate(t *testing.T) {
+	refuseAndDeliverLate := func(t *testing.T, s *testSystem) {
+		s.serve(s.a, "warm-up", "body", endsAnswered)
+		waitForSettlements()
 		var late store.Txn
 		s.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Verdict {
 			if late.Then != nil {
-				return memstore.Refuse // the store is gone by the second try
+				return memstore.Refuse // the store is down at the second attempt
 			}
 			late = *txn
 			return memstore.Drop
 		})
-		require.Equal(t, storeDown, s.serve(s.a, "k", "body", fateOK))
+		require.Equal(t, storeDown, s.serve(s.a, "k", "body", endsAnswered))
 		s.store.SetHook(nil)
-		settle()
+		waitForSettlements()
 		_, err := s.store.Txn(t.Context(), late)
 		require.NoError(t, err)
-		require.Equal(t, inUse, s.serve(s.b, "k", "body", fateOK), "another node can't know better")
+		require.Equal(t, inUse, s.serve(s.b, "k", "body", endsAnswered), "another node can't tell that the call never ran")
 	}
-	withSystem(t, func(t *testing.T, s *system) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
 		refuseAndDeliverLate(t, s)
-		require.Equal(t, ran, s.serve(s.a, "k", "body", fateOK), "the node itself takes its claim over")
+		require.Equal(t, ran, s.serve(s.a, "k", "body", endsAnswered), "the same node takes over its own claim")
 		require.Equal(t, 1, s.backend.count("k"))
 	})
-	withSystem(t, func(t *testing.T, s *system) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
 		refuseAndDeliverLate(t, s)
-		time.Sleep(2 * recheckAfter)
-		require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK), "looked for again and removed")
+		time.Sleep(2 * recheckDelay)
+		require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered), "found by the recheck and removed")
 		require.Equal(t, 1, s.backend.count("k"))
 	})
 }
 
-// Many callers book at once and one of them repeats a booking. Its claim fails
-// the shared transaction; the others must neither fail nor wait for long.
+// One of many concurrent calls is a repeat, so its guard fails the shared transaction.
+// The other calls must succeed with one more transaction.
 func TestOneRepeatDoesNotFailTheBatch(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
-		s.serve(s.b, "k7", "body", fateOK)
-		s.serve(s.a, "warm-up", "body", fateOK)
-		settle()
+	withSystem(t, func(t *testing.T, s *testSystem) {
+		s.serve(s.b, "k7", "body", endsAnswered)
+		s.serve(s.a, "warm-up", "body", endsAnswered)
+		waitForSettlements()
 		before := s.store.Calls()[memstore.KindTxn]
 		var wg sync.WaitGroup
 		for i := range 20 {
 			wg.Go(func() {
 				key := fmt.Sprintf("k%d", i)
-				require.Equal(t, ran.withKey(key), s.serve(s.a, key, "body", fateOK))
+				require.Equal(t, ran.withKey(key), s.serve(s.a, key, "body", endsAnswered))
 			})
 		}
 		wg.Wait()
-		require.EqualValues(t, 2, s.store.Calls()[memstore.KindTxn]-before, "one for all, one without the repeat")
+		require.EqualValues(t, 2, s.store.Calls()[memstore.KindTxn]-before, "one transaction with all calls, one without the repeat")
 		require.Equal(t, 1, s.backend.count("k7"))
 	})
 }
 
-// The store stays down while bookings go on being answered. What waits to be
-// recorded is bounded: what doesn't fit is lost, and its repeats must hear
-// "unknown" and not be run again.
-func TestUnsettledOutcomesAreBounded(t *testing.T) {
+// The store is down while calls are answered. The memory of the unrecorded outcomes is
+// bounded; for an outcome that is dropped, repeats must get "outcome unknown" and must
+// not run the call again.
+func TestPendingSettlementsAreBounded(t *testing.T) {
 	small := func(o *Options) { o.MaxSettlementBytes = 3 * (settlementOverhead + 400) }
-	withSystem(t, func(t *testing.T, s *system) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
 		var held []*Claim
 		for i := range 10 {
 			claim, _, err := s.a.Claim(t.Context(), callOf(fmt.Sprintf("k%d", i), "body"))
@@ -335,13 +333,13 @@
 			s.backend.run(fmt.Sprintf("k%d", i))
 			claim.Finish(t.Context(), answerTo("k"))
 		}
-		require.LessOrEqual(t, s.a.settle.bytes, s.a.opts.MaxSettlementBytes)
+		require.LessOrEqual(t, s.a.settlements.bytes, s.a.opts.MaxSettlementBytes)
 		s.store.SetFaults(memstore.Faults{})
 		time.Sleep(DefaultPendingLimit + time.Second)
 		recorded := 0
 		for i := range held {
 			key := fmt.Sprintf("k%d", i)
-			r := s.serve(s.b, key, "body", fateOK)
+			r := s.serve(s.b, key, "body", endsAnswered)
 			if r != unknown {
 				require.Equal(t, fennelerr.Ran, r.run)
 				recorded++
@@ -353,89 +351,88 @@
 	}, small)
 }
 
-// Claims share one lease per time bucket over all nodes, and a node whose lease
-// the store has lost makes a new one.
+// The claims of all nodes share one lease per time bucket. A node whose cached lease no
+// longer exists in the store grants a new one.
 func TestSharedLease(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
 		for i := range 10 {
-			s.serve(s.a, fmt.Sprintf("a%d", i), "body", fateOK)
-			s.serve(s.b, fmt.Sprintf("b%d", i), "body", fateOK)
+			s.serve(s.a, fmt.Sprintf("a%d", i), "body", endsAnswered)
+			s.serve(s.b, fmt.Sprintf("b%d", i), "body", endsAnswered)
 		}
 		require.EqualValues(t, 1, s.store.Calls()[memstore.KindGrant])
-		settle()
+		waitForSettlements()
 		require.NoError(t, s.store.Revoke(t.Context(), s.a.leases.cached.id))
-		require.Equal(t, ran, s.serve(s.a, "k", "body", fateOK))
+		require.Equal(t, ran, s.serve(s.a, "k", "body", endsAnswered))
 		require.EqualValues(t, 2, s.store.Calls()[memstore.KindGrant])
 		time.Sleep(DefaultRetention)
-		require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK), "still kept")
+		require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered), "the claim is still kept")
 		require.Equal(t, 1, s.backend.count("k"))
 		time.Sleep(2 * maxBucket)
-		require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK), "forgotten")
+		require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered), "the claim has expired")
 		require.Equal(t, 2, s.backend.count("k"))
 	})
 }
 
-// A shop keeps a failed booking in a drawer and sends it again after claims have
-// been forgotten. A key that carries its time shows that, and the booking is
-// refused rather than made twice.
-func TestTimedKeys(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
+// A caller repeats a call after its claim has expired. If the key is a UUID version 7,
+// its timestamp shows that, and the call must be refused instead of run twice.
+func TestUUIDv7Keys(t *testing.T) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
 		keyAt := func(at time.Time) string {
 			ms := fmt.Sprintf("%012x", at.UnixMilli())
 			return ms[:8] + "-" + ms[8:] + "-7abc-8def-0123456789ab"
 		}
 		key := keyAt(time.Now().Add(30 * time.Second))
-		require.Equal(t, ran.withKey(key), s.serve(s.a, key, "body", fateOK))
-		settle()
+		require.Equal(t, ran.withKey(key), s.serve(s.a, key, "body", endsAnswered))
+		waitForSettlements()
 		for range 50 {
 			time.Sleep(time.Hour)
-			r := s.serve(s.b, key, "body", fateOK)
+			r := s.serve(s.b, key, "body", endsAnswered)
 			require.Contains(t, []reply{ran.withKey(key), {code: fennelerr.KeyExpired, run: fennelerr.Unknown}}, r)
 			require.Equal(t, 1, s.backend.count(key))
 		}
 		future := keyAt(time.Now().Add(time.Hour))
-		require.Equal(t, fennelerr.InvalidRequest, s.serve(s.a, future, "body", fateOK).code)
-		require.Equal(t, fennelerr.InvalidRequest, s.serve(s.a, "", "body", fateOK).code)
+		require.Equal(t, fennelerr.InvalidRequest, s.serve(s.a, future, "body", endsAnswered).code)
+		require.Equal(t, fennelerr.InvalidRequest, s.serve(s.a, "", "body", endsAnswered).code)
 		strict := startNode(s.store, "c", 1, func(o *Options) { o.RequireUUIDv7Keys = true })
 		defer strict.kill()
-		require.Equal(t, fennelerr.InvalidRequest, s.serve(strict, "opaque", "body", fateOK).code)
+		require.Equal(t, fennelerr.InvalidRequest, s.serve(strict, "opaque", "body", endsAnswered).code)
 	})
 }
 
 func TestStillHeld(t *testing.T) {
 	made := time.Unix(1_000_000, 0)
-	c := &Claim{made: made}
+	c := &Claim{createdAt: made}
 	for after, held := range map[time.Duration]bool{
 		0:                    true,
 		DispatchWindow - 1:   true,
 		DispatchWindow:       false,
 		-MaxClockSkew + 1:    true,
-		-2 * MaxClockSkew:    false, // the clock was set back: nobody knows how long it took
+		-2 * MaxClockSkew:    false, // the wall clock was set back: the elapsed time is unknown
 		DefaultRetention * 2: false,
 	} {
 		require.Equal(t, held, c.StillHeld(made.Add(after)), after)
 	}
 }
 
-func TestCallerLeavesWhileClaiming(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
-		s.serve(s.a, "warm-up", "body", fateOK)
+func TestCallerDisconnectsWhileClaiming(t *testing.T) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
+		s.serve(s.a, "warm-up", "body", endsAnswered)
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		_, _, err := s.a.Claim(ctx, callOf("k", "body"))
 		require.Equal(t, fennelerr.Canceled, fennelerr.CodeOf(err))
-		settle()
-		require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK), "the claim was given back")
+		waitForSettlements()
+		require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered), "the claim was released")
 		require.Zero(t, s.a.active.size())
 	})
 }
 
 func TestCloseRecordsOutcomes(t *testing.T) {
-	withSystem(t, func(t *testing.T, s *system) {
+	withSystem(t, func(t *testing.T, s *testSystem) {
 		s.store.SetFaults(memstore.Faults{})
-		require.Equal(t, ran, s.serve(s.a, "k", "body", fateOK))
+		require.Equal(t, ran, s.serve(s.a, "k", "body", endsAnswered))
 		s.a.Close(t.Context())
-		require.Equal(t, ran, s.serve(s.b, "k", "body", fateOK))
+		require.Equal(t, ran, s.serve(s.b, "k", "body", endsAnswered))
 		require.Equal(t, 1, s.backend.count("k"))
 	})
 }
--- a/internal/claims/decide.go
+++ b/internal/claims/decide.go
@@ -8,22 +8,22 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// verdict is what a repeat of a call gets.
-type verdict int
+// decision is how a repeat of a call is handled.
+type decision int
 
-// A takeOver repeat runs the call: the claim found is this process's own and
-// was certainly never dispatched, or was not run by the backend server.
+// With takeOver the repeat runs the call: the existing claim was made by this process
+// and was certainly never dispatched, or the backend server did not run it.
 const (
-	inProgress verdict = iota
+	inProgress decision = iota
 	replay
 	outcomeUnknown
 	otherBody
 	takeOver
 )
 
-// String returns the verdict as it appears in logs and metrics.
-func (v verdict) String() string {
-	switch v {
+// String returns the decision's name in logs and metrics.
+func (d decision) String() string {
+	switch d {
 	case replay:
 		return "replay"
 	case outcomeUnknown:
@@ -37,42 +37,42 @@
 	}
 }
 
-// found is what a repeat has to decide on.
-type found struct {
-	rec  record
-	call Call
-	self writer
-	// freed is set when the claim is known never to have run.
-	freed bool
-	now   time.Time
-	// pendingLimit is the age from which a pending claim counts as lost.
+// repeatCall is the input of decide: the existing record and the repeated call.
+type repeatCall struct {
+	rec     record
+	call    Call
+	process processID
+	// notRun is set if the claimed call is known not to have run.
+	notRun bool
+	now    time.Time
+	// pendingLimit is the age above which a pending claim's outcome counts as unknown.
 	pendingLimit time.Duration
 }
 
-// decide says what a repeat gets, and why.
-func decide(f found) (v verdict, reason string) {
-	age := f.now.Sub(time.UnixMilli(f.rec.ClaimedMs))
+// decide returns the decision for a repeat and its reason.
+func decide(r repeatCall) (d decision, reason string) {
+	age := r.now.Sub(time.UnixMilli(r.rec.ClaimedMs))
 	switch {
-	case !f.rec.sameBody(f.call):
+	case !r.rec.sameBody(r.call):
 		return otherBody, "the key was used with another body"
-	case f.rec.State == Done && f.rec.Answer != nil:
+	case r.rec.State == Done && r.rec.Answer != nil:
 		return replay, "the call has run"
-	case f.rec.State != Pending:
-		return outcomeUnknown, "the claim's fate is unknown"
-	case f.freed:
-		return takeOver, "this node's own claim never ran"
-	case f.self.wroteEarlier(f.rec.ID):
+	case r.rec.State != Pending:
+		return outcomeUnknown, "the outcome of the claimed call is unknown"
+	case r.notRun:
+		return takeOver, "this node's own claim was never run"
+	case r.process.wroteEarlier(r.rec.ID):
 		return outcomeUnknown, "this node restarted since it claimed the key"
-	case age > f.pendingLimit:
+	case age > r.pendingLimit:
 		return outcomeUnknown, "the claim is older than any call takes"
 	default:
 		return inProgress, "another request holds the key"
 	}
 }
 
-// keyTime reads the time embedded in a key that is a UUID of version 7 (RFC
-// 9562): its first 48 bits are Unix milliseconds.
-func keyTime(key string) (time.Time, bool) {
+// keyTimestamp extracts the timestamp of a key that is a UUID version 7 (RFC 9562),
+// whose first 48 bits are Unix milliseconds.
+func keyTimestamp(key string) (time.Time, bool) {
 	const uuidLen, versionAt = 36, 14
 	if len(key) != uuidLen || key[versionAt] != '7' {
 		return time.Time{}, false
@@ -88,22 +88,22 @@
 	return time.UnixMilli(ms), true
 }
 
-// checkKey refuses keys that are malformed or, where they carry a time, too old
-// for their claim to be still kept: such a repeat would run a second time.
-func checkKey(key string, now time.Time, retention time.Duration, requireTimed bool) *fennelerr.Error {
+// checkKey rejects malformed keys, keys from the future and keys whose timestamp is
+// so old that their claim may have expired: such a repeat could run a second time.
+func checkKey(key string, now time.Time, retention time.Duration, requireUUIDv7 bool) *fennelerr.Error {
 	if len(key) == 0 || len(key) > MaxKeyLen {
 		return refuse(fennelerr.InvalidRequest, fennelerr.NotRun, "the Idempotency-Key must have 1 to %d bytes", MaxKeyLen)
 	}
-	at, timed := keyTime(key)
+	at, timed := keyTimestamp(key)
 	switch {
-	case !timed && requireTimed:
-		return refuse(fennelerr.InvalidRequest, fennelerr.NotRun, "the Idempotency-Key must be a UUID of version 7")
+	case !timed && requireUUIDv7:
+		return refuse(fennelerr.InvalidRequest, fennelerr.NotRun, "the Idempotency-Key must be a UUID version 7")
 	case !timed:
 		return nil
 	case at.After(now.Add(MaxClockSkew)):
-		return refuse(fennelerr.InvalidRequest, fennelerr.NotRun, "the Idempotency-Key's time lies in the future")
+		return refuse(fennelerr.InvalidRequest, fennelerr.NotRun, "the timestamp in the Idempotency-Key is in the future")
 	case now.Sub(at) > retention-keyTimeMargin:
-		return refuse(fennelerr.KeyExpired, fennelerr.Unknown, "the Idempotency-Key is older than claims are kept; whether the call ran is not known any more")
+		return refuse(fennelerr.KeyExpired, fennelerr.Unknown, "the Idempotency-Key is older than the claim retention; whether the call ran is no longer known")
 	}
 	return nil
 }
@@ -112,20 +112,20 @@
 	return fennelerr.New(code, format, args...).WithOp("claims.claim").WithField("Idempotency-Key").WithRun(run)
 }
 
-// refusal turns a verdict other than replay and takeOver into the caller's error.
-func refusal(v verdict) *fennelerr.Error {
-	switch v {
+// refusal returns the caller's error for a decision other than replay and takeOver.
+func refusal(d decision) *fennelerr.Error {
+	switch d {
 	case otherBody:
-		// This body was certainly not run; the key's first body may have been.
+		// This body was certainly not run; the first body sent with the key may have been.
 		return refuse(fennelerr.KeyReused, fennelerr.NotRun, "the key was used before with another method, path or body")
 	case outcomeUnknown:
 		return refuse(fennelerr.OutcomeUnknown, fennelerr.Unknown, "an earlier call with this key may have run; it will not be run again")
 	default:
-		// The first call may be running: saying not-run would invite the caller
-		// to book anew under another key.
+		// The first call may be running. Reporting not-run would lead the caller to
+		// send the call again under another key.
 		return refuse(fennelerr.KeyInProgress, fennelerr.Unknown, "a call with this key is in progress").WithRetryAfter(inProgressRetry)
 	}
 }
 
-// inProgressRetry is when a repeat of a call in progress may come back.
+// inProgressRetry is the Retry-After for a repeat of a call in progress.
 const inProgressRetry = time.Second
--- a/internal/claims/flush.go
+++ b/internal/claims/flush.go
@@ -11,16 +11,16 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// write is one guarded operation on one claim's key.
+// write is a guarded operation on the key of one claim.
 type write struct {
 	guard store.Guard
 	op    store.Op
-	// result has room for one, so that nobody waits for a writer that left.
+	// result is buffered, so that delivery never blocks on a submitter that has gone.
 	result chan writeResult
 }
 
-// writeResult is what became of a write. With err nil and applied false the
-// guard did not hold, and found is the key as it was, nil if absent.
+// writeResult is the result of a write. If err is nil and applied is false, the guard
+// did not hold and found is the key as read, nil if absent.
 type writeResult struct {
 	applied  bool
 	revision int64
@@ -32,8 +32,8 @@
 	return &write{guard: guard, op: op, result: make(chan writeResult, 1)}
 }
 
-// holds reports whether the write's guard holds on the key as found.
-func (w *write) holds(kv *store.KV) bool {
+// guardHolds reports whether the write's guard holds for the key as read.
+func (w *write) guardHolds(kv *store.KV) bool {
 	var have store.KV
 	if kv != nil {
 		have = *kv
@@ -44,73 +44,73 @@
 	return have.CreateRevision == w.guard.Equal
 }
 
-// landed reports whether the key as found shows that the write has taken effect
-// already. Values hold a unique write id, so equal bytes are proof.
-func (w *write) landed(kv *store.KV) bool {
+// alreadyApplied reports whether the key as read shows that the write has taken
+// effect. Every value contains a unique write ID, so equal bytes prove it.
+func (w *write) alreadyApplied(kv *store.KV) bool {
 	if w.op.Kind == store.OpDelete {
 		return kv == nil
 	}
 	return kv != nil && bytes.Equal(kv.Value, w.op.Value)
 }
 
-// flusher brings batches of writes to the store.
+// flusher writes batches to the store.
 type flusher struct {
 	store store.Store
-	// attempt bounds the first transaction for a batch, limit all of them.
-	attempt, limit time.Duration
-	// onDown is told that the store did not answer, before the writes are: whoever hears
-	// of the failure and comes again must find the breaker open. Told after them, one in
-	// forty such callers waited for another batch. May be nil.
-	onDown func()
+	// firstTimeout bounds the first transaction of a batch, totalTimeout all of its
+	// transactions together.
+	firstTimeout, totalTimeout time.Duration
+	// onUnavailable is called when the store did not answer, before the writes get their
+	// results, so that a caller that retries on the failure finds the breaker open.
+	// Called after them, one in forty such callers waited for another batch. May be nil.
+	onUnavailable func()
 }
 
-// flush writes the batch, whose keys are all different, in as few transactions
-// as it can, and gives every write its result.
+// flush writes a batch with distinct keys in as few transactions as possible and
+// delivers a result to every write. It reports whether the store answered.
 //
-// A transaction applies only if all guards hold, so one repeated key would fail
-// the others along with it. Its else branch therefore reads all the keys: the
-// writes whose guards don't hold are answered from that, and the rest are sent
-// again. A transaction with unknown outcome is sent again as it is: if it had
-// taken effect, the guards fail and the reads show the writes' own values.
+// A transaction applies only if all guards hold, so one repeated key would fail the
+// whole batch. The else branch therefore reads all keys: the writes whose guards
+// don't hold are answered from these reads, and the rest are sent again. A
+// transaction with an unknown outcome is sent again unchanged: if it has taken
+// effect, the guards fail and the reads return the values that the writes put.
 //
-// It reports whether the store answered. Each try gets twice the time of the one
-// before: the first soon gives up a connection that has gone silent, the last
-// waits for a store that is merely slow.
+// The timeout doubles with each attempt: the first is short, to give up a hung
+// connection soon; the last is long enough for a slow store.
 func (f *flusher) flush(ctx context.Context, batch []*write) (answered bool) {
-	ctx, cancel := context.WithTimeout(ctx, f.limit)
+	ctx, cancel := context.WithTimeout(ctx, f.totalTimeout)
 	defer cancel()
-	unsure := false
-	attempt, backoff := f.attempt, firstBackoff
+	maybeApplied := false
+	timeout, backoff := f.firstTimeout, firstBackoff
 	for len(batch) > 0 {
-		res, err := f.send(ctx, attempt, batch)
+		res, err := f.send(ctx, timeout, batch)
 		switch {
 		case err == nil && res.Succeeded:
-			answer(batch, writeResult{applied: true, revision: res.Revision})
+			deliver(batch, writeResult{applied: true, revision: res.Revision})
 			return true
 		case err == nil:
-			batch = settled(batch, res.Gets)
+			batch = deliverDecided(batch, res.Gets)
 		case err.Kind == store.LeaseNotFound && len(batch) > 1:
-			return f.flushSingly(ctx, batch)
-		case err.Kind != store.Unavailable || (err.Outcome == store.Refused && !unsure) || !clock.Pause(ctx, backoff):
+			return f.flushOneByOne(ctx, batch)
+		case err.Kind != store.Unavailable || (err.Outcome == store.Refused && !maybeApplied) || !clock.Pause(ctx, backoff):
 			answered := err.Kind != store.Unavailable
-			if !answered && f.onDown != nil {
-				f.onDown()
+			if !answered && f.onUnavailable != nil {
+				f.onUnavailable()
 			}
-			fail(batch, err, unsure)
+			deliverFailure(batch, err, maybeApplied)
 			return answered
 		default:
-			unsure = true
-			attempt, backoff = 2*attempt, 2*backoff
+			maybeApplied = true
+			timeout, backoff = 2*timeout, 2*backoff
 		}
 	}
 	return true
 }
 
-// firstBackoff is the wait before a transaction is sent again; it doubles.
+// firstBackoff is the wait before the first resend of a transaction; it doubles.
 const firstBackoff = 10 * time.Millisecond
 
-func (f *flusher) send(ctx context.Context, limit time.Duration, batch []*write) (store.TxnResult, *store.Error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (f *flusher) send(ctx context.Context, timeout time.Duration, batch []*write) (store.TxnResult, *store.Error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var txn store.Txn
 	for _, w := range batch {
@@ -125,12 +125,14 @@
 	if failure, ok := errors.Into[*store.Error](err); ok {
 		return res, failure
 	}
-	// A driver that breaks its promise is taken at the worst.
+	// The driver must return a *store.Error. Any other error may mean anything, so the
+	// outcome counts as unknown.
 	return res, &store.Error{Kind: store.Unavailable, Outcome: store.Unknown, Op: "txn", Err: err}
 }
 
-// flushSingly finds the write whose lease has ended: the others go through.
-func (f *flusher) flushSingly(ctx context.Context, batch []*write) (answered bool) {
+// flushOneByOne writes each operation in its own transaction, so that only the one
+// whose lease has expired fails.
+func (f *flusher) flushOneByOne(ctx context.Context, batch []*write) (answered bool) {
 	answered = true
 	for _, w := range batch {
 		answered = f.flush(ctx, []*write{w}) && answered
@@ -138,20 +140,20 @@
 	return answered
 }
 
-// settled answers the writes that are decided by the keys found and returns the
-// others. At least one guard did not hold, so the batch shrinks.
-func settled(batch []*write, gets []*store.KV) []*write {
+// deliverDecided delivers results to the writes that the read keys decide and returns
+// the others. At least one guard did not hold, so the batch shrinks.
+func deliverDecided(batch []*write, gets []*store.KV) []*write {
 	var rest []*write
 	for i, w := range batch {
 		kv := gets[i]
 		switch {
-		case w.landed(kv):
+		case w.alreadyApplied(kv):
 			r := writeResult{applied: true}
 			if kv != nil {
 				r.revision = kv.ModRevision
 			}
 			w.result <- r
-		case w.holds(kv):
+		case w.guardHolds(kv):
 			rest = append(rest, w)
 		default:
 			w.result <- writeResult{found: kv}
@@ -160,18 +162,19 @@
 	return rest
 }
 
-func answer(batch []*write, r writeResult) {
+func deliver(batch []*write, r writeResult) {
 	for _, w := range batch {
 		w.result <- r
 	}
 }
 
-// fail answers a batch whose last try failed. When an earlier try had an unknown
-// outcome, a last one that was refused doesn't make it known.
-func fail(batch []*write, err *store.Error, unsure bool) {
+// deliverFailure delivers err to a batch whose last attempt failed. If an earlier
+// attempt had an unknown outcome, the outcome stays unknown even if the last attempt
+// was refused.
+func deliverFailure(batch []*write, err *store.Error, unsure bool) {
 	failure := *err
 	if unsure {
 		failure.Outcome = store.Unknown
 	}
-	answer(batch, writeResult{err: &failure})
+	deliver(batch, writeResult{err: &failure})
 }
--- a/internal/claims/gateway_test.go
+++ b/internal/claims/gateway_test.go
@@ -15,9 +15,9 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// Two nodes get the same bookings at the same time over real connections, while
-// the service loses the answers of some writes. Each booking is made once, and
-// after that every node knows its answer.
+// Two nodes get the same calls concurrently over real connections, while the store
+// loses the answers of some writes. Each call must run once, and a third node must
+// then replay its answer.
 func TestOverTheJSONGateway(t *testing.T) {
 	p := platform.New(platform.Options{})
 	srv := httptest.NewServer(p.Handler())
@@ -55,7 +55,7 @@
 }
 
 func mustServe(t *testing.T, n *node, b *backend, key string) reply {
-	r, alive := serve(t.Context(), n, b, callOf(key, "body"), fateOK)
+	r, alive := serve(t.Context(), n, b, callOf(key, "body"), endsAnswered)
 	require.True(t, alive)
 	return r
 }
--- a/internal/claims/harness_test.go
+++ b/internal/claims/harness_test.go
@@ -19,8 +19,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// TestMain fixes the seed of the random histories, so that every run gives the
-// same verdict; the flag -rapid.seed on the command line takes precedence.
+// TestMain fixes the seed of the random histories, so that runs are reproducible. The
+// flag -rapid.seed on the command line takes precedence.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -28,46 +28,47 @@
 	goleak.VerifyTestMain(m)
 }
 
-// errNodeDead is what a killed node's calls to the store get.
-var errNodeDead = &store.Error{Kind: store.Unavailable, Outcome: store.Refused, Op: "any", Err: errors.New("node killed")}
+// errNodeKilled is the error of a killed node's store calls.
+var errNodeKilled = &store.Error{Kind: store.Unavailable, Outcome: store.Refused, Op: "any", Err: errors.New("node killed")}
 
-// nodeStore cuts a killed node off, so that nothing it had in memory reaches the store.
-type nodeStore struct {
+// killableStore fails the transactions of a killed node, so that nothing it had in
+// memory reaches the store.
+type killableStore struct {
 	store.Store
-	dead atomic.Bool
+	killed atomic.Bool
 }
 
-func (s *nodeStore) Txn(ctx context.Context, txn store.Txn) (store.TxnResult, error) {
-	if s.dead.Load() {
-		return store.TxnResult{}, errNodeDead
+func (s *killableStore) Txn(ctx context.Context, txn store.Txn) (store.TxnResult, error) {
+	if s.killed.Load() {
+		return store.TxnResult{}, errNodeKilled
 	}
 	return s.Store.Txn(ctx, txn)
 }
 
-// node is one process with its manager.
+// node is a simulated process with its Manager.
 type node struct {
 	*Manager
-	link *nodeStore
+	store *killableStore
 }
 
 func startNode(s store.Store, name cluster.NodeID, incarnation uint64, change ...func(*Options)) *node {
-	link := &nodeStore{Store: s}
-	opts := Options{Store: link, Node: name, Incarnation: incarnation, Log: slog.New(slog.DiscardHandler)}
+	killable := &killableStore{Store: s}
+	opts := Options{Store: killable, Node: name, Incarnation: incarnation, Log: slog.New(slog.DiscardHandler)}
 	for _, c := range change {
 		c(&opts)
 	}
-	return &node{Manager: New(opts), link: link}
+	return &node{Manager: New(opts), store: killable}
 }
 
-// kill stops the node at once, losing what it had in memory.
+// kill stops the node at once. Unrecorded outcomes are lost.
 func (n *node) kill() {
-	n.link.dead.Store(true)
+	n.store.killed.Store(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	n.Close(ctx)
 }
 
-// backend is a plain service that counts its runs by key.
+// backend is a service that counts its runs by key.
 type backend struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -88,17 +89,17 @@
 	return b.runs[key]
 }
 
-// fate is what befalls a call after it was claimed.
-type fate int
+// ending is how a call ends after its key was claimed.
+type ending int
 
-// Fates. The last two kill the node.
+// Endings. The last two kill the node.
 const (
-	fateOK fate = iota
-	fateNotStarted
-	fateAnswerLost
-	fateKilledBeforeDispatch
-	fateKilledAfterDispatch
-	fates
+	endsAnswered ending = iota
+	endsNotStarted
+	endsAnswerLost
+	endsKilledBeforeDispatch
+	endsKilledAfterDispatch
+	endingCount
 )
 
 func callOf(key, body string) Call {
@@ -109,38 +110,38 @@
 	return Answer{Status: 201, ContentType: "application/json", Body: []byte("booked " + key)}
 }
 
-// reply is what a caller sees.
+// reply is the part of a response that the tests compare.
 type reply struct {
 	answer string
 	code   fennelerr.Code
 	run    fennelerr.RunState
 }
 
-// serve does what the gateway does with a call: claim, check, dispatch, settle.
-// A killed node's caller gets no reply.
-func serve(ctx context.Context, n *node, b *backend, call Call, f fate) (reply, bool) {
+// serve handles a call like the gateway: claim, check, dispatch, settle. It returns
+// false, without a reply, if the node was killed.
+func serve(ctx context.Context, n *node, b *backend, call Call, end ending) (reply, bool) {
 	claim, recorded, err := n.Claim(ctx, call)
 	switch {
-	case n.link.dead.Load():
-		return reply{}, false // killed by another call meanwhile
+	case n.store.killed.Load():
+		return reply{}, false // killed by another call in the meantime
 	case err != nil:
 		e, _ := errors.Into[*fennelerr.Error](err)
 		return reply{code: e.Code, run: e.Run}, true
 	case recorded != nil:
 		return reply{answer: string(recorded.Body), run: fennelerr.Ran}, true
-	case f == fateKilledBeforeDispatch:
+	case end == endsKilledBeforeDispatch:
 		n.kill()
 		return reply{}, false
-	case f == fateNotStarted || !claim.StillHeld(time.Now()):
+	case end == endsNotStarted || !claim.StillHeld(time.Now()):
 		claim.Release(ctx)
 		return reply{code: fennelerr.BackendFailed, run: fennelerr.NotRun}, true
 	}
 	b.run(call.Key)
-	switch f {
-	case fateKilledAfterDispatch:
+	switch end {
+	case endsKilledAfterDispatch:
 		n.kill()
 		return reply{}, false
-	case fateAnswerLost:
+	case endsAnswerLost:
 		claim.Abandon(ctx)
 		return reply{code: fennelerr.OutcomeUnknown, run: fennelerr.Unknown}, true
 	default:
--- a/internal/claims/history_test.go
+++ b/internal/claims/history_test.go
@@ -22,24 +22,24 @@
 	historyBodies = 2
 )
 
-// step is one event of a random history. With faults set the store changes its
-// behaviour, with key set a caller sends a call; then time passes.
+// step is one event of a random history: with faults set, the store changes its
+// behaviour; otherwise a caller sends a call. Then the clock advances by pause.
 type step struct {
 	faults *memstore.Faults
 	key    string
 	body   string
 	node   int
-	fate   fate
-	then   time.Duration
+	end    ending
+	pause  time.Duration
 }
 
 func drawStep(kills bool) *rapid.Generator[step] {
-	lastFate := fateAnswerLost
+	lastEnding := endsAnswerLost
 	if kills {
-		lastFate = fates - 1
+		lastEnding = endingCount - 1
 	}
 	return rapid.Custom(func(t *rapid.T) step {
-		s := step{then: rapid.SampledFrom([]time.Duration{0, 0, time.Millisecond, 20 * time.Millisecond, time.Second, time.Minute}).Draw(t, "then")}
+		s := step{pause: rapid.SampledFrom([]time.Duration{0, 0, time.Millisecond, 20 * time.Millisecond, time.Second, time.Minute}).Draw(t, "then")}
 		if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
 			f := rapid.SampledFrom([]memstore.Faults{
 				{},
@@ -58,31 +58,31 @@
 		s.key = fmt.Sprintf("k%d", rapid.IntRange(0, historyKeys-1).Draw(t, "key"))
 		s.body = fmt.Sprintf("body%d", rapid.IntRange(0, historyBodies-1).Draw(t, "body"))
 		s.node = rapid.IntRange(0, historyNodes-1).Draw(t, "node")
-		s.fate = fate(rapid.IntRange(0, int(lastFate)).Draw(t, "fate"))
+		s.end = ending(rapid.IntRange(0, int(lastEnding)).Draw(t, "fate"))
 		return s
 	})
 }
 
-// replayer runs a history, the calls side by side, and keeps the replies by key
-// and a broken promise.
-type replayer struct {
+// historyRunner runs the calls of a history concurrently. It keeps the replies by key
+// and the last violation of a guarantee.
+type historyRunner struct {
 	store   *memstore.Store
 	backend backend
 	nodes   [historyNodes]*node
 	starts  uint64
 
-	mu      sync.Mutex
-	replies map[string][]reply
-	kills   int
-	broken  string
+	mu        sync.Mutex
+	replies   map[string][]reply
+	kills     int
+	violation string
 }
 
-func (r *replayer) start(i int) {
+func (r *historyRunner) start(i int) {
 	r.starts++
 	r.nodes[i] = startNode(r.store, cluster.NodeID(fmt.Sprintf("n%d", i)), r.starts)
 }
 
-func (r *replayer) replay(history []step) {
+func (r *historyRunner) replay(history []step) {
 	var calls sync.WaitGroup
 	for i := range r.nodes {
 		r.start(i)
@@ -91,13 +91,13 @@
 		if s.faults != nil {
 			r.store.SetFaults(*s.faults)
 		} else {
-			if r.nodes[s.node].link.dead.Load() {
+			if r.nodes[s.node].store.killed.Load() {
 				r.start(s.node)
 			}
 			n := r.nodes[s.node]
 			calls.Go(func() { r.call(n, s) })
 		}
-		time.Sleep(s.then)
+		time.Sleep(s.pause)
 	}
 	calls.Wait()
 	r.store.SetFaults(memstore.Faults{})
@@ -108,8 +108,8 @@
 	}
 }
 
-func (r *replayer) call(n *node, s step) {
-	got, alive := serve(context.Background(), n, &r.backend, callOf(s.key, s.body), s.fate)
+func (r *historyRunner) call(n *node, s step) {
+	got, alive := serve(context.Background(), n, &r.backend, callOf(s.key, s.body), s.end)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !alive {
@@ -120,97 +120,98 @@
 	r.check(s.key, got)
 }
 
-func (r *replayer) check(key string, got reply) {
+func (r *historyRunner) check(key string, got reply) {
 	runs := r.backend.count(key)
 	switch {
 	case runs > 1:
-		r.broken = fmt.Sprintf("%s ran %d times", key, runs)
+		r.violation = fmt.Sprintf("%s ran %d times", key, runs)
 	case got.run == fennelerr.Ran && (runs != 1 || got != ran.withKey(key)):
-		r.broken = fmt.Sprintf("%s: answered %+v after %d runs", key, got, runs)
+		r.violation = fmt.Sprintf("%s: answered %+v after %d runs", key, got, runs)
 	case got.run == "":
-		r.broken = fmt.Sprintf("%s: %+v doesn't say whether it ran", key, got)
+		r.violation = fmt.Sprintf("%s: %+v has no run state", key, got)
 	}
 }
 
-// checkRepeats sends every key once more. One that never ran, at no node that
-// was killed, must go through now: its callers were told to come back.
-func (r *replayer) checkRepeats() {
+// checkRepeats sends every key once more. If no node was killed, a key that never ran
+// must run now, because its callers were told that they may send it again.
+func (r *historyRunner) checkRepeats() {
 	for k := range historyKeys {
 		key := fmt.Sprintf("k%d", k)
 		free := r.kills == 0 && r.backend.count(key) == 0
 		for i, n := range r.nodes {
-			if n.link.dead.Load() {
+			if n.store.killed.Load() {
 				continue
 			}
-			got, _ := serve(context.Background(), n, &r.backend, callOf(key, "body0"), fateOK)
+			got, _ := serve(context.Background(), n, &r.backend, callOf(key, "body0"), endsAnswered)
 			r.check(key, got)
 			if free && got.run != fennelerr.Ran {
-				r.broken = fmt.Sprintf("%s never ran, yet node %d answers %+v after %+v", key, i, got, r.replies[key])
+				r.violation = fmt.Sprintf("%s never ran, yet node %d answers %+v after %+v", key, i, got, r.replies[key])
 			}
 			time.Sleep(time.Second)
 		}
 	}
 }
 
-func runHistory(t *testing.T, history []step) (broken string) {
+func runHistory(t *testing.T, history []step) (violation string) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &replayer{store: newStore(t), replies: make(map[string][]reply)}
+		r := &historyRunner{store: newStore(t), replies: make(map[string][]reply)}
 		r.replay(history)
-		broken = r.broken
+		violation = r.violation
 	})
-	return broken
+	return violation
 }
 
-// Everything happens at once: callers repeat, nodes die, the store loses writes
-// and answers. Whatever the order, a customer is charged once at most, and what
-// was refused as not run can be sent again.
+// Repeats, killed nodes and store faults (lost writes, lost answers, outages) occur in
+// random order. Every key must run at most once, and a call that was refused as not
+// run must succeed when it is sent again.
 func TestRandomHistories(t *testing.T) {
 	for name, kills := range map[string]bool{"nodes live": false, "nodes die": true} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(rt *rapid.T) {
 				history := rapid.SliceOfN(drawStep(kills), 1, 25).Draw(rt, "history")
-				if broken := runHistory(t, history); broken != "" {
-					rt.Fatal(broken)
+				if violation := runHistory(t, history); violation != "" {
+					rt.Fatal(violation)
 				}
 			})
 		})
 	}
 }
 
-// naive is what claims would be with one node, one thread and no failures.
-type naive map[string]naiveClaim
+// sequentialModel is the expected behaviour of claims with one node, no concurrency
+// and no failures.
+type sequentialModel map[string]modelClaim
 
-type naiveClaim struct {
+type modelClaim struct {
 	body  string
 	reply reply
 }
 
-func (m naive) serve(s step) reply {
+func (m sequentialModel) serve(s step) reply {
 	if c, ok := m[s.key]; ok {
 		if c.body != s.body {
 			return reused
 		}
 		return c.reply
 	}
-	switch s.fate {
-	case fateNotStarted:
+	switch s.end {
+	case endsNotStarted:
 		return notStarted
-	case fateAnswerLost:
-		m[s.key] = naiveClaim{s.body, unknown}
+	case endsAnswerLost:
+		m[s.key] = modelClaim{s.body, unknown}
 		return unknown
 	default:
-		m[s.key] = naiveClaim{s.body, ran.withKey(s.key)}
+		m[s.key] = modelClaim{s.body, ran.withKey(s.key)}
 		return ran.withKey(s.key)
 	}
 }
 
-func TestSameAsNaiveWithoutFaults(t *testing.T) {
+func TestMatchesSequentialModelWithoutFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		history := rapid.SliceOfN(drawStep(false), 1, 25).Draw(rt, "history")
 		var got, want []reply
 		synctest.Test(t, func(t *testing.T) {
-			r := &replayer{store: newStore(t)}
-			model := make(naive)
+			r := &historyRunner{store: newStore(t)}
+			model := make(sequentialModel)
 			for i := range r.nodes {
 				r.start(i)
 				defer r.nodes[i].kill()
@@ -219,9 +220,9 @@
 				if s.faults != nil {
 					continue
 				}
-				reply, _ := serve(t.Context(), r.nodes[s.node], &r.backend, callOf(s.key, s.body), s.fate)
+				reply, _ := serve(t.Context(), r.nodes[s.node], &r.backend, callOf(s.key, s.body), s.end)
 				got, want = append(got, reply), append(want, model.serve(s))
-				settle()
+				waitForSettlements()
 			}
 		})
 		require.Equal(rt, want, got)
@@ -235,7 +236,7 @@
 	f.Fuzz(func(t *testing.T, key string, nowMs int64) {
 		now := time.UnixMilli(nowMs)
 		err := checkKey(key, now, DefaultRetention, true)
-		at, timed := keyTime(key)
+		at, timed := keyTimestamp(key)
 		if err == nil && (!timed || now.Sub(at) > DefaultRetention || at.Sub(now) > MaxClockSkew) {
 			t.Fatalf("key %q of %v accepted at %v", key, at, now)
 		}
--- a/internal/claims/lease.go
+++ b/internal/claims/lease.go
@@ -11,25 +11,25 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Bucket bounds: a claim's lease ends up to one bucket after the retention.
+// Bucket length. A claim's lease may expire up to one bucket after the retention.
 const (
 	bucketsPerRetention = 24
 	minBucket           = time.Minute
 	maxBucket           = time.Hour
 )
 
-// leases finds the lease that all claims of the current time bucket share, over
-// all nodes. One lease per claim would cost a call each and a timer each in the
-// store; a shared one costs each node one read per bucket.
+// leases provides the lease that the claims of all nodes share for the current time
+// bucket. One lease per claim would cost a store call and a timer in the store each;
+// a shared lease costs each node one read per bucket.
 //
-// The lease lives for the retention, plus the bucket's length, since claims are
-// added to it for that long, plus twice the clock skew that nodes may have.
+// The lease's TTL is the retention, plus the bucket length, since claims are added
+// to it for that long, plus twice MaxClockSkew.
 type leases struct {
-	store     store.Store
-	retention time.Duration
-	bucket    time.Duration
-	limit     time.Duration // bounds one look-up
-	now       func() time.Time
+	store         store.Store
+	retention     time.Duration
+	bucket        time.Duration
+	lookupTimeout time.Duration
+	now           func() time.Time
 
 	lookups singleflight.Group
 
@@ -40,14 +40,14 @@
 type bucketLease struct {
 	id     store.LeaseID
 	number int64
-	// readAt has the monotonic clock: a cached lease is not used past one
-	// bucket, whatever the wall clock says.
+	// readAt has a monotonic reading: a cached lease is used for at most one bucket
+	// length, even if the wall clock jumps.
 	readAt time.Time
 }
 
-func newLeases(s store.Store, retention, limit time.Duration, now func() time.Time) *leases {
+func newLeases(s store.Store, retention, lookupTimeout time.Duration, now func() time.Time) *leases {
 	bucket := min(max(retention/bucketsPerRetention, minBucket), maxBucket)
-	return &leases{store: s, retention: retention, bucket: bucket, limit: limit, now: now}
+	return &leases{store: s, retention: retention, bucket: bucket, lookupTimeout: lookupTimeout, now: now}
 }
 
 func (l *leases) ttl() time.Duration { return l.retention + l.bucket + 2*MaxClockSkew }
@@ -62,11 +62,12 @@
 	if c.id != 0 && c.number == number && now.Sub(c.readAt) < l.bucket {
 		return c.id, nil
 	}
-	// Shared by the callers of the moment, so no caller's context ends it.
+	// The lookup is shared by concurrent callers, so it must not end with the context
+	// of one of them.
 	v, err, _ := l.lookups.Do("lease", func() (any, error) {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.limit)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.lookupTimeout)
 		defer cancel()
-		id, err := l.find(ctx, store.ClaimLeaseKey(number))
+		id, err := l.readOrGrant(ctx, store.ClaimLeaseKey(number))
 		if err != nil {
 			return store.LeaseID(0), err
 		}
@@ -78,8 +79,8 @@
 	return v.(store.LeaseID), err
 }
 
-// forget drops a cached lease that the store no longer knows.
-func (l *leases) forget(id store.LeaseID) {
+// invalidate removes a lease that the store no longer has from the cache.
+func (l *leases) invalidate(id store.LeaseID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cached.id == id {
@@ -87,10 +88,10 @@
 	}
 }
 
-// find reads the bucket's lease or makes it. The key is attached to the lease
-// that it names, so both go together. A lease that was granted in vain, because
-// another node was first or an answer was lost, holds no key and runs out.
-func (l *leases) find(ctx context.Context, key string) (store.LeaseID, error) {
+// readOrGrant reads the bucket's lease or grants it. The bucket's key is attached to
+// its own lease, so both expire together. A lease that ends up unused, because another
+// node was first or a response was lost, has no keys attached and expires.
+func (l *leases) readOrGrant(ctx context.Context, key string) (store.LeaseID, error) {
 	kv, _, err := l.store.Get(ctx, key)
 	if err != nil {
 		return 0, err
@@ -113,8 +114,8 @@
 	case res.Succeeded:
 		return id, nil
 	case len(res.Gets) == 1 && res.Gets[0] != nil && res.Gets[0].Lease != 0:
-		_ = l.store.Revoke(ctx, id) // it holds nothing; if this fails it runs out
+		_ = l.store.Revoke(ctx, id) // no keys are attached; if this fails, it expires
 		return res.Gets[0].Lease, nil
 	}
-	return 0, errors.Errorf("claim lease key %s names no lease", key)
+	return 0, errors.Errorf("claim lease key %s has no lease attached", key)
 }
--- a/internal/claims/record.go
+++ b/internal/claims/record.go
@@ -13,55 +13,57 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// digestBytes is how much of a SHA-256 is kept in keys and records: 128 bits.
-// Teams can't collide with each other's keys, since the team is hashed too.
+// digestBytes is the length to which SHA-256 sums are truncated in keys and records:
+// 128 bits. The team is part of the hash, so equal keys of two teams don't collide.
 const digestBytes = 16
 
-// digest names a call's claim in the store and in logs.
+// digest identifies a call's claim in the store and in logs.
 type digest string
 
 func digestOf(call Call) digest {
 	h := sha256.New()
-	// The length keeps (team "a", key "bc") and (team "ab", key "c") apart.
+	// The length prefix gives (team "a", key "bc") and (team "ab", key "c") different
+	// digests.
 	fmt.Fprintf(h, "%d:%s%s", len(call.Team), call.Team, call.Key)
 	return digest(hex.EncodeToString(h.Sum(nil)[:digestBytes]))
 }
 
 func (d digest) storeKey() string { return store.ClaimKey(string(d)) }
 
-// writer identifies the process that made a claim.
-type writer struct {
+// processID identifies the process that made a claim.
+type processID struct {
 	Node        cluster.NodeID
 	Incarnation uint64
 }
 
-// writeID is unique over all claims ever made: writer and a running number.
+// writeID is unique over all claims: the process that made the claim and a sequence
+// number.
 type writeID string
 
-func (w writer) writeID(seq uint64) writeID {
-	return writeID(fmt.Sprintf("%s%x", w.prefix(), seq))
+func (p processID) writeID(seq uint64) writeID {
+	return writeID(fmt.Sprintf("%s%x", p.prefix(), seq))
 }
 
-func (w writer) prefix() string { return fmt.Sprintf("%s/%x/", w.Node, w.Incarnation) }
+func (p processID) prefix() string { return fmt.Sprintf("%s/%x/", p.Node, p.Incarnation) }
 
-func (w writer) nodePrefix() string { return string(w.Node) + "/" }
+func (p processID) nodePrefix() string { return string(p.Node) + "/" }
 
 // wrote reports whether this process made the claim.
-func (w writer) wrote(id writeID) bool { return strings.HasPrefix(string(id), w.prefix()) }
+func (p processID) wrote(id writeID) bool { return strings.HasPrefix(string(id), p.prefix()) }
 
 // wroteEarlier reports whether an earlier process of the same node made the claim.
-func (w writer) wroteEarlier(id writeID) bool {
-	return strings.HasPrefix(string(id), w.nodePrefix()) && !w.wrote(id)
+func (p processID) wroteEarlier(id writeID) bool {
+	return strings.HasPrefix(string(id), p.nodePrefix()) && !p.wrote(id)
 }
 
-// record is a claim's value in the store. The names are short because the store
-// is small and holds one record for every booking of the retention.
+// record is a claim's value in the store. The JSON names are short because the store
+// is small and holds one record for every call of the retention.
 type record struct {
 	State State   `json:"s"`
 	ID    writeID `json:"w"`
-	// Body is the start of Call.BodySHA256.
+	// Body is the first digestBytes bytes of Call.BodySHA256.
 	Body []byte `json:"b"`
-	// ClaimedMs is the claimer's wall clock, in Unix milliseconds.
+	// ClaimedMs is the claiming node's wall clock, in Unix milliseconds.
 	ClaimedMs int64   `json:"t"`
 	Answer    *Answer `json:"a,omitempty"`
 }
@@ -73,7 +75,7 @@
 func (r record) encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // no field of a record can fail to encode
+		panic(err) // unreachable: every field of a record can be encoded
 	}
 	return b
 }
@@ -86,8 +88,9 @@
 
 func (r record) sameBody(call Call) bool { return bytes.Equal(r.Body, call.BodySHA256[:digestBytes]) }
 
-// bounded cuts an answer to what is kept of it.
-func bounded(a Answer) *Answer {
+// limitAnswer returns the answer without a body above MaxAnswerBody and without a
+// content type above maxContentType.
+func limitAnswer(a Answer) *Answer {
 	if len(a.Body) > MaxAnswerBody {
 		a.Body, a.BodyOmitted = nil, true
 	}
--- a/internal/claims/settle.go
+++ b/internal/claims/settle.go
@@ -9,22 +9,22 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// settlement is a write that follows a claim: its outcome, or its removal. It is
-// tried until the store answers.
+// settlement is a write that follows a claim: it records the outcome or deletes the
+// claim. It is retried until the store answers.
 type settlement struct {
 	write *write
 	bytes int
-	// tried closes after the first attempt, whatever came of it.
-	tried chan struct{}
-	// after is called once with the store's answer; not when dropped.
-	after func(writeResult)
-	// dropped is called instead when the memory for settlements is full.
-	dropped func()
+	// attempted is closed after the first attempt, whatever its result.
+	attempted chan struct{}
+	// onResult is called once with the result, unless the settlement is dropped.
+	onResult func(writeResult)
+	// onDrop is called instead of onResult if the queue is full.
+	onDrop func()
 }
 
-// settler brings settlements to the store in batches. While the store is down
-// they wait in memory, bounded in bytes.
-type settler struct {
+// settlementQueue writes settlements to the store in batches. While the store is down
+// they wait in memory, up to maxBytes.
+type settlementQueue struct {
 	flusher  flusher
 	maxBatch int
 	maxBytes int
@@ -35,22 +35,23 @@
 	mu    sync.Mutex
 	queue []*settlement
 	bytes int
-	// flushing counts the settlements taken from the queue and not yet answered.
+	// flushing is the number of settlements taken from the queue without a result yet.
 	flushing int
-	idle     chan struct{} // closed and replaced when nothing is left to do
+	idle     chan struct{} // closed and replaced when no settlement is queued or in flight
 }
 
-// Backoff between attempts while the store is down.
+// Bounds of the backoff between attempts while the store is down.
 const (
 	minSettleBackoff = 100 * time.Millisecond
 	maxSettleBackoff = 5 * time.Second
 )
 
-// settlementOverhead is counted for each settlement beside its value.
+// settlementOverhead is the size counted for each settlement in addition to its key
+// and value.
 const settlementOverhead = 512
 
-func newSettler(f flusher, maxBatch, maxBytes int, linger time.Duration) *settler {
-	return &settler{
+func newSettlementQueue(f flusher, maxBatch, maxBytes int, linger time.Duration) *settlementQueue {
+	return &settlementQueue{
 		flusher:  f,
 		maxBatch: maxBatch,
 		maxBytes: maxBytes,
@@ -60,10 +61,10 @@
 	}
 }
 
-// add queues a settlement, or drops it when the memory is full: its claim then
-// stays pending in the store, and repeats learn that its fate is unknown.
-func (s *settler) add(st *settlement) {
-	st.tried = make(chan struct{})
+// add queues a settlement, or drops it if the queue is full. The claim of a dropped
+// settlement stays pending in the store, and repeats get "outcome unknown".
+func (s *settlementQueue) add(st *settlement) {
+	st.attempted = make(chan struct{})
 	st.bytes = settlementOverhead + len(st.write.op.Key) + len(st.write.op.Value)
 	s.mu.Lock()
 	full := s.bytes+st.bytes > s.maxBytes
@@ -74,8 +75,8 @@
 	s.mu.Unlock()
 	if full {
 		settlementsDropped.Inc()
-		close(st.tried)
-		st.dropped()
+		close(st.attempted)
+		st.onDrop()
 		return
 	}
 	select {
@@ -84,16 +85,16 @@
 	}
 }
 
-// roomFor reports whether a value of n bytes still fits comfortably: beyond half
-// of the memory answers are recorded without their bodies.
-func (s *settler) roomFor(n int) bool {
+// hasRoomFor reports whether the queue stays below half of its limit with a value of n
+// more bytes. Above half of the limit, answers are recorded without their bodies.
+func (s *settlementQueue) hasRoomFor(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bytes+n < s.maxBytes/2
 }
 
-// run settles until ctx ends.
-func (s *settler) run(ctx context.Context) {
+// run flushes settlements until ctx ends.
+func (s *settlementQueue) run(ctx context.Context) {
 	backoff := minSettleBackoff
 	for {
 		select {
@@ -104,7 +105,7 @@
 		if !clock.Pause(ctx, s.linger) {
 			return
 		}
-		for batch := s.take(); len(batch) > 0; batch = s.take() {
+		for batch := s.nextBatch(); len(batch) > 0; batch = s.nextBatch() {
 			if s.flush(ctx, batch) {
 				backoff = minSettleBackoff
 				continue
@@ -117,8 +118,8 @@
 	}
 }
 
-// take removes up to a batch of settlements with different keys from the queue.
-func (s *settler) take() []*settlement {
+// nextBatch removes up to maxBatch settlements with distinct keys from the queue.
+func (s *settlementQueue) nextBatch() []*settlement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	keys := make(map[string]bool)
@@ -132,59 +133,60 @@
 	return batch
 }
 
-// flush tries one batch and reports whether the store answered. What it did not
-// answer goes back to the front of the queue.
-func (s *settler) flush(ctx context.Context, batch []*settlement) bool {
+// flush tries one batch and reports whether the store answered. Settlements without an
+// answer go back to the front of the queue.
+func (s *settlementQueue) flush(ctx context.Context, batch []*settlement) bool {
 	writes := make([]*write, len(batch))
 	for i, st := range batch {
 		writes[i] = st.write
 	}
 	s.flusher.flush(ctx, writes)
-	var again, done []*settlement
+	var retry, done []*settlement
 	results := make(map[*settlement]writeResult, len(batch))
 	for _, st := range batch {
 		r := <-st.write.result
 		results[st] = r
 		if r.err != nil && r.err.Kind == store.Unavailable {
-			again = append(again, st)
+			retry = append(retry, st)
 		} else {
 			done = append(done, st)
 		}
 	}
 	for _, st := range done {
-		st.after(results[st])
+		st.onResult(results[st])
 	}
-	s.finish(again, done)
+	s.requeue(retry, done)
 	for _, st := range batch {
-		st.markTried()
+		st.markAttempted()
 	}
-	return len(again) == 0
+	return len(retry) == 0
 }
 
-func (s *settler) finish(again, done []*settlement) {
+func (s *settlementQueue) requeue(retry, done []*settlement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.queue = append(again, s.queue...)
+	s.queue = append(retry, s.queue...)
 	for _, st := range done {
 		s.bytes -= st.bytes
 	}
-	s.flushing -= len(again) + len(done)
+	s.flushing -= len(retry) + len(done)
 	if len(s.queue) == 0 && s.flushing == 0 {
 		close(s.idle)
 		s.idle = make(chan struct{})
 	}
 }
 
-func (st *settlement) markTried() {
+func (st *settlement) markAttempted() {
 	select {
-	case <-st.tried:
+	case <-st.attempted:
 	default:
-		close(st.tried)
+		close(st.attempted)
 	}
 }
 
-// pending returns how many settlements wait, and a channel that closes when none does.
-func (s *settler) pending() (int, <-chan struct{}) {
+// pending returns the number of unfinished settlements and a channel that is closed
+// when there are none.
+func (s *settlementQueue) pending() (int, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.queue) + s.flushing, s.idle
