--- a/internal/claims/flush.go
+++ b/internal/claims/flush.go
@@ -171,9 +171,9 @@
 // deliverFailure delivers err to a batch whose last attempt failed. If an earlier
 // attempt had an unknown outcome, the outcome stays unknown even if the last attempt
 // was refused.
-func deliverFailure(batch []*write, err *store.Error, unsure bool) {
+func deliverFailure(batch []*write, err *store.Error, maybeApplied bool) {
 	failure := *err
-	if unsure {
+	if maybeApplied {
 		failure.Outcome = store.Unknown
 	}
 	deliver(batch, writeResult{err: &failure})
--- a/internal/claims/manager.go
+++ b/internal/claims/manager.go
@@ -276,7 +276,7 @@
 	return m.claimWrites.submit(m.stopped, newWrite(guard, store.Put(c.digest.storeKey(), c.rec.encode(), lease)))
 }
 
-var errKeyContended = errors.New("the key changed during every attempt to claim it")
+var errKeyContended = errors.New("every attempt to claim the key failed: the key or its lease kept changing")
 
 // leaseError returns the error for a claim whose lease could not be obtained. Its
 // outcome is Refused even if the lease's own outcome is unknown, because the claim
