--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -24,7 +24,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// TestMain fixes the seed of the random traces, so that every run gives the same verdict.
+// TestMain fixes the seed of the random traces, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -32,13 +32,13 @@
 	goleak.VerifyTestMain(m)
 }
 
-// second is a time in a trace, counted from its beginning.
-func second(n int) time.Time {
+// atSecond returns the time n seconds after the beginning of a trace.
+func atSecond(n int) time.Time {
 	return time.Date(2026, 1, 1, 0, 0, n, 0, time.UTC)
 }
 
-// player replays a trace, second by second.
-type player struct {
+// tracePlayer replays a trace in steps of one second.
+type tracePlayer struct {
 	t           *testing.T
 	recorders   map[string]*Recorder
 	paused      map[string]bool
@@ -47,12 +47,12 @@
 	corrections []Correction
 }
 
-func (p *player) step(now int, events [][]string) {
+func (p *tracePlayer) step(now int, events [][]string) {
 	for name, r := range p.recorders {
 		if !p.paused[name] {
-			r.Tick(second(now))
+			r.Tick(atSecond(now))
 			if now%int(OutageWindowLength/time.Second) == 0 {
-				p.cut(r)
+				p.closeWindow(r)
 			}
 		}
 	}
@@ -61,37 +61,37 @@
 	}
 }
 
-func (p *player) cut(r *Recorder) {
+func (p *tracePlayer) closeWindow(r *Recorder) {
 	if w, ok := r.CloseWindow(); ok {
 		p.windows = append(p.windows, w)
 	}
 }
 
-func (p *player) apply(now int, observer string, ev []string) {
+func (p *tracePlayer) apply(now int, observer string, ev []string) {
 	r := p.recorders[observer]
 	switch ev[0] {
 	case "start":
 		p.starts[observer]++
 		opts := RecorderOptions{Observer: cluster.NodeID(observer), Incarnation: p.starts[observer], Zone: "z"}
-		p.recorders[observer] = NewRecorder(opts, second(now))
+		p.recorders[observer] = NewRecorder(opts, atSecond(now))
 	case "stop":
-		p.cut(r)
+		p.closeWindow(r)
 		delete(p.recorders, observer)
 	case "die":
 		delete(p.recorders, observer)
 	case "pause", "resume":
 		p.paused[observer] = ev[0] == "pause"
 		if ev[0] == "resume" {
-			r.Tick(second(now))
+			r.Tick(atSecond(now))
 		}
 	case "stranded":
 		n, err := strconv.Atoi(ev[2])
 		require.NoError(p.t, err)
-		r.Apply(Event{Kind: StrandedCount, At: second(now), Group: cluster.GroupName(ev[1]), Count: n, Cause: Cause(ev[3])})
+		r.Apply(Event{Kind: StrandedCount, At: atSecond(now), Group: cluster.GroupName(ev[1]), Count: n, Cause: Cause(ev[3])})
 	default:
 		kind, ok := map[string]EventKind{"down": ReplicaDown, "up": ReplicaUp, "gone": ReplicaGone}[ev[0]]
 		require.True(p.t, ok, ev)
-		e := Event{Kind: kind, At: second(now), Group: cluster.GroupName(ev[1]), Replica: cluster.ReplicaID(ev[2])}
+		e := Event{Kind: kind, At: atSecond(now), Group: cluster.GroupName(ev[1]), Replica: cluster.ReplicaID(ev[2])}
 		if len(ev) > 3 {
 			e.Cause = Cause(ev[3])
 		}
@@ -99,18 +99,18 @@
 	}
 }
 
-func (p *player) correct(fields []string) {
+func (p *tracePlayer) correct(fields []string) {
 	from, err := strconv.Atoi(fields[2])
 	require.NoError(p.t, err)
 	to, err := strconv.Atoi(fields[3])
 	require.NoError(p.t, err)
 	p.corrections = append(p.corrections, Correction{
-		ID: fields[0], Corrects: fields[1], From: second(from), To: second(to), Cause: Cause(fields[4]),
-		Author: "Ana", Reason: "checked", At: second(1000 + len(p.corrections)),
+		ID: fields[0], Corrects: fields[1], From: atSecond(from), To: atSecond(to), Cause: Cause(fields[4]),
+		Author: "Ana", Reason: "checked", At: atSecond(1000 + len(p.corrections)),
 	})
 }
 
-// Recorded traces with the outcome that we state for each.
+// The reports of recorded traces must match the expected reports in testdata.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	require.NoError(t, err)
@@ -133,7 +133,7 @@
 }
 
 func replayTrace(t *testing.T, trace string, from, to int) Report {
-	p := &player{t: t, recorders: make(map[string]*Recorder), paused: make(map[string]bool), starts: make(map[string]uint64)}
+	p := &tracePlayer{t: t, recorders: make(map[string]*Recorder), paused: make(map[string]bool), starts: make(map[string]uint64)}
 	events := make(map[int][][]string)
 	last := 0
 	for line := range strings.Lines(trace) {
@@ -153,21 +153,21 @@
 	for now := 0; now <= last; now++ {
 		p.step(now, events[now])
 	}
-	twice := slices.Concat(p.windows, p.windows) // a window that is sent twice counts once
-	return BuildReport("z", second(from), second(to), twice, p.corrections)
+	twice := slices.Concat(p.windows, p.windows) // duplicated windows must count once
+	return BuildReport("z", atSecond(from), atSecond(to), twice, p.corrections)
 }
 
-// The account of random events equals one made second by second.
-func TestSameAsSecondBySecond(t *testing.T) {
+// The report of random events must match totals counted second by second.
+func TestReportMatchesPerSecondCount(t *testing.T) {
 	const length = 400
 	rapid.Check(t, func(rt *rapid.T) {
-		r := NewRecorder(RecorderOptions{Observer: "a", Zone: "z"}, second(0))
+		r := NewRecorder(RecorderOptions{Observer: "a", Zone: "z"}, atSecond(0))
 		var windows []Window
 		down := make(map[cluster.ReplicaID]bool)
 		stranded, wantDown, wantStranded := 0, 0, 0
 		for now := range length {
-			r.Tick(second(now))
-			ev := Event{At: second(now), Group: "fit", Replica: cluster.ReplicaID(rapid.SampledFrom([]string{"r1", "r2"}).Draw(rt, "replica"))}
+			r.Tick(atSecond(now))
+			ev := Event{At: atSecond(now), Group: "fit", Replica: cluster.ReplicaID(rapid.SampledFrom([]string{"r1", "r2"}).Draw(rt, "replica"))}
 			switch rapid.IntRange(0, 20).Draw(rt, "event") {
 			case 0:
 				ev.Kind, ev.Cause = ReplicaDown, Cause(rapid.SampledFrom([]string{"x", "y"}).Draw(rt, "cause"))
@@ -189,9 +189,9 @@
 			wantDown += len(down)
 			wantStranded += stranded
 		}
-		r.Tick(second(length))
+		r.Tick(atSecond(length))
 		w, _ := r.CloseWindow()
-		rep := BuildReport("z", second(0), second(length), append(windows, w), nil)
+		rep := BuildReport("z", atSecond(0), atSecond(length), append(windows, w), nil)
 		got := map[Measure]float64{}
 		for _, row := range rep.Rows {
 			if row.Cause == "" {
@@ -205,52 +205,52 @@
 	})
 }
 
-// An event comes after its window has been cut, because the node was busy. The
-// window stays as it is, and the outage counts from the cut on.
+// An event arrives after its window was closed, because the node was busy. The closed
+// window must not change, and the outage must count from the start of the next window.
 func TestLateEvents(t *testing.T) {
-	r := NewRecorder(RecorderOptions{Observer: "a", Zone: "z", MaxGap: time.Hour}, second(0))
-	r.Tick(second(60))
+	r := NewRecorder(RecorderOptions{Observer: "a", Zone: "z", MaxGap: time.Hour}, atSecond(0))
+	r.Tick(atSecond(60))
 	first, _ := r.CloseWindow()
-	r.Apply(Event{Kind: ReplicaDown, At: second(50), Group: "fit", Replica: "r1"})
-	r.Tick(second(120))
+	r.Apply(Event{Kind: ReplicaDown, At: atSecond(50), Group: "fit", Replica: "r1"})
+	r.Tick(atSecond(120))
 	next, _ := r.CloseWindow()
 	require.Empty(t, first.Intervals)
-	require.Equal(t, second(60), next.Intervals[0].From)
+	require.Equal(t, atSecond(60), next.Intervals[0].From)
 	require.Equal(t, 1, r.LateEvents)
 }
 
-func startKeeper(s store.Store, observer cluster.NodeID) (k *Writer, stop func()) {
-	k = NewWriter(s, RecorderOptions{Observer: observer, Incarnation: 1, Zone: "z"}, slog.New(slog.DiscardHandler))
+func startWriter(s store.Store, observer cluster.NodeID) (w *Writer, stop func()) {
+	w = NewWriter(s, RecorderOptions{Observer: observer, Incarnation: 1, Zone: "z"}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); k.Run(ctx) }()
-	return k, func() { cancel(); <-done }
+	go func() { defer close(done); w.Run(ctx) }()
+	return w, func() { cancel(); <-done }
 }
 
-func account(t *testing.T, s store.Store, from, to time.Time) Report {
+func loadReport(t *testing.T, s store.Store, from, to time.Time) Report {
 	windows, corrections, err := Load(t.Context(), s, "z", from, to)
 	require.NoError(t, err)
 	return BuildReport("z", from, to, windows, corrections)
 }
 
-// The store goes down during an outage and loses answers before and after. What
-// the company discloses must show the whole outage, and show it once.
-func TestStoreOutageLosesAndRepeatsNothing(t *testing.T) {
+// The store goes down during an outage and loses answers before and after. The report
+// must contain the full outage exactly once.
+func TestStoreOutageNeitherLosesNorRepeatsWindows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
 		from := time.Now()
-		k, stop := startKeeper(s, "a")
+		w, stop := startWriter(s, "a")
 		s.SetFaults(memstore.Faults{LoseAnswers: 3})
 		time.Sleep(10 * time.Minute)
-		k.Record(Event{Kind: ReplicaDown, At: time.Now(), Group: "fit", Replica: "r1", Cause: "vm-lost"})
+		w.Record(Event{Kind: ReplicaDown, At: time.Now(), Group: "fit", Replica: "r1", Cause: "vm-lost"})
 		time.Sleep(10 * time.Minute)
 		s.SetFaults(memstore.Faults{Down: true})
 		time.Sleep(3 * time.Hour)
-		k.Record(Event{Kind: ReplicaUp, At: time.Now(), Group: "fit", Replica: "r1"})
+		w.Record(Event{Kind: ReplicaUp, At: time.Now(), Group: "fit", Replica: "r1"})
 		s.SetFaults(memstore.Faults{LoseAnswers: 2})
 		time.Sleep(10 * time.Minute)
 		stop()
-		rep := account(t, s, from, time.Now())
+		rep := loadReport(t, s, from, time.Now())
 		require.Len(t, rep.Rows, 2)
 		require.Equal(t, (3*time.Hour + 10*time.Minute).Seconds(), rep.Rows[0].High)
 		require.Equal(t, rep.Rows[0].High, rep.Rows[0].Low)
@@ -260,21 +260,21 @@
 	})
 }
 
-// The store stays down for days. The node keeps what it can in bounded memory;
-// the time of what it had to drop must not look like time without outages.
+// The store is down for longer than the pending windows fit into memory. The time of
+// the dropped windows must be reported as unobserved, not as time without outages.
 func TestDroppedWindowsAreUnobserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
 		from := time.Now()
-		k, stop := startKeeper(s, "a")
+		w, stop := startWriter(s, "a")
 		s.SetFaults(memstore.Faults{Down: true})
-		k.Record(Event{Kind: ReplicaDown, At: time.Now(), Group: "fit", Replica: "r1", Cause: "vm-lost"})
+		w.Record(Event{Kind: ReplicaDown, At: time.Now(), Group: "fit", Replica: "r1", Cause: "vm-lost"})
 		time.Sleep(26 * time.Hour)
-		require.Equal(t, MaxPending, k.Pending())
+		require.Equal(t, MaxPending, w.Pending())
 		s.SetFaults(memstore.Faults{})
 		time.Sleep(time.Minute)
 		stop()
-		rep := account(t, s, from, time.Now())
+		rep := loadReport(t, s, from, time.Now())
 		require.Len(t, rep.Unobserved, 1)
 		missing := rep.Unobserved[0].To.Sub(rep.Unobserved[0].From)
 		require.Greater(t, missing, time.Hour)
@@ -286,13 +286,13 @@
 func TestLoadReadsOnlyThePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
-		_, stop := startKeeper(s, "a")
+		_, stop := startWriter(s, "a")
 		time.Sleep(12 * time.Hour)
 		stop()
 		windows, _, err := Load(t.Context(), s, "z", time.Now().Add(-time.Hour), time.Now())
 		require.NoError(t, err)
 		require.InDelta(t, 13, len(windows), 3)
-		require.Empty(t, account(t, s, time.Now().Add(-11*time.Hour), time.Now()).Unobserved)
+		require.Empty(t, loadReport(t, s, time.Now().Add(-11*time.Hour), time.Now()).Unobserved)
 		s.Close()
 	})
 }
@@ -300,15 +300,15 @@
 func TestAppendCorrection(t *testing.T) {
 	s := memstore.New(memstore.Options{})
 	defer s.Close()
-	c := Correction{ID: "c1", Corrects: "a/1/1", From: second(0), To: second(1), Author: "Ana", Reason: "checked"}
+	c := Correction{ID: "c1", Corrects: "a/1/1", From: atSecond(0), To: atSecond(1), Author: "Ana", Reason: "checked"}
 	s.SetFaults(memstore.Faults{LoseAnswers: 1})
-	require.NoError(t, AppendCorrection(t.Context(), s, "z", c), "the lost answer is settled by trying again")
+	require.NoError(t, AppendCorrection(t.Context(), s, "z", c), "a lost answer is resolved by a retry")
 	require.NoError(t, AppendCorrection(t.Context(), s, "z", c), "idempotent")
 	other := c
 	other.Reason = "changed"
 	require.Equal(t, fennelerr.Conflict, fennelerr.CodeOf(AppendCorrection(t.Context(), s, "z", other)))
 	require.Equal(t, fennelerr.InvalidRequest, fennelerr.CodeOf(AppendCorrection(t.Context(), s, "z", Correction{ID: "c2"})))
-	_, corrections, err := Load(t.Context(), s, "z", second(0), second(1))
+	_, corrections, err := Load(t.Context(), s, "z", atSecond(0), atSecond(1))
 	require.NoError(t, err)
 	require.Equal(t, []Correction{c}, corrections)
 }
--- a/internal/ledger/recorder.go
+++ b/internal/ledger/recorder.go
@@ -14,33 +14,33 @@
 	Observer    cluster.NodeID
 	Incarnation uint64
 	Zone        cluster.ZoneID
-	// MaxGap is the longest time between two ticks that still counts as
-	// observing; zero is DefaultMaxGap.
+	// MaxGap is the longest time between two ticks that counts as observed; zero means
+	// DefaultMaxGap.
 	MaxGap time.Duration
 }
 
-// DefaultMaxGap is a few missed ticks of a second.
+// DefaultMaxGap allows for a few missed ticks at the Writer's interval of one second.
 const DefaultMaxGap = 5 * time.Second
 
-// Recorder turns one observer's events into windows. It has no clock: times come
-// with the calls. It is not safe for concurrent use.
+// Recorder turns the events of one observer into windows. It has no clock: every call
+// passes the time. It is not safe for concurrent use.
 type Recorder struct {
 	opts RecorderOptions
 	seq  uint64
-	// roots counts the intervals begun.
-	roots uint64
-	// start is where the current window's uncut coverage begins, last the newest tick.
-	start, last time.Time
-	covered     []Span
-	closed      []Interval
-	open        map[subject]*openInterval
-	// LateEvents counts events from before the current window; they count from its
-	// beginning, since windows that are cut are not changed.
+	// rootCount is the number of intervals started.
+	rootCount uint64
+	// start is the beginning of the covered span in progress, last the newest tick.
+	start, last   time.Time
+	covered       []Span
+	closedPieces  []Interval
+	openIntervals map[subject]*openInterval
+	// LateEvents is the number of events from before the covered span in progress. They
+	// are recorded at its start, since closed windows are not changed.
 	LateEvents int
 }
 
-// subject is what an interval is about: a replica, or a group's stranded
-// accelerators under one cause.
+// subject identifies what an interval measures: a replica, or a group's stranded
+// accelerators with one cause.
 type subject struct {
 	measure Measure
 	group   cluster.GroupName
@@ -53,83 +53,84 @@
 	from     time.Time
 	cause    Cause
 	evidence string
-	count    int
+	level    int
 	pieces   int
 }
 
-// NewRecorder starts observing at start.
+// NewRecorder returns a Recorder that observes from start on.
 func NewRecorder(opts RecorderOptions, start time.Time) *Recorder {
 	if opts.MaxGap == 0 {
 		opts.MaxGap = DefaultMaxGap
 	}
-	return &Recorder{opts: opts, start: start, last: start, open: make(map[subject]*openInterval)}
+	return &Recorder{opts: opts, start: start, last: start, openIntervals: make(map[subject]*openInterval)}
 }
 
-// Tick says that the observer is at work. After a pause longer than MaxGap it
-// can't know what happened meanwhile: a node that was paused and a replica that
-// went down and came back look the same to it. The pause is left out of the
-// covered time, and open intervals go on only after it.
+// Tick records that the observer was running until now. After a pause longer than
+// MaxGap it can't know what happened during the pause: a replica may have gone down and
+// come back. The pause is left out of the covered time, and open intervals continue
+// after it.
 func (r *Recorder) Tick(now time.Time) {
 	if now.Sub(r.last) > r.opts.MaxGap || now.Before(r.last) {
-		r.cutOpen(r.last)
-		r.cover(r.last)
+		r.splitOpen(r.last)
+		r.addCovered(r.last)
 		r.start = now
-		for _, o := range r.open {
+		for _, o := range r.openIntervals {
 			o.from = now
 		}
 	}
 	r.last = now
 }
 
-// Apply takes an event in. Its time lies between the window's start and now.
+// Apply records an event. An event from before the covered span in progress is recorded
+// at the start of that span and counted in LateEvents.
 func (r *Recorder) Apply(ev Event) {
 	if ev.At.Before(r.start) {
 		r.LateEvents++
 		ev.At = r.start
 	}
-	r.Tick(later(ev.At, r.last))
+	r.Tick(laterOf(ev.At, r.last))
 	if len(ev.Evidence) > MaxEvidence {
 		ev.Evidence = ev.Evidence[:MaxEvidence]
 	}
 	switch ev.Kind {
 	case ReplicaDown:
-		r.set(subject{measure: Downtime, group: ev.Group, replica: ev.Replica}, ev, 1)
+		r.setLevel(subject{measure: Downtime, group: ev.Group, replica: ev.Replica}, ev, 1)
 	case ReplicaUp, ReplicaGone:
-		r.set(subject{measure: Downtime, group: ev.Group, replica: ev.Replica}, ev, 0)
+		r.setLevel(subject{measure: Downtime, group: ev.Group, replica: ev.Replica}, ev, 0)
 	case StrandedCount:
-		r.set(subject{measure: Stranded, group: ev.Group, cause: ev.Cause}, ev, ev.Count)
+		r.setLevel(subject{measure: Stranded, group: ev.Group, cause: ev.Cause}, ev, ev.Count)
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// set changes a subject's level; the same level and cause again is no news.
-func (r *Recorder) set(s subject, ev Event, level int) {
-	o := r.open[s]
-	if o != nil && o.count == level && o.cause == ev.Cause {
+// setLevel changes a subject's level. It does nothing if level and cause are unchanged.
+func (r *Recorder) setLevel(s subject, ev Event, level int) {
+	o := r.openIntervals[s]
+	if o != nil && o.level == level && o.cause == ev.Cause {
 		return
 	}
 	if o != nil {
-		r.close(s, o, ev.At)
-		delete(r.open, s)
+		r.closePiece(s, o, ev.At)
+		delete(r.openIntervals, s)
 	}
 	if level > 0 {
-		r.open[s] = &openInterval{root: r.nextRoot(), from: ev.At, cause: ev.Cause, evidence: ev.Evidence, count: level}
+		r.openIntervals[s] = &openInterval{root: r.nextRoot(), from: ev.At, cause: ev.Cause, evidence: ev.Evidence, level: level}
 	}
 }
 
-// nextRoot is unique over all observers and their restarts.
+// nextRoot returns an interval ID that is unique over all observers and their restarts.
 func (r *Recorder) nextRoot() string {
-	r.roots++
-	return fmt.Sprintf("%s/%x/%d", r.opts.Observer, r.opts.Incarnation, r.roots)
+	r.rootCount++
+	return fmt.Sprintf("%s/%x/%d", r.opts.Observer, r.opts.Incarnation, r.rootCount)
 }
 
-func (r *Recorder) close(s subject, o *openInterval, at time.Time) {
+func (r *Recorder) closePiece(s subject, o *openInterval, at time.Time) {
 	if !at.After(o.from) {
 		return
 	}
@@ -146,24 +147,26 @@
 		Evidence: o.evidence,
 	}
 	if s.measure == Stranded {
-		piece.Accelerators = o.count
+		piece.Accelerators = o.level
 	}
-	r.closed = append(r.closed, piece)
+	r.closedPieces = append(r.closedPieces, piece)
 }
 
-// cutOpen ends the pieces of all open intervals at a time and goes on from there.
-func (r *Recorder) cutOpen(at time.Time) {
+// splitOpen closes the current piece of every open interval at the given time and
+// starts the next piece there.
+func (r *Recorder) splitOpen(at time.Time) {
 	for _, s := range r.openSubjects() {
-		o := r.open[s]
-		r.close(s, o, at)
-		o.from = later(o.from, at)
+		o := r.openIntervals[s]
+		r.closePiece(s, o, at)
+		o.from = laterOf(o.from, at)
 	}
 }
 
-// openSubjects is in a fixed order, so that the same events give the same ids.
+// openSubjects returns the subjects of the open intervals in a fixed order, so that
+// equal events give equal IDs.
 func (r *Recorder) openSubjects() []subject {
-	out := make([]subject, 0, len(r.open))
-	for s := range r.open {
+	out := make([]subject, 0, len(r.openIntervals))
+	for s := range r.openIntervals {
 		out = append(out, s)
 	}
 	slices.SortFunc(out, func(a, b subject) int {
@@ -177,21 +180,21 @@
 	return out
 }
 
-func (r *Recorder) cover(until time.Time) {
+func (r *Recorder) addCovered(until time.Time) {
 	if until.After(r.start) {
 		r.covered = append(r.covered, Span{From: r.start, To: until})
 	}
 }
 
-// HasIntervals reports whether the current window holds anything beside coverage.
-func (r *Recorder) HasIntervals() bool { return len(r.closed) > 0 || len(r.open) > 0 }
+// HasIntervals reports whether the current window has any open or closed interval.
+func (r *Recorder) HasIntervals() bool { return len(r.closedPieces) > 0 || len(r.openIntervals) > 0 }
 
-// CloseWindow ends the current window at the last tick and starts the next one. What was
-// covered before the cut can't be lost with this process any more, once the
-// window is in the store.
+// CloseWindow ends the current window at the last tick and starts the next one. It
+// returns false if the window covers no time. Once the returned window is in the store,
+// its content survives the process.
 func (r *Recorder) CloseWindow() (Window, bool) {
-	r.cutOpen(r.last)
-	r.cover(r.last)
+	r.splitOpen(r.last)
+	r.addCovered(r.last)
 	if len(r.covered) == 0 {
 		return Window{}, false
 	}
@@ -202,8 +205,8 @@
 		Seq:         r.seq,
 		Zone:        r.opts.Zone,
 		Covered:     r.covered,
-		Intervals:   r.closed,
+		Intervals:   r.closedPieces,
 	}
-	r.covered, r.closed, r.start = nil, nil, r.last
+	r.covered, r.closedPieces, r.start = nil, nil, r.last
 	return w, true
 }
--- a/internal/ledger/report.go
+++ b/internal/ledger/report.go
@@ -12,21 +12,23 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// Report is the account of one zone over a period.
+// Report is the outage report of one zone for a period.
 type Report struct {
 	Zone cluster.ZoneID `json:"zone"`
 	From time.Time      `json:"from"`
 	To   time.Time      `json:"to"`
-	// Unobserved is the time that no observer vouches for. The rows say nothing of it.
+	// Unobserved is the time that no observer covered. It is not part of the rows.
 	Unobserved []Span `json:"unobserved,omitempty"`
 	Rows       []Row  `json:"rows,omitempty"`
-	// Intervals are all views of all observers, with corrections beside what they correct.
+	// Intervals has the views of all observers. A correction follows the view that it
+	// corrects.
 	Intervals []View `json:"intervals,omitempty"`
 }
 
-// Row sums one measure of one group: replica seconds of downtime or accelerator
-// seconds stranded. Low is what all observers of the moment agree on, High what
-// any of them claims. An empty Cause is the total over all causes.
+// Row is the total of one measure for one group: replica seconds of downtime or
+// accelerator seconds stranded. At each moment Low counts the lowest level reported by
+// the observers that covered it, and High the highest. An empty Cause is the total over
+// all causes.
 type Row struct {
 	Group   cluster.GroupName `json:"group"`
 	Measure Measure           `json:"measure"`
@@ -35,11 +37,11 @@
 	High    float64           `json:"high_seconds"`
 }
 
-// View is an interval as one observer saw it, in one piece.
+// View is an interval as reported by one observer, joined from its pieces.
 type View struct {
 	Interval
 	Observer cluster.NodeID `json:"observer"`
-	// CorrectedBy names the correction that replaces it in the totals.
+	// CorrectedBy is the ID of the correction that replaces the view in the totals.
 	CorrectedBy string `json:"corrected_by,omitempty"`
 	// Corrects, Author and Reason are set on a correction.
 	Corrects string `json:"corrects,omitempty"`
@@ -47,21 +49,21 @@
 	Reason   string `json:"reason,omitempty"`
 }
 
-// BuildReport makes the report of a zone from the windows and corrections of all its
-// observers. Windows may come twice and in any order: pieces are joined by their
-// root, and covered time by its union, so nothing counts twice.
+// BuildReport makes the report of a zone from its corrections and the windows of all its
+// observers. Windows may be duplicated and in any order: pieces are joined by their
+// root and covered spans are merged, so nothing counts twice.
 func BuildReport(zone cluster.ZoneID, from, to time.Time, windows []Window, corrections []Correction) Report {
 	period := Span{from, to}
 	coverage := coverageOf(windows, period)
-	views := correct(viewsOf(windows), corrections)
-	rep := Report{Zone: zone, From: from, To: to, Unobserved: gaps(coverage, period)}
+	views := applyCorrections(viewsOf(windows), corrections)
+	rep := Report{Zone: zone, From: from, To: to, Unobserved: uncovered(coverage, period)}
 	for _, v := range views {
 		if clipped, ok := clip(Span{v.From, v.To}, period); ok {
 			v.From, v.To = clipped.From, clipped.To
 			rep.Intervals = append(rep.Intervals, v)
 		}
 	}
-	rep.Rows = rowsOf(rep.Intervals, coverage)
+	rep.Rows = sumRows(rep.Intervals, coverage)
 	return rep
 }
 
@@ -75,18 +77,18 @@
 		}
 	}
 	for observer, spans := range out {
-		out[observer] = joined(spans)
+		out[observer] = mergeSpans(spans)
 	}
 	return out
 }
 
-// joined sorts the spans and joins those that touch.
-func joined(spans []Span) []Span {
+// mergeSpans sorts the spans and merges those that overlap or touch.
+func mergeSpans(spans []Span) []Span {
 	slices.SortFunc(spans, func(a, b Span) int { return a.From.Compare(b.From) })
 	var out []Span
 	for _, s := range spans {
 		if n := len(out); n > 0 && !s.From.After(out[n-1].To) {
-			out[n-1].To = later(out[n-1].To, s.To)
+			out[n-1].To = laterOf(out[n-1].To, s.To)
 			continue
 		}
 		out = append(out, s)
@@ -95,14 +97,14 @@
 }
 
 func clip(s, period Span) (Span, bool) {
-	s.From = later(s.From, period.From)
+	s.From = laterOf(s.From, period.From)
 	if s.To.After(period.To) {
 		s.To = period.To
 	}
 	return s, s.To.After(s.From)
 }
 
-// viewsOf joins the pieces of each interval that follow one another.
+// viewsOf joins adjacent pieces of the same interval.
 func viewsOf(windows []Window) []View {
 	var pieces []View
 	for _, w := range windows {
@@ -116,7 +118,7 @@
 	var out []View
 	for _, p := range pieces {
 		if n := len(out); n > 0 && out[n-1].Root == p.Root && !p.From.After(out[n-1].To) {
-			out[n-1].To = later(out[n-1].To, p.To)
+			out[n-1].To = laterOf(out[n-1].To, p.To)
 			continue
 		}
 		out = append(out, p)
@@ -127,9 +129,9 @@
 	return out
 }
 
-// correct marks the corrected views and adds one view for each correction in
-// force: the newest of those that name the same interval.
-func correct(views []View, corrections []Correction) []View {
+// applyCorrections marks the corrected views and adds one view for each correction in
+// force, which is the newest correction of an interval.
+func applyCorrections(views []View, corrections []Correction) []View {
 	newest := make(map[string]Correction)
 	for _, c := range corrections {
 		if have, ok := newest[c.Corrects]; !ok || cmp.Or(c.At.Compare(have.At), cmp.Compare(c.ID, have.ID)) > 0 {
@@ -162,19 +164,19 @@
 	return v
 }
 
-// gaps is the part of the period that no span covers.
-func gaps(coverage map[cluster.NodeID][]Span, period Span) []Span {
+// uncovered returns the parts of the period that no observer covered.
+func uncovered(coverage map[cluster.NodeID][]Span, period Span) []Span {
 	var all []Span
 	for _, spans := range coverage {
 		all = append(all, spans...)
 	}
 	var out []Span
 	at := period.From
-	for _, s := range joined(all) {
+	for _, s := range mergeSpans(all) {
 		if s.From.After(at) {
 			out = append(out, Span{at, s.From})
 		}
-		at = later(at, s.To)
+		at = laterOf(at, s.To)
 	}
 	if period.To.After(at) {
 		out = append(out, Span{at, period.To})
@@ -182,9 +184,9 @@
 	return out
 }
 
-// rowsOf sums the views by group, measure and cause, and over all causes. Levels
-// are compared for each replica by itself, then added up.
-func rowsOf(views []View, coverage map[cluster.NodeID][]Span) []Row {
+// sumRows sums the views by group, measure and cause, and over all causes. The bounds
+// are computed for each replica separately and then added.
+func sumRows(views []View, coverage map[cluster.NodeID][]Span) []Row {
 	type rowKey struct {
 		measure Measure
 		group   cluster.GroupName
@@ -205,8 +207,8 @@
 		}
 	}
 	rows := make(map[rowKey]Row)
-	for k, claims := range bySubject {
-		low, high := bounds(claims, coverage)
+	for k, subjectViews := range bySubject {
+		low, high := integrateLevels(subjectViews, coverage)
 		row := rows[k.row]
 		row.Group, row.Measure, row.Cause = k.row.group, k.row.measure, k.row.cause
 		row.Low += low
@@ -218,12 +220,13 @@
 	})
 }
 
-// bounds integrates, between all points where a claim or a coverage begins or
-// ends, the lowest and the highest level that the observers of that time claim.
-func bounds(claims []View, coverage map[cluster.NodeID][]Span) (low, high float64) {
+// integrateLevels integrates the lowest and the highest level that the covering
+// observers report. Levels are constant between the points where a view or a covered
+// span begins or ends.
+func integrateLevels(views []View, coverage map[cluster.NodeID][]Span) (low, high float64) {
 	var points []time.Time
-	for _, c := range claims {
-		points = append(points, c.From, c.To)
+	for _, v := range views {
+		points = append(points, v.From, v.To)
 	}
 	for _, spans := range coverage {
 		for _, s := range spans {
@@ -236,23 +239,23 @@
 		if length == 0 {
 			continue
 		}
-		lowest, highest := levelsAt(points[i-1], claims, coverage)
+		lowest, highest := levelsAt(points[i-1], views, coverage)
 		low += length * float64(lowest)
 		high += length * float64(highest)
 	}
 	return low, high
 }
 
-func levelsAt(at time.Time, claims []View, coverage map[cluster.NodeID][]Span) (lowest, highest int) {
+func levelsAt(at time.Time, views []View, coverage map[cluster.NodeID][]Span) (lowest, highest int) {
 	levels := make(map[cluster.NodeID]int)
 	for observer, spans := range coverage {
 		if slices.ContainsFunc(spans, func(s Span) bool { return s.contains(at) }) {
 			levels[observer] = 0
 		}
 	}
-	for _, c := range claims {
-		if (Span{c.From, c.To}).contains(at) {
-			levels[c.Observer] = c.addTo(levels[c.Observer])
+	for _, v := range views {
+		if (Span{v.From, v.To}).contains(at) {
+			levels[v.Observer] = v.addTo(levels[v.Observer])
 		}
 	}
 	first := true
@@ -268,8 +271,8 @@
 
 func (s Span) contains(at time.Time) bool { return !at.Before(s.From) && at.Before(s.To) }
 
-// addTo adds the view to an observer's level. Accelerators add up over causes; a
-// replica is down once, for however many reasons.
+// addTo adds the view to an observer's level. Accelerators are summed over causes; a
+// replica that is down counts once, regardless of the number of causes.
 func (v View) addTo(level int) int {
 	if v.Measure == Stranded {
 		return level + v.Accelerators
@@ -277,7 +280,7 @@
 	return 1
 }
 
-// WriteTable prints the report for people.
+// WriteTable writes the report as a text table.
 func (r Report) WriteTable(out io.Writer) error {
 	var unobserved time.Duration
 	for _, s := range r.Unobserved {
--- a/internal/ledger/storage.go
+++ b/internal/ledger/storage.go
@@ -13,14 +13,14 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// loadMargin is longer than any window, so that one that began before a period
-// is read with it.
-const loadMargin = 2 * WindowLength
+// loadLookback is longer than any window, so that Load includes a window that began
+// before the period.
+const loadLookback = 2 * WindowLength
 
 const (
 	pageSize = 200
-	// correctionTries bounds the tries to append a correction.
-	correctionTries = 3
+	// correctionAttempts is the number of attempts to append a correction.
+	correctionAttempts = 3
 )
 
 func windowsPrefix(zone cluster.ZoneID) string { return store.LedgerPrefix(zone) + "windows/" }
@@ -29,18 +29,19 @@
 	return store.LedgerPrefix(zone) + "corrections/"
 }
 
-// timeKey sorts keys by time; 13 digits of milliseconds last until the year 2286.
+// timeKey formats t so that keys sort by time. 13 digits of Unix milliseconds suffice
+// until the year 2286.
 func timeKey(t time.Time) string { return fmt.Sprintf("%013d", max(0, t.UnixMilli())) }
 
 func windowKey(w Window) string {
 	return fmt.Sprintf("%s%s-%s-%x-%d", windowsPrefix(w.Zone), timeKey(w.Covered[0].From), w.Observer, w.Incarnation, w.Seq)
 }
 
-// Load reads the windows and corrections that the account of a period needs.
+// Load reads the windows and corrections that the report of a period needs.
 func Load(ctx context.Context, s store.Store, zone cluster.ZoneID, from, to time.Time) ([]Window, []Correction, error) {
 	prefix := windowsPrefix(zone)
 	var windows []Window
-	err := eachValue(ctx, s, prefix, prefix+timeKey(from.Add(-loadMargin)), prefix+timeKey(to)+"~", func(v []byte) error {
+	err := eachValue(ctx, s, prefix, prefix+timeKey(from.Add(-loadLookback)), prefix+timeKey(to)+"~", func(v []byte) error {
 		var w Window
 		err := json.Unmarshal(v, &w)
 		windows = append(windows, w)
@@ -59,19 +60,20 @@
 	return windows, corrections, err
 }
 
-// eachValue pages through the keys of a prefix after one key and up to another.
-func eachValue(ctx context.Context, s store.Store, prefix, after, until string, take func([]byte) error) error {
+// eachValue calls decode with the values of the prefix's keys after one key and up to
+// another, in pages. An empty until means no upper limit.
+func eachValue(ctx context.Context, s store.Store, prefix, after, until string, decode func([]byte) error) error {
 	for {
 		res, err := s.Range(ctx, prefix, store.RangeOptions{Limit: pageSize, StartAfter: after})
 		if err != nil {
-			return fennelerr.Wrap(err, fennelerr.StoreUnavailable, "the ledger can't be read").WithOp("ledger.load")
+			return fennelerr.Wrap(err, fennelerr.StoreUnavailable, "reading the ledger from the store failed").WithOp("ledger.load")
 		}
 		for _, kv := range res.KVs {
 			if until != "" && kv.Key > until {
 				return nil
 			}
-			if err := take(kv.Value); err != nil {
-				return fennelerr.Wrap(err, fennelerr.Internal, "ledger entry %s can't be read", kv.Key).WithOp("ledger.load")
+			if err := decode(kv.Value); err != nil {
+				return fennelerr.Wrap(err, fennelerr.Internal, "ledger entry %s can't be decoded", kv.Key).WithOp("ledger.load")
 			}
 			after = kv.Key
 		}
@@ -81,7 +83,8 @@
 	}
 }
 
-// AppendCorrection adds a correction. Its ID is the caller's and makes a repeat idempotent.
+// AppendCorrection writes a correction. The caller chooses its ID, which makes repeats
+// idempotent.
 func AppendCorrection(ctx context.Context, s store.Store, zone cluster.ZoneID, c Correction) error {
 	key := correctionsPrefix(zone) + c.ID
 	if c.ID == "" || c.Corrects == "" || c.Author == "" || c.Reason == "" || c.To.Before(c.From) {
@@ -89,7 +92,7 @@
 	}
 	value := encode(c)
 	var err error
-	for range correctionTries {
+	for range correctionAttempts {
 		var res store.TxnResult
 		res, err = s.Txn(ctx, store.Txn{
 			Guards: []store.Guard{store.Absent(key)},
@@ -100,11 +103,11 @@
 		case err == nil && (res.Succeeded || string(res.Gets[0].Value) == string(value)):
 			return nil
 		case err == nil:
-			return fennelerr.New(fennelerr.Conflict, "another correction has the id %s", c.ID).WithOp("ledger.append")
+			return fennelerr.New(fennelerr.Conflict, "another correction already has the id %s", c.ID).WithOp("ledger.append")
 		}
 		if failure, ok := errors.Into[*store.Error](err); ok && failure.Outcome == store.Refused {
 			break
 		}
 	}
-	return fennelerr.Wrap(err, fennelerr.StoreUnavailable, "the correction may not be written; append it again under the same id").WithOp("ledger.append")
+	return fennelerr.Wrap(err, fennelerr.StoreUnavailable, "writing the correction failed or its outcome is unknown; append it again with the same id").WithOp("ledger.append")
 }
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -1,13 +1,13 @@
-// Package ledger accounts for outages: when replicas of a group were down, how
-// many accelerators lay idle though a group could have used them, and when
-// nobody was looking.
+// Package ledger records outages: when replicas of a group were down, how many
+// accelerators were idle although a group could have used them, and for which time
+// there was no observer.
 //
-// An observer (a node with the zone's ledger duty) feeds events to a Recorder,
-// which cuts time into windows. A window says what the observer saw and for which
-// time it vouches. Windows are appended to the store and never changed; a mistake
-// is mended by appending a Correction. A Report is made from the windows of all
-// observers: time without any window is unobserved, never up or down, and where
-// observers disagree both views are kept, as a lower and an upper bound.
+// An observer (a node with the zone's ledger duty) passes events to a Recorder, which
+// divides time into windows. A window contains the intervals that the observer saw and
+// the time that it covered. Windows are appended to the store and never changed; errors
+// are corrected by appending a Correction. A Report is made from the windows of all
+// observers: time that no window covers is unobserved, neither up nor down. Where
+// observers disagree, the report has a lower and an upper bound.
 package ledger
 
 import (
@@ -16,28 +16,30 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// Measure is what an interval accounts for.
+// Measure is the quantity that an interval measures.
 type Measure string
 
-// Downtime is a replica that could not serve, Stranded accelerators that were
-// idle while their group wanted replicas, Unobserved time without an observer.
+// Downtime is the time that a replica could not serve. Stranded counts accelerators that
+// were idle while their group wanted replicas. Unobserved is time without an observer.
 const (
 	Downtime   Measure = "downtime"
 	Stranded   Measure = "stranded"
 	Unobserved Measure = "unobserved"
 )
 
-// Cause is a short stable word such as "vm-lost", "regrouping" or "planned".
+// Cause is a short stable identifier such as "vm-lost", "regrouping" or "planned".
 type Cause string
 
-// MaxEvidence bounds the evidence kept with an interval, in bytes.
+// MaxEvidence is the maximum length of an interval's evidence, in bytes. Longer evidence
+// is truncated.
 const MaxEvidence = 200
 
-// EventKind is what an observer saw.
+// EventKind is the type of an Event.
 type EventKind int
 
-// Events. ReplicaGone ends a replica that regrouping has replaced. StrandedCount
-// states the number of stranded accelerators of a group under one cause; zero ends it.
+// Event kinds. ReplicaGone ends the downtime of a replica that regrouping has replaced.
+// StrandedCount sets the number of a group's stranded accelerators with one cause; zero
+// ends the interval.
 const (
 	ReplicaDown EventKind = iota
 	ReplicaUp
@@ -45,21 +47,22 @@
 	StrandedCount
 )
 
-// Event is one observation. Right after the start of an observer, the state of
-// every replica is fed once, so that what was down before is seen.
+// Event is one observation. An observer that has started passes the state of every
+// replica once, so that replicas that were down before are recorded.
 type Event struct {
 	Kind    EventKind
 	At      time.Time
 	Group   cluster.GroupName
 	Replica cluster.ReplicaID // not for StrandedNow
 	Cause   Cause
-	// Evidence says in a few words what was seen, such as "vm-7: no answer for 3s".
+	// Evidence is a short description of the observation, such as
+	// "vm-7: no answer for 3s".
 	Evidence string
 	Count    int // accelerators, for StrandedNow
 }
 
-// Interval is a time during which a measure had one level. An outage that lasts
-// over several windows is kept in pieces with the same Root.
+// Interval is a period in which a measure had a constant level. An interval that spans
+// several windows is stored in pieces with the same Root.
 type Interval struct {
 	ID      string            `json:"id"`
 	Root    string            `json:"root"`
@@ -69,33 +72,34 @@
 	From    time.Time         `json:"from"`
 	To      time.Time         `json:"to"`
 	Cause   Cause             `json:"cause,omitempty"`
-	// Evidence is what the observer saw when the interval began.
+	// Evidence is that of the event that began the interval.
 	Evidence string `json:"evidence,omitempty"`
-	// Accelerators is the level of a stranded interval.
+	// Accelerators is the level of an interval of the measure Stranded.
 	Accelerators int `json:"accelerators,omitempty"`
 }
 
-// Span is a half-open time span.
+// Span is a half-open time span: To is not part of it.
 type Span struct {
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
 }
 
-// Window is what one observer saw in one stretch of time.
+// Window contains the observations of one observer in one period.
 type Window struct {
 	Observer cluster.NodeID `json:"observer"`
-	// Incarnation and Seq make the window's key unique, so that sending it
-	// again is idempotent.
+	// Incarnation and Seq make the window's key unique, so that writing it again is
+	// idempotent.
 	Incarnation uint64         `json:"incarnation"`
 	Seq         uint64         `json:"seq"`
 	Zone        cluster.ZoneID `json:"zone"`
-	// Covered is the time that the observer vouches for; pauses are missing from it.
+	// Covered is the time in which the observer was running, without pauses longer than
+	// RecorderOptions.MaxGap.
 	Covered   []Span     `json:"covered"`
 	Intervals []Interval `json:"intervals,omitempty"`
 }
 
-// Correction replaces an interval, named by its root, in the totals. Both stay
-// visible. A correction whose From equals its To retracts the interval.
+// Correction replaces an interval, identified by its root, in the totals. Reports list
+// both. A correction whose From equals its To retracts the interval.
 type Correction struct {
 	ID       string    `json:"id"`
 	Corrects string    `json:"corrects"`
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -12,16 +12,19 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Defaults and bounds of a Keeper.
+// Intervals and limits of a Writer.
 const (
-	tickEvery = time.Second
-	// OutageWindowLength is a window's length while something is down or stranded,
-	// QuietWindow otherwise: what a node that dies takes along with it.
+	tickInterval = time.Second
+	// OutageWindowLength is the length of a window while a replica is down or
+	// accelerators are stranded, WindowLength the length otherwise. A node that is
+	// killed loses up to one window and those that wait for the store.
 	OutageWindowLength = time.Minute
-	WindowLength    = 5 * time.Minute
-	// MaxPending bounds the windows that wait for the store: a day of eventful ones.
+	WindowLength       = 5 * time.Minute
+	// MaxPending is the largest number of windows that wait for the store: one day of
+	// windows of OutageWindowLength.
 	MaxPending = 1440
-	// maxPendingIntervals bounds what they hold, at about 350 bytes each.
+	// maxPendingIntervals bounds the intervals in these windows, of about 350 bytes
+	// each.
 	maxPendingIntervals = 50_000
 	windowsPerTxn       = 16
 	writeTimeout        = 2 * time.Second
@@ -33,130 +36,132 @@
 	windowsDropped = metrics.NewCounter("fennel_ledger_windows_dropped_total")
 )
 
-// Writer runs a Recorder on the clock and brings its windows to the store.
+// Writer runs a Recorder on the system clock and writes its windows to the store.
 type Writer struct {
 	store store.Store
 	opts  RecorderOptions
 	log   *slog.Logger
 
-	mu       sync.Mutex
-	recorder *Recorder
-	cutAt    time.Time
-	pending  []Window
-	held     int // intervals in pending
+	mu               sync.Mutex
+	recorder         *Recorder
+	windowStart      time.Time
+	pending          []Window
+	pendingIntervals int // intervals in pending
 }
 
-// NewWriter starts observing now; Run does the rest.
+// NewWriter returns a Writer that observes from now on. The caller must call Run.
 func NewWriter(s store.Store, opts RecorderOptions, log *slog.Logger) *Writer {
 	now := time.Now()
-	return &Writer{store: s, opts: opts, log: log, recorder: NewRecorder(opts, now), cutAt: now}
+	return &Writer{store: s, opts: opts, log: log, recorder: NewRecorder(opts, now), windowStart: now}
 }
 
-// Record takes an event in. Events of one replica come in order.
-func (k *Writer) Record(ev Event) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.recorder.Apply(ev)
+// Record adds an event to the current window. Events of one replica must be recorded
+// in order.
+func (wr *Writer) Record(ev Event) {
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
+	wr.recorder.Apply(ev)
 }
 
-// Run observes until ctx ends and then writes what is left, within the timeout
-// of one write.
-func (k *Writer) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+// Run observes until ctx ends and then writes the remaining windows within
+// writeTimeout.
+func (wr *Writer) Run(ctx context.Context) {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	wait, next := tickEvery, time.Time{}
+	wait, retryAt := tickInterval, time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
-			k.cut()
-			k.flush(context.WithoutCancel(ctx))
+			wr.closeWindow()
+			wr.flush(context.WithoutCancel(ctx))
 			return
 		case now := <-tick.C:
-			k.tick(now)
-			if now.Before(next) {
+			wr.tick(now)
+			if now.Before(retryAt) {
 				continue
 			}
-			if k.flush(ctx) {
-				wait, next = tickEvery, time.Time{}
+			if wr.flush(ctx) {
+				wait, retryAt = tickInterval, time.Time{}
 			} else {
 				wait = min(2*wait, maxRetryWait)
-				next = now.Add(wait)
+				retryAt = now.Add(wait)
 			}
 		}
 	}
 }
 
-// Pending returns how many windows wait for the store.
-func (k *Writer) Pending() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.pending)
+// Pending returns the number of windows that wait for the store.
+func (wr *Writer) Pending() int {
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
+	return len(wr.pending)
 }
 
-func (k *Writer) tick(now time.Time) {
-	k.mu.Lock()
-	k.recorder.Tick(now)
+func (wr *Writer) tick(now time.Time) {
+	wr.mu.Lock()
+	wr.recorder.Tick(now)
 	length := WindowLength
-	if k.recorder.HasIntervals() {
+	if wr.recorder.HasIntervals() {
 		length = OutageWindowLength
 	}
-	due := now.Sub(k.cutAt) >= length
-	k.mu.Unlock()
+	due := now.Sub(wr.windowStart) >= length
+	wr.mu.Unlock()
 	if due {
-		k.cut()
+		wr.closeWindow()
 	}
 }
 
-// cut moves the recorder's window to the pending ones. When too much waits, the
-// oldest windows are dropped whole: their time then shows as unobserved, which
-// is the truth about what can still be accounted for.
-func (k *Writer) cut() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	w, ok := k.recorder.CloseWindow()
-	k.cutAt = k.recorder.last
+// closeWindow closes the recorder's window and appends it to the pending windows. Above
+// the limits the oldest windows are dropped together with their covered time, so that
+// reports show this time as unobserved and not as time without outages.
+func (wr *Writer) closeWindow() {
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
+	w, ok := wr.recorder.CloseWindow()
+	wr.windowStart = wr.recorder.last
 	if !ok {
 		return
 	}
-	k.pending = append(k.pending, w)
-	k.held += len(w.Intervals)
-	for len(k.pending) > MaxPending || (k.held > maxPendingIntervals && len(k.pending) > 1) {
-		k.held -= len(k.pending[0].Intervals)
-		k.log.Error("ledger window dropped", "zone", w.Zone, "seq", k.pending[0].Seq, "reason", "the store is down for too long")
-		k.pending = k.pending[1:]
+	wr.pending = append(wr.pending, w)
+	wr.pendingIntervals += len(w.Intervals)
+	for len(wr.pending) > MaxPending || (wr.pendingIntervals > maxPendingIntervals && len(wr.pending) > 1) {
+		wr.pendingIntervals -= len(wr.pending[0].Intervals)
+		wr.log.Error("dropped a ledger window", "zone", w.Zone, "seq", wr.pending[0].Seq, "reason", "too many windows are waiting for the store")
+		wr.pending = wr.pending[1:]
 		windowsDropped.Inc()
 	}
 }
 
-// flush writes the pending windows in order and reports whether none is left. A
-// window's key is its own, so that one whose answer was lost can be sent again:
-// the guard fails, and its presence shows that it has been written.
-func (k *Writer) flush(ctx context.Context) bool {
+// flush writes the pending windows in order and reports whether none is left. Every
+// window has a unique key, so a window can be sent again after a lost answer: the guard
+// fails, and the existing key shows that the window was written.
+func (wr *Writer) flush(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	for {
-		batch := k.head()
+		batch := wr.nextBatch()
 		if len(batch) == 0 {
 			return true
 		}
-		there, err := k.write(ctx, batch)
+		stored, err := wr.write(ctx, batch)
 		if err != nil {
-			k.log.Warn("ledger not written", "zone", k.opts.Zone, "windows", len(batch), "error", err)
+			wr.log.Warn("writing ledger windows failed", "zone", wr.opts.Zone, "windows", len(batch), "error", err)
 			return false
 		}
-		k.written(there)
+		wr.removeWritten(stored)
 	}
 }
 
-// write puts all windows of a batch, or finds which of them are in the store already.
-func (k *Writer) write(ctx context.Context, batch []Window) (there []Window, err error) {
+// write writes a batch and returns the windows that are in the store: all of them, or
+// those that were there already if the transaction's guards failed.
+func (wr *Writer) write(ctx context.Context, batch []Window) (stored []Window, err error) {
 	var txn store.Txn
 	for _, w := range batch {
 		key := windowKey(w)
 		txn.Guards = append(txn.Guards, store.Absent(key))
 		txn.Then = append(txn.Then, store.Put(key, encode(w), 0))
 	}
-	res, err := k.store.Txn(ctx, txn)
+	res, err := wr.store.Txn(ctx, txn)
 	if err != nil {
 		return nil, err
 	}
@@ -164,48 +169,48 @@
 		return batch, nil
 	}
 	for _, w := range batch {
-		kv, _, err := k.store.Get(ctx, windowKey(w))
+		kv, _, err := wr.store.Get(ctx, windowKey(w))
 		if err != nil {
 			return nil, err
 		}
 		if kv != nil {
-			there = append(there, w)
+			stored = append(stored, w)
 		}
 	}
-	return there, nil
+	return stored, nil
 }
 
-func (k *Writer) head() []Window {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return append([]Window(nil), k.pending[:min(len(k.pending), windowsPerTxn)]...)
+func (wr *Writer) nextBatch() []Window {
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
+	return append([]Window(nil), wr.pending[:min(len(wr.pending), windowsPerTxn)]...)
 }
 
-// written removes the windows that are in the store. While they were written,
-// older ones may have been dropped.
-func (k *Writer) written(there []Window) {
-	done := make(map[uint64]bool, len(there))
-	for _, w := range there {
-		done[w.Seq] = true
+// removeWritten removes the stored windows from the pending ones. It compares sequence
+// numbers, since closeWindow may have dropped windows during the write.
+func (wr *Writer) removeWritten(stored []Window) {
+	isStored := make(map[uint64]bool, len(stored))
+	for _, w := range stored {
+		isStored[w.Seq] = true
 		windowsWritten.Inc()
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	var left []Window
-	k.held = 0
-	for _, w := range k.pending {
-		if !done[w.Seq] {
-			left = append(left, w)
-			k.held += len(w.Intervals)
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
+	var remaining []Window
+	wr.pendingIntervals = 0
+	for _, w := range wr.pending {
+		if !isStored[w.Seq] {
+			remaining = append(remaining, w)
+			wr.pendingIntervals += len(w.Intervals)
 		}
 	}
-	k.pending = left
+	wr.pending = remaining
 }
 
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // windows and corrections hold nothing that fails to encode
+		panic(err) // unreachable: every field of windows and corrections can be encoded
 	}
 	return b
 }
