--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -53,12 +53,12 @@
 	Kind    EventKind
 	At      time.Time
 	Group   cluster.GroupName
-	Replica cluster.ReplicaID // not for StrandedNow
+	Replica cluster.ReplicaID // unset for StrandedCount
 	Cause   Cause
 	// Evidence is a short description of the observation, such as
 	// "vm-7: no answer for 3s".
 	Evidence string
-	Count    int // accelerators, for StrandedNow
+	Count    int // accelerators, for StrandedCount only
 }
 
 // Interval is a period in which a measure had a constant level. An interval that spans
