--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -31,7 +31,7 @@
 	changed chan struct{}
 
 	mu     sync.Mutex
-	keeper *ledger.Keeper
+	keeper *ledger.Writer
 	// known are the replicas, missing ones included, as the keeper was told of them.
 	known map[cluster.ReplicaID]seenReplica
 	// down counts the replicas told to be down, by group.
@@ -87,7 +87,7 @@
 // begin starts a keeper; the returned func ends it and waits for its last write.
 func (l *ledgerDuty) begin(ctx context.Context) func() {
 	n := l.n
-	keeper := ledger.NewKeeper(n.store, ledger.RecorderOptions{Observer: n.set.Node, Incarnation: uint64(time.Now().UnixNano()), Zone: n.set.Zone}, n.log)
+	keeper := ledger.NewWriter(n.store, ledger.RecorderOptions{Observer: n.set.Node, Incarnation: uint64(time.Now().UnixNano()), Zone: n.set.Zone}, n.log)
 	l.mu.Lock()
 	l.keeper, l.known, l.down, l.stranded = keeper, map[cluster.ReplicaID]seenReplica{}, nil, map[strandedKey]int{}
 	l.mu.Unlock()
@@ -129,7 +129,7 @@
 	seen := l.replicasNow()
 	l.down = downByGroup(seen)
 	for _, ev := range replicaEvents(l.known, seen, now) {
-		l.keeper.Feed(ev)
+		l.keeper.Record(ev)
 	}
 	l.known = seen
 }
@@ -236,6 +236,6 @@
 			continue
 		}
 		l.stranded[key] = count
-		l.keeper.Feed(ledger.Event{Kind: ledger.StrandedNow, At: now, Group: key.group, Cause: key.cause, Count: count})
+		l.keeper.Record(ledger.Event{Kind: ledger.StrandedCount, At: now, Group: key.group, Cause: key.cause, Count: count})
 	}
 }
--- a/internal/entry/outages.go
+++ b/internal/entry/outages.go
@@ -42,7 +42,7 @@
 type outages struct {
 	zone cluster.ZoneID
 	// keeper brings the record to the store; nil for a node that follows a feed.
-	keeper *ledger.Keeper
+	keeper *ledger.Writer
 
 	mu       sync.Mutex
 	recorder *ledger.Recorder
@@ -59,7 +59,7 @@
 
 // keep has the record brought to the store from now on.
 func (o *outages) keep(s store.Store, node cluster.NodeID, log *slog.Logger) {
-	o.keeper = ledger.NewKeeper(s, ledger.RecorderOptions{Observer: node, Incarnation: uint64(time.Now().UnixNano()), Zone: o.zone}, log)
+	o.keeper = ledger.NewWriter(s, ledger.RecorderOptions{Observer: node, Incarnation: uint64(time.Now().UnixNano()), Zone: o.zone}, log)
 }
 
 // run brings the record to the store until ctx ends.
@@ -73,7 +73,7 @@
 func (o *outages) apply(ev ledger.Event) {
 	o.recorder.Apply(ev)
 	if o.keeper != nil {
-		o.keeper.Feed(ev)
+		o.keeper.Record(ev)
 	}
 }
 
@@ -115,7 +115,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for key, n := range idle {
-		o.apply(ledger.Event{Kind: ledger.StrandedNow, At: now, Group: key.group, Cause: key.cause, Count: n})
+		o.apply(ledger.Event{Kind: ledger.StrandedCount, At: now, Group: key.group, Cause: key.cause, Count: n})
 	}
 	o.recorder.Tick(now)
 	if now.Sub(o.cutAt) < cutEvery {
@@ -127,7 +127,7 @@
 
 // cut ends a window; the caller holds o.mu.
 func (o *outages) cut() {
-	w, any := o.recorder.Cut()
+	w, any := o.recorder.CloseWindow()
 	if !any {
 		return
 	}
@@ -142,7 +142,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.cut()
-	return ledger.Account(o.zone, from, to, slices.Concat(o.windows, stored), corrections)
+	return ledger.BuildReport(o.zone, from, to, slices.Concat(o.windows, stored), corrections)
 }
 
 type strandedKey struct {
