--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -185,7 +185,7 @@
 func (n *Core) watchPace() (wait, pause time.Duration) {
 	switch {
 	case n.mirror.Wanted():
-		return feed.WatchWait, 0
+		return feed.WatchTimeout, 0
 	case n.control.Holding() || n.feed == nil:
 		return quietWait, 0
 	}
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -21,9 +21,9 @@
 	// be in force within 2 s, also on a node whose feed is cut off from the store.
 	silentAfter = 700 * time.Millisecond
 	staleAfter  = time.Second
-	// WatchWait is how long a node that feeds others has the store hold its watch
+	// WatchTimeout is how long a node that feeds others has the store hold its watch
 	// while nothing changes: its answer is what keeps the copy fresh.
-	WatchWait = 400 * time.Millisecond
+	WatchTimeout = 400 * time.Millisecond
 )
 
 // Copy is a node's own copy of the store.
