--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -26,8 +26,8 @@
 	WatchTimeout = 400 * time.Millisecond
 )
 
-// Copy is a node's own copy of the store.
-type Copy interface {
+// Source is a node's own copy of the store.
+type Source interface {
 	// Follow returns all entries below the prefixes, and a channel that gets each
 	// change after them until ctx ends.
 	Follow(ctx context.Context, prefixes []string) (store.WatchBatch, <-chan store.WatchBatch)
@@ -38,7 +38,7 @@
 }
 
 // Server serves a copy; it implements wirepbconnect.FeedServiceHandler.
-type Server struct{ Copy Copy }
+type Server struct{ Copy Source }
 
 // Follow sends the copy and its changes while it is fresh.
 func (s *Server) Follow(ctx context.Context, req *connect.Request[wirepb.FollowRequest], stream *connect.ServerStream[wirepb.FollowResponse]) error {
