--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -38,15 +38,15 @@
 }
 
 // Server serves a copy; it implements wirepbconnect.FeedServiceHandler.
-type Server struct{ Copy Source }
+type Server struct{ Source Source }
 
 // Follow sends the copy and its changes while it is fresh.
 func (s *Server) Follow(ctx context.Context, req *connect.Request[wirepb.FollowRequest], stream *connect.ServerStream[wirepb.FollowResponse]) error {
-	s.Copy.Want()
+	s.Source.Want()
 	if !s.fresh() {
 		return connect.NewError(connect.CodeUnavailable, errStale)
 	}
-	first, changes := s.Copy.Follow(ctx, req.Msg.GetPrefixes())
+	first, changes := s.Source.Follow(ctx, req.Msg.GetPrefixes())
 	if err := stream.Send(encode(first)); err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-beat.C:
-			s.Copy.Want()
+			s.Source.Want()
 			if !s.fresh() {
 				return connect.NewError(connect.CodeUnavailable, errStale)
 			}
@@ -76,7 +76,7 @@
 	}
 }
 
-func (s *Server) fresh() bool { return time.Since(s.Copy.HeardAt()) < staleAfter }
+func (s *Server) fresh() bool { return time.Since(s.Source.HeardAt()) < staleAfter }
 
 func encode(batch store.WatchBatch) *wirepb.FollowResponse {
 	out := &wirepb.FollowResponse{Revision: batch.Revision}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -47,7 +47,7 @@
 // serve serves a copy and returns a follower of it.
 func serve(t *testing.T, c *copied) (*feed.Follower, *httptest.Server) {
 	t.Helper()
-	_, handler := wirepbconnect.NewFeedServiceHandler(&feed.Server{Copy: c})
+	_, handler := wirepbconnect.NewFeedServiceHandler(&feed.Server{Source: c})
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	f := feed.NewFollower([]string{strings.TrimPrefix(server.URL, "http://")}, []string{"servers/"}, slog.New(slog.DiscardHandler))
