--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -34,7 +34,7 @@
 	Orders    formation.Orders
 	Backend   func(pool *conns.Pool) relay.Backend
 	// Front returns the callers' handler.
-	Front func(f Front) http.Handler
+	Front func(f HandlerOptions) http.Handler
 	// ServersPrefix and Servers say where backend servers are listed and how a
 	// listing is read.
 	ServersPrefix string
@@ -46,8 +46,8 @@
 	ReadyPath string
 }
 
-// Front is what the callers' handler is made of.
-type Front struct {
+// HandlerOptions is what the callers' handler is made of.
+type HandlerOptions struct {
 	Rules   func() (set *rules.Set, fresh bool)
 	Serve   func(ctx context.Context, c *call.Call, sink call.Sink)
 	Leaving func() bool
