--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -33,8 +33,8 @@
 	PaceWatch func(pace func() (wait, pause time.Duration))
 	Orders    formation.Orders
 	Backend   func(pool *conns.Pool) relay.Backend
-	// Front returns the callers' handler.
-	Front func(f HandlerOptions) http.Handler
+	// NewHandler returns the callers' handler.
+	NewHandler func(f HandlerOptions) http.Handler
 	// ServersPrefix and Servers say where backend servers are listed and how a
 	// listing is read.
 	ServersPrefix string
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -42,7 +42,7 @@
 }
 
 func (n *Node) listen() error {
-	front := n.platform.Front(HandlerOptions{Rules: n.currentRules, Serve: n.Serve, Leaving: n.leaving.Load, Log: n.log})
+	front := n.platform.NewHandler(HandlerOptions{Rules: n.currentRules, Serve: n.Serve, Leaving: n.leaving.Load, Log: n.log})
 	for _, l := range []struct {
 		to      **server
 		addr    string
