--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -38,7 +38,7 @@
 	// ServersPrefix and Servers say where backend servers are listed and how a
 	// listing is read.
 	ServersPrefix string
-	Servers       func(entries map[string]store.KV, revision int64) fleet.List
+	DecodeServers       func(entries map[string]store.KV, revision int64) fleet.List
 	// ConfigKey and Config are the same for the operator's configuration.
 	ConfigKey string
 	Config    func(store.KV) (*rules.Set, error)
@@ -275,7 +275,7 @@
 }
 
 func (n *Core) serversChanged(entries map[string]store.KV, revision int64) {
-	list := n.platform.Servers(entries, revision)
+	list := n.platform.DecodeServers(entries, revision)
 	list.Changed = revision
 	before := n.list.Load()
 	same := before != nil && before.Same(list)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -34,7 +34,7 @@
 		Store: mem, ServersPrefix: "servers/", ConfigKey: "config", ReadyPath: "/ready",
 		Backend: func(*conns.Pool) relay.Backend { return nil },
 		NewHandler:   func(HandlerOptions) http.Handler { return http.NotFoundHandler() },
-		Servers: func(map[string]store.KV, int64) fleet.List { return fleet.List{} },
+		DecodeServers: func(map[string]store.KV, int64) fleet.List { return fleet.List{} },
 		Config: func(kv store.KV) (*rules.Set, error) {
 			version, err := strconv.ParseInt(string(kv.Value), 10, 64)
 			if err != nil {
