--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -41,7 +41,7 @@
 	DecodeServers       func(entries map[string]store.KV, revision int64) fleet.List
 	// ConfigKey and Config are the same for the operator's configuration.
 	ConfigKey string
-	Config    func(store.KV) (*rules.Set, error)
+	DecodeConfig    func(store.KV) (*rules.Set, error)
 	// ReadyPath is where the balancer asks.
 	ReadyPath string
 }
@@ -258,7 +258,7 @@
 	if !there {
 		return
 	}
-	set, err := n.platform.Config(kv)
+	set, err := n.platform.DecodeConfig(kv)
 	if err != nil {
 		n.log.Error("configuration refused", "revision", revision, "err", err.Error())
 		return
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -35,7 +35,7 @@
 		Backend: func(*conns.Pool) relay.Backend { return nil },
 		NewHandler:   func(HandlerOptions) http.Handler { return http.NotFoundHandler() },
 		DecodeServers: func(map[string]store.KV, int64) fleet.List { return fleet.List{} },
-		Config: func(kv store.KV) (*rules.Set, error) {
+		DecodeConfig: func(kv store.KV) (*rules.Set, error) {
 			version, err := strconv.ParseInt(string(kv.Value), 10, 64)
 			if err != nil {
 				return nil, errors.Wrap(err, "version")
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -134,7 +134,7 @@
 		Store: &cutStore{Store: sys.world.store, cut: func() bool { return sys.world.isCut(n.zone) }}, Orders: orders{sys.world, n.zone},
 		Backend:       func(*conns.Pool) relay.Backend { return &backend{sys.world, n.zone, sys.callers.answerOf} },
 		ServersPrefix: serversPrefix, DecodeServers: func(e map[string]store.KV, r int64) fleet.List { return servers(e, r) },
-		ConfigKey: configKey, Config: func(store.KV) (*rules.Set, error) { return sys.set, nil },
+		ConfigKey: configKey, DecodeConfig: func(store.KV) (*rules.Set, error) { return sys.set, nil },
 	}, entry.CoreOptions{Decisions: sys.opts.Decisions, Log: log, Announce: func(section membership.Section) { sys.announce(n, section) }})
 	core := n.core
 	n.mu.Unlock()
