--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -89,8 +89,8 @@
 // is emptier by a tenth of its slots.
 var balance = routing.Weighted{SampleLocal: 8, SampleOther: 8, ZonePenalty: 0.1}
 
-// Decisions are policies in place of those that a node runs; a nil one replaces none.
-type Decisions struct {
+// Policies are policies in place of those that a node runs; a nil one replaces none.
+type Policies struct {
 	Route routing.Policy
 	Place placement.Policy
 }
@@ -104,7 +104,7 @@
 	OnDatagramKey func(entries map[string]store.KV)
 	// Announce tells all other nodes at once; may be nil.
 	Announce  func(membership.Section)
-	Decisions Decisions
+	Decisions Policies
 	Log       *slog.Logger
 }
 
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -38,7 +38,7 @@
 type Options struct {
 	Seed uint64
 	// Decisions replace those that a node takes by itself; the zero value replaces none.
-	Decisions entry.Decisions
+	Decisions entry.Policies
 	// Log gets the nodes' lines; may be nil.
 	Log *slog.Logger
 }
