--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -104,22 +104,22 @@
 	OnDatagramKey func(entries map[string]store.KV)
 	// Announce tells all other nodes at once; may be nil.
 	Announce  func(membership.Section)
-	Decisions Policies
+	Policies Policies
 	Log       *slog.Logger
 }
 
 // NewCore puts a node's parts together. Nothing runs before Run.
 func NewCore(set *settings.Settings, p Platform, opts CoreOptions) *Core {
 	log := opts.Log
-	if opts.Decisions.Route == nil {
-		opts.Decisions.Route = balance
+	if opts.Policies.Route == nil {
+		opts.Policies.Route = balance
 	}
-	if opts.Decisions.Place == nil {
-		opts.Decisions.Place = placement.Mix{}
+	if opts.Policies.Place == nil {
+		opts.Policies.Place = placement.Mix{}
 	}
 	n := &Core{onRules: opts.OnRules, announce: opts.Announce, set: set, platform: p, log: log, pool: conns.NewPool(), serving: make(map[cluster.ReplicaID]bool)}
 	n.outages = newOutages(set.Node, cluster.ZoneID(set.Region), time.Now())
-	n.table = routing.NewTable(routing.Options{Zone: set.Zone, Seed: uint64(time.Now().UnixNano()), Policy: opts.Decisions.Route, PeerExpiry: loadReportLife})
+	n.table = routing.NewTable(routing.Options{Zone: set.Zone, Seed: uint64(time.Now().UnixNano()), Policy: opts.Policies.Route, PeerExpiry: loadReportLife})
 	n.relay = relay.New(relay.Options{
 		Router: n.table, Backend: p.Backend(n.pool), Peer: n.peer, Log: log,
 		OnStall: n.stalled,
@@ -150,7 +150,7 @@
 		Standby:   n.feed != nil,
 		FreeLoads: func() bool { return set.Process.FirstStart && !n.asked.Load() },
 		OnWorking: n.replicaWorks,
-		Orders:    p.Orders, Policy: opts.Decisions.Place, Log: log,
+		Orders:    p.Orders, Policy: opts.Policies.Place, Log: log,
 	})
 	return n
 }
