--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -102,8 +102,8 @@
 	// OnDatagramKey is told of the key for datagrams in the store, with no entry while
 	// there is none; may be nil.
 	OnDatagramKey func(entries map[string]store.KV)
-	// Announce tells all other nodes at once; may be nil.
-	Announce  func(membership.Section)
+	// Broadcast tells all other nodes at once; may be nil.
+	Broadcast  func(membership.Section)
 	Policies Policies
 	Log       *slog.Logger
 }
@@ -117,7 +117,7 @@
 	if opts.Policies.Place == nil {
 		opts.Policies.Place = placement.Mix{}
 	}
-	n := &Core{onRules: opts.OnRules, announce: opts.Announce, set: set, platform: p, log: log, pool: conns.NewPool(), serving: make(map[cluster.ReplicaID]bool)}
+	n := &Core{onRules: opts.OnRules, announce: opts.Broadcast, set: set, platform: p, log: log, pool: conns.NewPool(), serving: make(map[cluster.ReplicaID]bool)}
 	n.outages = newOutages(set.Node, cluster.ZoneID(set.Region), time.Now())
 	n.table = routing.NewTable(routing.Options{Zone: set.Zone, Seed: uint64(time.Now().UnixNano()), Policy: opts.Policies.Route, PeerExpiry: loadReportLife})
 	n.relay = relay.New(relay.Options{
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -34,7 +34,7 @@
 	opts := CoreOptions{OnRules: n.applyLimits, Log: log}
 	if set.Listen.Datagrams != "" {
 		opts.OnDatagramKey = func(entries map[string]store.KV) { n.region.keyChanged(entries) }
-		opts.Announce = func(section membership.Section) { n.region.announce(section) }
+		opts.Broadcast = func(section membership.Section) { n.region.announce(section) }
 	}
 	n.Core = NewCore(set, p, opts)
 	n.region = newRegion(n.Core, set, log)
