--- a/internal/entry/loadreport.go
+++ b/internal/entry/loadreport.go
@@ -36,8 +36,8 @@
 // a hundred replicas that is one chance in a million.
 func loadID(id cluster.ReplicaID) uint32 { return uint32(xxhash.Sum64String(string(id))) }
 
-// TakeLoadReport takes what another node reported.
-func (n *Core) TakeLoadReport(node cluster.NodeID, report membership.Section) {
+// ReceiveLoadReport takes what another node reported.
+func (n *Core) ReceiveLoadReport(node cluster.NodeID, report membership.Section) {
 	now := time.Now()
 	if report.Asked {
 		n.asked.Store(true)
--- a/internal/entry/region.go
+++ b/internal/entry/region.go
@@ -128,7 +128,7 @@
 	})
 	members.AddSource(r.core.LoadReport)
 	members.OnDatagram(func(from membership.Member, d *wirepb.Datagram) {
-		r.core.TakeLoadReport(from.Node, membership.Section{Asked: d.Asked, LoadIDs: d.LoadIds, LoadCounts: d.LoadCounts})
+		r.core.ReceiveLoadReport(from.Node, membership.Section{Asked: d.Asked, LoadIDs: d.LoadIds, LoadCounts: d.LoadCounts})
 		r.core.TakeStallReport(from.Node, membership.Section{StalledIDs: d.StalledIds, WorkingIDs: d.WorkingIds})
 	})
 	r.members = members
--- a/internal/entry/region_test.go
+++ b/internal/entry/region_test.go
@@ -78,11 +78,11 @@
 	require.NoError(t, err)
 	n.table.End(choice, routing.Result{OK: true})
 
-	n.TakeLoadReport("other", membership.Section{LoadIDs: []uint32{loadID(replica.ID)}, LoadCounts: []uint32{4}})
+	n.ReceiveLoadReport("other", membership.Section{LoadIDs: []uint32{loadID(replica.ID)}, LoadCounts: []uint32{4}})
 	_, err = n.table.Choose(request)
 	require.ErrorAs(t, err, new(*routing.FullError))
 
-	n.TakeLoadReport("other", membership.Section{})
+	n.ReceiveLoadReport("other", membership.Section{})
 	_, err = n.table.Choose(request)
 	require.NoError(t, err, "what it no longer names has ended")
 }
@@ -96,7 +96,7 @@
 	n.serving[replica.ID] = true
 	n.table.SetReplicas("", []routing.Entry{{Replica: replica, Addr: "127.0.0.1:1", Slots: 4}})
 	n.table.SetWhole(replica.ID, 1, true)
-	n.TakeLoadReport("other", membership.Section{LoadIDs: []uint32{loadID(replica.ID)}, LoadCounts: []uint32{4}})
+	n.ReceiveLoadReport("other", membership.Section{LoadIDs: []uint32{loadID(replica.ID)}, LoadCounts: []uint32{4}})
 	request := routing.Request{Group: "m", Limit: routing.Limit{PerSlot: 1}}
 	_, err := n.table.ChooseAt(time.Now(), request)
 	require.ErrorAs(t, err, new(*routing.FullError))
--- a/internal/player/gossip.go
+++ b/internal/player/gossip.go
@@ -42,7 +42,7 @@
 	if sender == nil || receiver == nil || from == to || !sys.world.reachesNode(from.zone, to.zone) {
 		return
 	}
-	receiver.TakeLoadReport(from.id, sender.LoadReport(reportBudget))
+	receiver.ReceiveLoadReport(from.id, sender.LoadReport(reportBudget))
 }
 
 // announce brings a section from one node to all that it reaches.
