--- a/internal/entry/region.go
+++ b/internal/entry/region.go
@@ -129,7 +129,7 @@
 	members.AddSource(r.core.LoadReport)
 	members.OnDatagram(func(from membership.Member, d *wirepb.Datagram) {
 		r.core.ReceiveLoadReport(from.Node, membership.Section{Asked: d.Asked, LoadIDs: d.LoadIds, LoadCounts: d.LoadCounts})
-		r.core.TakeStallReport(from.Node, membership.Section{StalledIDs: d.StalledIds, WorkingIDs: d.WorkingIds})
+		r.core.ReceiveStallReport(from.Node, membership.Section{StalledIDs: d.StalledIds, WorkingIDs: d.WorkingIds})
 	})
 	r.members = members
 	ctx, r.end = context.WithCancel(ctx)
--- a/internal/entry/stalls.go
+++ b/internal/entry/stalls.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// TakeStallReport takes what another node found of replicas that seem to stand still. The
+// ReceiveStallReport takes what another node found of replicas that seem to stand still. The
 // holder asks the members itself.
-func (n *Core) TakeStallReport(node cluster.NodeID, report membership.Section) {
+func (n *Core) ReceiveStallReport(node cluster.NodeID, report membership.Section) {
 	if len(report.StalledIDs)+len(report.WorkingIDs) == 0 {
 		return
 	}
--- a/internal/player/gossip.go
+++ b/internal/player/gossip.go
@@ -49,7 +49,7 @@
 func (sys *System) announce(from *node, section membership.Section) {
 	for _, to := range sys.nodes {
 		if receiver := to.running(); receiver != nil && to != from && sys.world.reachesNode(from.zone, to.zone) {
-			receiver.TakeStallReport(from.id, section)
+			receiver.ReceiveStallReport(from.id, section)
 		}
 	}
 }
