--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -119,8 +119,8 @@
 	return errors.Join(err, n.ready.http.Close())
 }
 
-// InsideAddr is the ip:port of metrics and operators; nil where the settings name none.
-func (n *Node) InsideAddr() net.Addr {
+// AdminAddr is the ip:port of metrics and operators; nil where the settings name none.
+func (n *Node) AdminAddr() net.Addr {
 	if n.metrics == nil {
 		return nil
 	}
