--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed passes one node's copy of the store on to other nodes, so that the
-// calls to the store grow with the few nodes that watch it and not with all.
+// Package feed streams one node's copy of the store to other nodes, so that the load
+// on the store grows with the few nodes that watch it and not with all nodes.
 package feed
 
 import (
@@ -12,35 +12,36 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// Times of a feed.
+// Timing of a feed.
 const (
-	// beatEvery is how often a feed says that it is there while nothing changes.
-	beatEvery = 200 * time.Millisecond
-	// silentAfter is the silence after which a follower watches the store itself, and
-	// staleAfter the age at which a feed's own copy may be old. A configuration must
-	// be in force within 2 s, also on a node whose feed is cut off from the store.
-	silentAfter = 700 * time.Millisecond
-	staleAfter  = time.Second
-	// WatchTimeout is how long a node that feeds others has the store hold its watch
-	// while nothing changes: its answer is what keeps the copy fresh.
+	// heartbeatInterval is how often a feed sends a batch without events while nothing
+	// changes.
+	heartbeatInterval = 200 * time.Millisecond
+	// A follower gives up a feed that has sent nothing for silenceTimeout, and a feed stops
+	// serving once the store has not confirmed its copy for maxSourceAge. A configuration
+	// must be in force within 2 s, even on a node whose feed is cut off from the store.
+	silenceTimeout = 700 * time.Millisecond
+	maxSourceAge   = time.Second
+	// WatchTimeout is the long-poll timeout of the store watch on a node that feeds
+	// others. Each answer of the watch, even an empty one, confirms the node's copy.
 	WatchTimeout = 400 * time.Millisecond
 )
 
-// Source is a node's own copy of the store.
+// Source is the copy of the store that a Server streams.
 type Source interface {
-	// Follow returns all entries below the prefixes, and a channel that gets each
-	// change after them until ctx ends.
+	// Follow returns all entries below the prefixes and a channel of the changes made
+	// after them until ctx ends. The channel is closed when its reader falls behind.
 	Follow(ctx context.Context, prefixes []string) (store.WatchBatch, <-chan store.WatchBatch)
-	// HeardAt is when the store last confirmed the copy.
+	// HeardAt returns when the store last confirmed the copy.
 	HeardAt() time.Time
-	// Want says that a node asks for the copy: it is to be kept fresh.
+	// Want records that a follower uses the copy, so that the source keeps it fresh.
 	Want()
 }
 
-// Server serves a copy; it implements wirepbconnect.FeedServiceHandler.
+// Server streams a Source to followers; it implements wirepbconnect.FeedServiceHandler.
 type Server struct{ Source Source }
 
-// Follow sends the copy and its changes while it is fresh.
+// Follow streams the entries and their changes for as long as the source is fresh.
 func (s *Server) Follow(ctx context.Context, req *connect.Request[wirepb.FollowRequest], stream *connect.ServerStream[wirepb.FollowResponse]) error {
 	s.Source.Want()
 	if !s.fresh() {
@@ -50,15 +51,15 @@
 	if err := stream.Send(encode(first)); err != nil {
 		return err
 	}
-	beat := time.NewTicker(beatEvery)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	revision := first.Revision
 	for {
 		next := store.WatchBatch{Revision: revision}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-beat.C:
+		case <-heartbeat.C:
 			s.Source.Want()
 			if !s.fresh() {
 				return connect.NewError(connect.CodeUnavailable, errStale)
@@ -76,7 +77,7 @@
 	}
 }
 
-func (s *Server) fresh() bool { return time.Since(s.Source.HeardAt()) < staleAfter }
+func (s *Server) fresh() bool { return time.Since(s.Source.HeardAt()) < maxSourceAge }
 
 func encode(batch store.WatchBatch) *wirepb.FollowResponse {
 	out := &wirepb.FollowResponse{Revision: batch.Revision}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -19,35 +19,35 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// copied is a copy of the store whose changes and age the test sets.
-type copied struct {
+// fakeSource is a feed.Source whose changes and age the test sets.
+type fakeSource struct {
 	mu      sync.Mutex
 	heardAt time.Time
 	changes chan store.WatchBatch
 }
 
-func (c *copied) Follow(context.Context, []string) (store.WatchBatch, <-chan store.WatchBatch) {
-	return store.WatchBatch{Revision: 7, Events: []store.Event{{KV: store.KV{Key: "servers/a", Value: []byte("x"), ModRevision: 5, CreateRevision: 4}}}}, c.changes
+func (source *fakeSource) Follow(context.Context, []string) (store.WatchBatch, <-chan store.WatchBatch) {
+	return store.WatchBatch{Revision: 7, Events: []store.Event{{KV: store.KV{Key: "servers/a", Value: []byte("x"), ModRevision: 5, CreateRevision: 4}}}}, source.changes
 }
 
-func (c *copied) Want() {}
+func (source *fakeSource) Want() {}
 
-func (c *copied) HeardAt() time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.heardAt
+func (source *fakeSource) HeardAt() time.Time {
+	source.mu.Lock()
+	defer source.mu.Unlock()
+	return source.heardAt
 }
 
-func (c *copied) heard(at time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.heardAt = at
+func (source *fakeSource) setHeardAt(at time.Time) {
+	source.mu.Lock()
+	defer source.mu.Unlock()
+	source.heardAt = at
 }
 
-// serve serves a copy and returns a follower of it.
-func serve(t *testing.T, c *copied) (*feed.Follower, *httptest.Server) {
+// serve starts a feed of the source and returns a follower of it.
+func serve(t *testing.T, source *fakeSource) (*feed.Follower, *httptest.Server) {
 	t.Helper()
-	_, handler := wirepbconnect.NewFeedServiceHandler(&feed.Server{Source: c})
+	_, handler := wirepbconnect.NewFeedServiceHandler(&feed.Server{Source: source})
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	f := feed.NewFollower([]string{strings.TrimPrefix(server.URL, "http://")}, []string{"servers/"}, slog.New(slog.DiscardHandler))
@@ -55,12 +55,12 @@
 	return f, server
 }
 
-func TestFollowerGetsAllAndThenChanges(t *testing.T) {
-	c := &copied{heardAt: time.Now().Add(time.Hour), changes: make(chan store.WatchBatch, 1)}
-	f, _ := serve(t, c)
+func TestFollowerReceivesSnapshotThenChanges(t *testing.T) {
+	source := &fakeSource{heardAt: time.Now().Add(time.Hour), changes: make(chan store.WatchBatch, 1)}
+	f, _ := serve(t, source)
 	ctx, cancel := context.WithCancel(t.Context())
-	deleted := store.WatchBatch{Revision: 9, Events: []store.Event{{Type: store.EventDelete, KV: store.KV{Key: "servers/a", ModRevision: 9}}}}
-	c.changes <- deleted
+	deletion := store.WatchBatch{Revision: 9, Events: []store.Event{{Type: store.EventDelete, KV: store.KV{Key: "servers/a", ModRevision: 9}}}}
+	source.changes <- deletion
 	var got []store.WatchBatch
 	served := f.Follow(ctx, func(batch store.WatchBatch, first bool) {
 		require.Equal(t, len(got) == 0, first)
@@ -74,25 +74,25 @@
 	require.True(t, served)
 	require.EqualValues(t, 7, got[0].Revision)
 	require.Equal(t, store.KV{Key: "servers/a", Value: []byte("x"), ModRevision: 5, CreateRevision: 4}, got[0].Events[0].KV)
-	require.Equal(t, deleted, got[1])
+	require.Equal(t, deletion, got[1])
 }
 
-// A feed is cut off from the store. Its followers would believe an old list for as
-// long as it went on: it ends their streams within a second, and takes no new ones.
-func TestFeedWithAnOldCopyServesNobody(t *testing.T) {
-	c := &copied{heardAt: time.Now(), changes: make(chan store.WatchBatch)}
-	f, _ := serve(t, c)
+// Guards against followers that keep a stale list because their feed is cut off from
+// the store: the feed ends their streams within a second and accepts no new ones.
+func TestStaleFeedServesNoFollowers(t *testing.T) {
+	source := &fakeSource{heardAt: time.Now(), changes: make(chan store.WatchBatch)}
+	f, _ := serve(t, source)
 	began := time.Now()
-	require.True(t, f.Follow(t.Context(), func(store.WatchBatch, bool) { c.heard(time.Now().Add(-time.Minute)) }))
+	require.True(t, f.Follow(t.Context(), func(store.WatchBatch, bool) { source.setHeardAt(time.Now().Add(-time.Minute)) }))
 	require.Less(t, time.Since(began), 5*time.Second)
-	require.False(t, f.Follow(t.Context(), func(store.WatchBatch, bool) { t.Error("an old copy was served") }))
+	require.False(t, f.Follow(t.Context(), func(store.WatchBatch, bool) { t.Error("a stale copy was served") }))
 }
 
-// A feed's node dies. The follower hears so at once and watches the store itself,
-// and leaves that feed alone for a while.
-func TestLostFeedIsLeftAlone(t *testing.T) {
-	c := &copied{heardAt: time.Now().Add(time.Hour), changes: make(chan store.WatchBatch)}
-	f, server := serve(t, c)
+// When a feed's node dies, the follower returns at once, so that its user watches the
+// store, and does not try that feed again for a while.
+func TestFailedFeedIsNotRetriedAtOnce(t *testing.T) {
+	source := &fakeSource{heardAt: time.Now().Add(time.Hour), changes: make(chan store.WatchBatch)}
+	f, server := serve(t, source)
 	require.True(t, f.Follow(t.Context(), func(store.WatchBatch, bool) { server.CloseClientConnections() }))
-	require.False(t, f.Follow(t.Context(), func(store.WatchBatch, bool) { t.Error("followed again at once") }))
+	require.False(t, f.Follow(t.Context(), func(store.WatchBatch, bool) { t.Error("followed the failed feed again at once") }))
 }
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// dialTimeout is many round trips within a deployment.
+	// dialTimeout allows for many round trips within a deployment.
 	dialTimeout = 500 * time.Millisecond
-	// avoidFor is how long a feed that failed is left alone, absentFor one that did
-	// not serve at all: it may only just be starting.
-	avoidFor  = 3 * time.Second
-	absentFor = 400 * time.Millisecond
+	// A feed whose stream failed is not tried again for failedBackoff; one that served
+	// nothing, for unavailableBackoff, as it may still be starting.
+	failedBackoff      = 3 * time.Second
+	unavailableBackoff = 400 * time.Millisecond
 )
 
 var (
-	followsTotal = metrics.NewCounter("fennel_feed_follows_total")
-	lostTotal    = metrics.NewCounter("fennel_feed_lost_total")
+	streamsTotal     = metrics.NewCounter("fennel_feed_follows_total")
+	streamsLostTotal = metrics.NewCounter("fennel_feed_lost_total")
 )
 
-// Follower follows one of a few feeds. Its user watches the store itself while no
-// feed serves.
+// Follower follows one of several feeds at a time. While none serves, its user watches
+// the store directly.
 type Follower struct {
 	prefixes []string
 	log      *slog.Logger
@@ -42,12 +42,14 @@
 	feeds []feed
 }
 
+// feed is the address of a feed and the time from which it may be tried again.
 type feed struct {
-	addr        string
-	avoidBefore time.Time
+	addr       string
+	retryAfter time.Time
 }
 
-// NewFollower returns a follower of the feeds at the addresses (ip:port).
+// NewFollower returns a follower of the feeds at the addresses (ip:port), in a
+// random order of preference.
 func NewFollower(addrs, prefixes []string, log *slog.Logger) *Follower {
 	transport := &http.Transport{DialContext: sockets.Dialer(dialTimeout).DialContext}
 	f := &Follower{prefixes: prefixes, log: log, client: &http.Client{Transport: transport}}
@@ -58,73 +60,74 @@
 	return f
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (f *Follower) Close() { f.client.CloseIdleConnections() }
 
-// next is a feed that has not failed lately; empty if there is none.
-func (f *Follower) next(now time.Time) string {
+// pick returns the address of the first feed that is not backed off, or "" if there is
+// none.
+func (f *Follower) pick(now time.Time) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, one := range f.feeds {
-		if now.After(one.avoidBefore) {
-			return one.addr
+	for _, candidate := range f.feeds {
+		if now.After(candidate.retryAfter) {
+			return candidate.addr
 		}
 	}
 	return ""
 }
 
-func (f *Follower) avoid(addr string, until time.Time) {
+func (f *Follower) backOff(addr string, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.feeds {
 		if f.feeds[i].addr == addr {
-			f.feeds[i].avoidBefore = until
+			f.feeds[i].retryAfter = until
 		}
 	}
 }
 
-// Follow passes a feed's batches to take, the first with all entries, until the
-// feed fails or falls silent. It reports whether any batch came.
-func (f *Follower) Follow(ctx context.Context, take func(batch store.WatchBatch, first bool)) (served bool) {
-	addr := f.next(time.Now())
+// Follow passes a feed's batches to handle until the feed fails or is silent for
+// silenceTimeout. The first batch has all entries. Follow reports whether any batch came.
+func (f *Follower) Follow(ctx context.Context, handle func(batch store.WatchBatch, first bool)) (served bool) {
+	addr := f.pick(time.Now())
 	if addr == "" {
 		return false
 	}
 	err := f.follow(ctx, addr, func(batch store.WatchBatch) {
-		take(batch, !served)
+		handle(batch, !served)
 		served = true
 	})
 	if ctx.Err() != nil {
 		return served
 	}
-	lostTotal.Inc()
-	wait := absentFor
+	streamsLostTotal.Inc()
+	backoff := unavailableBackoff
 	if served {
-		wait = avoidFor
+		backoff = failedBackoff
 	}
-	f.avoid(addr, time.Now().Add(wait))
+	f.backOff(addr, time.Now().Add(backoff))
 	f.log.Warn("dependency lost", "dependency", "feed", "addr", addr, "served", served, "err", err.Error())
 	return served
 }
 
-func (f *Follower) follow(ctx context.Context, addr string, take func(store.WatchBatch)) error {
+func (f *Follower) follow(ctx context.Context, addr string, handle func(store.WatchBatch)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silentAfter, cancel)
-	defer silence.Stop()
+	watchdog := time.AfterFunc(silenceTimeout, cancel)
+	defer watchdog.Stop()
 	client := wirepbconnect.NewFeedServiceClient(f.client, "http://"+addr)
 	stream, err := client.Follow(ctx, connect.NewRequest(&wirepb.FollowRequest{Prefixes: f.prefixes}))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = stream.Close() }()
-	for begun := false; stream.Receive(); begun = true {
-		if !begun {
-			followsTotal.Inc()
+	for started := false; stream.Receive(); started = true {
+		if !started {
+			streamsTotal.Inc()
 			f.log.Info("following", "feed", addr)
 		}
-		silence.Reset(silentAfter)
-		take(decode(stream.Msg()))
+		watchdog.Reset(silenceTimeout)
+		handle(decode(stream.Msg()))
 	}
 	if err := stream.Err(); err != nil {
 		return err
