--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -25,112 +25,115 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Platform is what a node needs of the platform it runs on.
+// Platform holds what a node needs from the platform it runs on.
 type Platform struct {
 	Store store.Store
-	// PaceWatch has the store's watch answer at least as often as wait says, also
-	// while nothing changes, and leave a pause after changes; may be nil.
+	// PaceWatch sets how the store is watched: wait is the long-poll timeout while
+	// nothing changes, pause the delay after changes before the next poll. May be nil.
 	PaceWatch func(pace func() (wait, pause time.Duration))
 	Orders    formation.Orders
 	Backend   func(pool *conns.Pool) relay.Backend
-	// NewHandler returns the callers' handler.
+	// NewHandler returns the HTTP handler for callers.
 	NewHandler func(f HandlerOptions) http.Handler
-	// ServersPrefix and Servers say where backend servers are listed and how a
-	// listing is read.
+	// ServersPrefix is the key prefix of the backend servers' entries; DecodeServers
+	// parses the entries below it.
 	ServersPrefix string
-	DecodeServers       func(entries map[string]store.KV, revision int64) fleet.List
-	// ConfigKey and Config are the same for the operator's configuration.
-	ConfigKey string
-	DecodeConfig    func(store.KV) (*rules.Set, error)
-	// ReadyPath is where the balancer asks.
+	DecodeServers func(entries map[string]store.KV, revision int64) fleet.List
+	// ConfigKey is the key of the operator's configuration; DecodeConfig parses it.
+	ConfigKey    string
+	DecodeConfig func(store.KV) (*rules.Set, error)
+	// ReadyPath is the path of the load balancer's readiness check.
 	ReadyPath string
 }
 
-// HandlerOptions is what the callers' handler is made of.
+// HandlerOptions are the parts of a node that the handler for callers uses.
 type HandlerOptions struct {
-	Rules   func() (set *rules.Set, fresh bool)
-	Serve   func(ctx context.Context, c *call.Call, sink call.Sink)
+	// Rules returns the rules in force, and whether they are known to be the newest.
+	Rules func() (set *rules.Set, fresh bool)
+	Serve func(ctx context.Context, c *call.Call, sink call.Sink)
+	// Leaving reports whether the node is stopping.
 	Leaving func() bool
 	Log     *slog.Logger
 }
 
-// Core is a node without its sockets: all that it knows, decides and does for callers
-// who reach it by Serve. A Node puts listeners around it.
+// Core is a node without its listeners: its state, its decisions and the serving of
+// calls that are passed to Serve. A Node adds the listeners.
 type Core struct {
-	set      *settings.Settings
+	cfg      *settings.Settings
 	platform Platform
 	log      *slog.Logger
 
-	mirror *fleet.Mirror
-	feed   *feed.Follower
-	rules  atomic.Pointer[rules.Set]
-	list   atomic.Pointer[fleet.List]
-	held   atomic.Bool
-	asked  atomic.Bool
-	// onRules is told of each set of rules that comes into force.
+	mirror      *fleet.Mirror
+	feed        *feed.Follower
+	rules       atomic.Pointer[rules.Set]
+	serverList  atomic.Pointer[fleet.List]
+	leaseHeld   atomic.Bool
+	requestSeen atomic.Bool
+	// onRules is called with each set of rules that comes into force.
 	onRules func(*rules.Set)
-	// announce tells the other nodes at once; may be nil.
-	announce func(membership.Section)
+	// broadcast sends a section to all other nodes at once; may be nil.
+	broadcast func(membership.Section)
 
-	// deriving serialises what follows from changes of the list and the rules.
-	deriving sync.Mutex
-	serving  map[cluster.ReplicaID]bool
-	changes  servingChanges
+	// servingMu serialises updates that follow from changes of the server list and the
+	// rules. It guards serving and pendingChanges.
+	servingMu      sync.Mutex
+	serving        map[cluster.ReplicaID]bool
+	pendingChanges servingChanges
 
 	table   *routing.Table
 	pool    *conns.Pool
 	relay   *relay.Relay
 	control *formation.Controller
-	outages *outages
+	outages *outageRecorder
 }
 
-// balance compares all replicas of a model that a deployment of a few dozen VMs
-// has. Zones are a millisecond apart, so a replica of another zone is taken when it
-// is emptier by a tenth of its slots.
-var balance = routing.Weighted{SampleLocal: 8, SampleOther: 8, ZonePenalty: 0.1}
+// defaultRouting samples enough replicas to compare all replicas of a model in a
+// deployment of a few dozen VMs. Zones are a millisecond apart, so a replica of another
+// zone is chosen when the share of its slots in use is lower by a tenth.
+var defaultRouting = routing.Weighted{SampleLocal: 8, SampleOther: 8, ZonePenalty: 0.1}
 
-// Policies are policies in place of those that a node runs; a nil one replaces none.
+// Policies replace a node's default policies; a nil field keeps the default.
 type Policies struct {
 	Route routing.Policy
 	Place placement.Policy
 }
 
-// CoreOptions are what a Core is given beside its settings and its platform.
+// CoreOptions configure a Core beyond its settings and its platform.
 type CoreOptions struct {
-	// OnRules is told of each set of rules that comes into force; may be nil.
+	// OnRules is called with each set of rules that comes into force; may be nil.
 	OnRules func(*rules.Set)
-	// OnDatagramKey is told of the key for datagrams in the store, with no entry while
-	// there is none; may be nil.
+	// OnDatagramKey is called with the store's entry of the datagram key, and with no
+	// entries while there is none; may be nil.
 	OnDatagramKey func(entries map[string]store.KV)
-	// Broadcast tells all other nodes at once; may be nil.
-	Broadcast  func(membership.Section)
-	Policies Policies
+	// Broadcast sends a section to all other nodes at once; may be nil.
+	Broadcast func(membership.Section)
+	Policies  Policies
 	Log       *slog.Logger
 }
 
-// NewCore puts a node's parts together. Nothing runs before Run.
-func NewCore(set *settings.Settings, p Platform, opts CoreOptions) *Core {
+// NewCore builds a node's components. Nothing runs before Run.
+func NewCore(cfg *settings.Settings, p Platform, opts CoreOptions) *Core {
 	log := opts.Log
 	if opts.Policies.Route == nil {
-		opts.Policies.Route = balance
+		opts.Policies.Route = defaultRouting
 	}
 	if opts.Policies.Place == nil {
 		opts.Policies.Place = placement.Mix{}
 	}
-	n := &Core{onRules: opts.OnRules, announce: opts.Broadcast, set: set, platform: p, log: log, pool: conns.NewPool(), serving: make(map[cluster.ReplicaID]bool)}
-	n.outages = newOutages(set.Node, cluster.ZoneID(set.Region), time.Now())
-	n.table = routing.NewTable(routing.Options{Zone: set.Zone, Seed: uint64(time.Now().UnixNano()), Policy: opts.Policies.Route, PeerExpiry: loadReportLife})
+	n := &Core{onRules: opts.OnRules, broadcast: opts.Broadcast, cfg: cfg, platform: p, log: log, pool: conns.NewPool(), serving: make(map[cluster.ReplicaID]bool)}
+	n.outages = newOutageRecorder(cfg.Node, cluster.ZoneID(cfg.Region), time.Now())
+	n.table = routing.NewTable(routing.Options{Zone: cfg.Zone, Seed: uint64(time.Now().UnixNano()), Policy: opts.Policies.Route, PeerExpiry: loadReportTTL})
 	n.relay = relay.New(relay.Options{
-		Router: n.table, Backend: p.Backend(n.pool), Peer: n.peer, Log: log,
-		OnStall: n.stalled,
-		Budget:  relay.NewBudget(relay.BudgetOptions{Ratio: set.Retries.Ratio, Slack: set.Retries.Slack, Window: set.Retries.Window, Nodes: set.Retries.Nodes}),
+		Router: n.table, Backend: p.Backend(n.pool), Peer: n.findPeer, Log: log,
+		OnStall: n.onStall,
+		Budget:  relay.NewBudget(relay.BudgetOptions{Ratio: cfg.Retries.Ratio, Slack: cfg.Retries.Slack, Window: cfg.Retries.Window, Nodes: cfg.Retries.Nodes}),
 	})
-	scope := cluster.ZoneID(set.Region)
+	scope := cluster.ZoneID(cfg.Region)
 	leaseKey, datagramKey := store.PlacementLeaseKey(scope), store.DatagramKey(scope)
-	n.mirror = fleet.NewMirror(p.Store, n.follower(p.ConfigKey, p.ServersPrefix, leaseKey, datagramKey), log,
+	n.mirror = fleet.NewMirror(p.Store, n.newFollower(p.ConfigKey, p.ServersPrefix, leaseKey, datagramKey), log,
 		fleet.View{Prefix: p.ConfigKey, OnChange: n.configChanged},
 		fleet.View{Prefix: p.ServersPrefix, OnChange: n.serversChanged},
-		fleet.View{Prefix: leaseKey, OnChange: func(entries map[string]store.KV, _ int64) { n.held.Store(len(entries) > 0) }},
+		fleet.View{Prefix: leaseKey, OnChange: func(entries map[string]store.KV, _ int64) { n.leaseHeld.Store(len(entries) > 0) }},
 		fleet.View{Prefix: datagramKey, OnChange: func(entries map[string]store.KV, _ int64) {
 			if opts.OnDatagramKey != nil {
 				opts.OnDatagramKey(entries)
@@ -138,33 +141,33 @@
 		}},
 	)
 	if n.feed == nil {
-		n.outages.keep(p.Store, set.Node, log)
+		n.outages.persist(p.Store, cfg.Node, log)
 	}
 	if p.PaceWatch != nil {
-		p.PaceWatch(n.watchPace)
+		p.PaceWatch(n.watchPacing)
 	}
 	n.control = formation.NewController(formation.Options{
-		Scope: scope, Node: set.Node, Store: p.Store, List: n.currentList, Rules: n.rules.Load,
+		Scope: scope, Node: cfg.Node, Store: p.Store, List: n.currentList, Rules: n.rules.Load,
 		Refresh:   n.mirror.Refresh,
-		LeaseHeld: func() bool { return n.held.Load() || !n.mirror.Loaded() },
+		LeaseHeld: func() bool { return n.leaseHeld.Load() || !n.mirror.Loaded() },
 		Standby:   n.feed != nil,
-		FreeLoads: func() bool { return set.Process.FirstStart && !n.asked.Load() },
-		OnWorking: n.replicaWorks,
+		FreeLoads: func() bool { return cfg.Process.FirstStart && !n.requestSeen.Load() },
+		OnWorking: n.onReplicaWorking,
 		Orders:    p.Orders, Policy: opts.Policies.Place, Log: log,
 	})
 	return n
 }
 
-// Run does the node's duties until ctx ends.
+// Run runs the node's background tasks until ctx ends.
 func (n *Core) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	for _, run := range []func(context.Context){n.mirror.Run, n.control.Run, n.relay.Run, n.sweep, n.watchIdle, n.outages.run} {
-		duties.Go(func() { run(ctx) })
+	var tasks sync.WaitGroup
+	for _, run := range []func(context.Context){n.mirror.Run, n.control.Run, n.relay.Run, n.sweepLoop, n.strandedLoop, n.outages.run} {
+		tasks.Go(func() { run(ctx) })
 	}
-	duties.Wait()
+	tasks.Wait()
 }
 
-// Close closes what Run and Serve have left open.
+// Close closes the connections that Run and Serve left open.
 func (n *Core) Close() {
 	if n.feed != nil {
 		n.feed.Close()
@@ -173,45 +176,47 @@
 }
 
 const (
-	// quietWait is how long the store holds the watch of a node that feeds nobody.
-	quietWait = 2 * time.Second
-	// quietPause is how long such a node leaves changes to gather, unless it forms
-	// replicas. When all feeds are lost, hundreds of nodes watch the store.
-	quietPause = 400 * time.Millisecond
+	// idleWatchTimeout is the long-poll timeout of the store watch on a node without
+	// followers.
+	idleWatchTimeout = 2 * time.Second
+	// idleWatchPause is how long such a node waits after changes, to batch them, unless
+	// it forms replicas. When all feeds are lost, hundreds of nodes watch the store.
+	idleWatchPause = 400 * time.Millisecond
 )
 
-// watchPace is how the store is watched: at once for the nodes that this one feeds and
-// for replicas that it forms.
-func (n *Core) watchPace() (wait, pause time.Duration) {
+// watchPacing returns the long-poll timeout of the store watch and the pause after
+// changes. There is no pause while other nodes follow this one, or while it forms
+// replicas.
+func (n *Core) watchPacing() (wait, pause time.Duration) {
 	switch {
 	case n.mirror.Wanted():
 		return feed.WatchTimeout, 0
 	case n.control.Holding() || n.feed == nil:
-		return quietWait, 0
+		return idleWatchTimeout, 0
 	}
-	return quietWait, quietPause
+	return idleWatchTimeout, idleWatchPause
 }
 
-// follower is the feed that this node follows in place of the store; nil for a node
-// that feeds others, or knows nobody who does.
-func (n *Core) follower(prefixes ...string) fleet.Feed {
-	if len(n.set.Feeds.Seeds) == 0 || slices.Contains(n.set.Feeds.Seeds, n.set.Feeds.Listen) {
+// newFollower returns the feed that this node follows in place of the store. It returns
+// nil on a node that feeds others and where the settings name no feeds.
+func (n *Core) newFollower(prefixes ...string) fleet.Feed {
+	if len(n.cfg.Feeds.Seeds) == 0 || slices.Contains(n.cfg.Feeds.Seeds, n.cfg.Feeds.Listen) {
 		return nil
 	}
-	n.feed = feed.NewFollower(n.set.Feeds.Seeds, prefixes, n.log)
+	n.feed = feed.NewFollower(n.cfg.Feeds.Seeds, prefixes, n.log)
 	return n.feed
 }
 
-// Serve takes a call to its end; it is the relay, and also notices the first request of all.
+// Serve relays a call until it ends. It also records that the node has seen a request.
 func (n *Core) Serve(ctx context.Context, c *call.Call, sink call.Sink) {
-	n.asked.Store(true)
-	c.Work = n.workOf(c)
+	n.requestSeen.Store(true)
+	c.Work = n.estimateWork(c)
 	n.relay.Serve(ctx, c, sink)
 }
 
-// workOf is the part of a replica's time that the call takes, by the published figures
-// of its model's engines; zero for a plain service.
-func (n *Core) workOf(c *call.Call) time.Duration {
+// estimateWork returns how much of a replica's time the call takes, by the published
+// figures of its model's engines. It returns zero for a plain service.
+func (n *Core) estimateWork(c *call.Call) time.Duration {
 	set := n.rules.Load()
 	if set == nil || c.Model == "" {
 		return 0
@@ -223,16 +228,16 @@
 	return g.Engine.Work(c.PromptTokens, c.ExpectedAnswer())
 }
 
-// freshFor is how long the configuration counts as the newest after the store
-// last answered: a watch answers every 2 s when nothing changes.
-const freshFor = 3500 * time.Millisecond
+// maxConfigAge is how long the configuration counts as the newest after the store's last
+// answer. A watch answers at least every 2 s.
+const maxConfigAge = 3500 * time.Millisecond
 
 func (n *Core) currentRules() (*rules.Set, bool) {
-	return n.rules.Load(), time.Since(n.mirror.HeardAt()) < freshFor
+	return n.rules.Load(), time.Since(n.mirror.HeardAt()) < maxConfigAge
 }
 
 func (n *Core) currentList() (fleet.List, bool) {
-	list := n.list.Load()
+	list := n.serverList.Load()
 	if list == nil {
 		return fleet.List{}, false
 	}
@@ -241,8 +246,9 @@
 	return current, true
 }
 
-// peer finds the process that serves the chosen replica.
-func (n *Core) peer(choice routing.Choice) (conns.Peer, bool) {
+// findPeer returns the process that serves the chosen replica, and false when its server
+// is not listed.
+func (n *Core) findPeer(choice routing.Choice) (conns.Peer, bool) {
 	list, _ := n.currentList()
 	s := list.Find(choice.Replica.Serving)
 	if s == nil {
@@ -251,11 +257,11 @@
 	return conns.Peer{Server: s.ID, Addr: s.Addr, Born: s.Born.UnixMilli()}, true
 }
 
-// configChanged takes a newer configuration over. It never goes back: a read that
-// was overtaken may bring an older one.
+// configChanged adopts a newer configuration. It ignores an older one, which a read that
+// was overtaken by a later one can return.
 func (n *Core) configChanged(entries map[string]store.KV, revision int64) {
-	kv, there := entries[n.platform.ConfigKey]
-	if !there {
+	kv, ok := entries[n.platform.ConfigKey]
+	if !ok {
 		return
 	}
 	set, err := n.platform.DecodeConfig(kv)
@@ -271,30 +277,31 @@
 	if n.onRules != nil {
 		n.onRules(set)
 	}
-	n.refresh()
+	n.updateRoutes()
 }
 
 func (n *Core) serversChanged(entries map[string]store.KV, revision int64) {
 	list := n.platform.DecodeServers(entries, revision)
 	list.Changed = revision
-	before := n.list.Load()
-	same := before != nil && before.Same(list)
-	if same {
-		list.Changed = before.Changed
+	previous := n.serverList.Load()
+	unchanged := previous != nil && previous.Same(list)
+	if unchanged {
+		list.Changed = previous.Changed
 	}
-	n.list.Store(&list)
-	if !same { // else a server wrote its entry again: nothing follows from it
-		n.refresh()
+	n.serverList.Store(&list)
+	if !unchanged { // a server that rewrites its entry changes no route
+		n.updateRoutes()
 	}
 }
 
-// sweepEvery is how often idle connections and unlogged changes are looked through.
-const sweepEvery = time.Second
+// sweepInterval is how often stale connections are closed and pending changes logged.
+const sweepInterval = time.Second
 
-// sweep closes connections that nobody may use any more, and logs what changed.
-func (n *Core) sweep(ctx context.Context) {
-	clock.Every(ctx, sweepEvery, func(now time.Time) {
-		n.logChanges()
+// sweepLoop closes connections to processes that are no longer listed, and logs pending
+// changes of the serving replicas.
+func (n *Core) sweepLoop(ctx context.Context) {
+	clock.Every(ctx, sweepInterval, func(now time.Time) {
+		n.flushServingChanges()
 		list, _ := n.currentList()
 		n.pool.Sweep(func(p conns.Peer) bool {
 			s := list.Find(p.Server)
--- a/internal/entry/derive.go
+++ b/internal/entry/derive.go
@@ -10,16 +10,17 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// refresh derives from list and rules what may take requests.
-func (n *Core) refresh() {
-	n.deriving.Lock()
-	defer n.deriving.Unlock()
-	list, set := n.list.Load(), n.rules.Load()
+// updateRoutes recomputes from the server list and the rules which replicas may take
+// requests.
+func (n *Core) updateRoutes() {
+	n.servingMu.Lock()
+	defer n.servingMu.Unlock()
+	list, set := n.serverList.Load(), n.rules.Load()
 	if list == nil || set == nil {
 		return
 	}
 	replicas := fleet.Replicas(*list, set.Groups)
-	entries := routes(*list, replicas, set, n.serving)
+	entries := routingEntries(*list, replicas, set, n.serving)
 	serving := make(map[cluster.ReplicaID]bool, len(entries))
 	for _, e := range entries {
 		serving[e.Replica.ID] = true
@@ -28,18 +29,18 @@
 	for _, e := range entries {
 		n.table.SetWhole(e.Replica.ID, e.Replica.Generation, true)
 	}
-	n.noteChanges(serving, replicas, list.Revision)
+	n.recordServingChanges(serving, replicas, list.Revision)
 	n.serving = serving
 }
 
-// noteChanges logs which replicas began and ceased to take requests, and moves
-// requests away from those that lost a member.
-func (n *Core) noteChanges(serving map[cluster.ReplicaID]bool, replicas []fleet.Replica, revision int64) {
+// recordServingChanges logs and records which replicas started and stopped taking
+// requests, and moves requests away from those that lost a member.
+func (n *Core) recordServingChanges(serving map[cluster.ReplicaID]bool, replicas []fleet.Replica, revision int64) {
 	for id := range serving {
 		if !n.serving[id] {
-			n.logServing(id, true, false, revision)
+			n.logServingChange(id, true, false, revision)
 			if groupOf(id) != "" {
-				n.outages.began(id, time.Now())
+				n.outages.replicaUp(id, time.Now())
 			}
 		}
 	}
@@ -48,9 +49,9 @@
 			continue
 		}
 		lost := lostMember(id, replicas)
-		n.logServing(id, false, lost, revision)
+		n.logServingChange(id, false, lost, revision)
 		if groupOf(id) != "" {
-			n.outages.lost(id, lost, time.Now())
+			n.outages.replicaDown(id, lost, time.Now())
 		}
 		if lost {
 			n.relay.ReplicaLost(id)
@@ -58,52 +59,52 @@
 	}
 }
 
-// servingChanges are the replicas that began and ceased to take requests since a
-// follower's last line about them.
+// servingChanges holds the replicas that started and stopped taking requests since they
+// were last logged.
 type servingChanges struct {
-	began, ceased, lost []cluster.ReplicaID
-	// from and to are the revisions of the first and the last change.
+	started, stopped, lost []cluster.ReplicaID
+	// from and to are the list revisions of the first and the last change.
 	from, to int64
 }
 
-// logServing logs that a replica began or ceased to take requests here. All nodes derive
-// that alike: those that watch the store write a line for each replica, and the many that
-// follow them one a second.
-func (n *Core) logServing(id cluster.ReplicaID, serving, lostMember bool, revision int64) {
+// logServingChange logs that a replica started or stopped taking requests on this node.
+// All nodes derive the same changes, so only the few that watch the store log each one;
+// the many that follow a feed collect them for one line a second.
+func (n *Core) logServingChange(id cluster.ReplicaID, serving, lostMember bool, revision int64) {
 	if n.feed == nil {
 		n.log.Info("replica", "replica", id, "serving", serving, "lost_member", lostMember, "list_revision", revision)
 		return
 	}
-	c := &n.changes
+	c := &n.pendingChanges
 	if c.from == 0 {
 		c.from = revision
 	}
 	c.to = revision
 	switch {
 	case serving:
-		c.began = append(c.began, id)
+		c.started = append(c.started, id)
 	case lostMember:
 		c.lost = append(c.lost, id)
 	default:
-		c.ceased = append(c.ceased, id)
+		c.stopped = append(c.stopped, id)
 	}
 }
 
-// logChanges writes what logServing has gathered.
-func (n *Core) logChanges() {
-	n.deriving.Lock()
-	c, serving := n.changes, len(n.serving)
-	n.changes = servingChanges{}
-	n.deriving.Unlock()
+// flushServingChanges logs the changes that logServingChange has collected.
+func (n *Core) flushServingChanges() {
+	n.servingMu.Lock()
+	c, serving := n.pendingChanges, len(n.serving)
+	n.pendingChanges = servingChanges{}
+	n.servingMu.Unlock()
 	if c.to == 0 {
 		return
 	}
-	n.log.Info("replicas", "serving", serving, "began", c.began, "ceased", c.ceased, "lost_member", c.lost, "from_revision", c.from, "list_revision", c.to)
+	n.log.Info("replicas", "serving", serving, "began", c.started, "ceased", c.stopped, "lost_member", c.lost, "from_revision", c.from, "list_revision", c.to)
 }
 
-// lostMember reports whether a replica of a model has a member that is not listed
-// as its member any more. A server of a plain service that is not listed any more may be
-// leaving, and ends the calls that it has.
+// lostMember reports whether a replica of a model has a member that is no longer listed
+// as one of its members. It is false for a server of a plain service: one that is no
+// longer listed may be leaving, and finishes the calls that it has.
 func lostMember(id cluster.ReplicaID, replicas []fleet.Replica) bool {
 	if groupOf(id) == "" {
 		return false
@@ -116,13 +117,13 @@
 	return true
 }
 
-// routes lists what may take requests: replicas that serve, those of the ones
-// before that may go on, and each server of a plain service as a replica of its own.
-func routes(list fleet.List, replicas []fleet.Replica, set *rules.Set, before map[cluster.ReplicaID]bool) []routing.Entry {
+// routingEntries returns the replicas that may take requests: those that serve, those of
+// previous that may continue, and each server of a plain service as a replica of its own.
+func routingEntries(list fleet.List, replicas []fleet.Replica, set *rules.Set, previous map[cluster.ReplicaID]bool) []routing.Entry {
 	var out []routing.Entry
 	for i := range replicas {
 		r := &replicas[i]
-		if !r.Serves() && !(before[r.ID()] && r.MayGoOn()) {
+		if !r.Serves() && !(previous[r.ID()] && r.MayGoOn()) {
 			continue
 		}
 		head := r.Head()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry puts together a node whose platform keeps the list of backend
-// servers, the operator's configuration and the placement lease in one key-value
-// service. All decisions are those of the packages it joins.
+// Package entry assembles a node for a platform that keeps the list of backend servers,
+// the operator's configuration and the placement lease in one key-value service. The
+// decisions are made by the packages that it connects.
 package entry
 
 import (
@@ -19,39 +19,40 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Node is one running node: a Core and its sockets.
+// Node is one running node: a Core and its listeners.
 type Node struct {
 	*Core
-	// region is the other nodes; it is silent on a node without an address for datagrams.
-	region                         *region
-	callers, ready, metrics, feeds *server
-	leaving                        atomic.Bool
+	// peers exchanges datagrams with the other nodes; it is unused on a node without an
+	// address for datagrams.
+	peers                        *regionPeers
+	callers, ready, admin, feeds *server
+	stopping                     atomic.Bool
 }
 
-// New opens the node's sockets and puts its parts together. Nothing runs before Run.
-func New(set *settings.Settings, p Platform, log *slog.Logger) (*Node, error) {
+// New builds the node's components and opens its listeners. Nothing runs before Run.
+func New(cfg *settings.Settings, p Platform, log *slog.Logger) (*Node, error) {
 	n := &Node{}
-	opts := CoreOptions{OnRules: n.applyLimits, Log: log}
-	if set.Listen.Datagrams != "" {
-		opts.OnDatagramKey = func(entries map[string]store.KV) { n.region.keyChanged(entries) }
-		opts.Broadcast = func(section membership.Section) { n.region.announce(section) }
+	opts := CoreOptions{OnRules: n.applyIdleTimeout, Log: log}
+	if cfg.Listen.Datagrams != "" {
+		opts.OnDatagramKey = func(entries map[string]store.KV) { n.peers.keyChanged(entries) }
+		opts.Broadcast = func(section membership.Section) { n.peers.broadcast(section) }
 	}
-	n.Core = NewCore(set, p, opts)
-	n.region = newRegion(n.Core, set, log)
+	n.Core = NewCore(cfg, p, opts)
+	n.peers = newRegionPeers(n.Core, cfg, log)
 	return n, n.listen()
 }
 
 func (n *Node) listen() error {
-	front := n.platform.NewHandler(HandlerOptions{Rules: n.currentRules, Serve: n.Serve, Leaving: n.leaving.Load, Log: n.log})
+	handler := n.platform.NewHandler(HandlerOptions{Rules: n.currentRules, Serve: n.Serve, Leaving: n.stopping.Load, Log: n.log})
 	for _, l := range []struct {
-		to      **server
+		dest    **server
 		addr    string
 		handler http.Handler
 	}{
-		{&n.callers, n.set.Listen.Callers, front},
-		{&n.ready, n.set.Listen.Ready, http.HandlerFunc(n.serveReady)},
-		{&n.metrics, n.set.Listen.Metrics, n.insideHandler()},
-		{&n.feeds, n.set.Feeds.Listen, n.feedHandler()},
+		{&n.callers, n.cfg.Listen.Callers, handler},
+		{&n.ready, n.cfg.Listen.Ready, http.HandlerFunc(n.serveReady)},
+		{&n.admin, n.cfg.Listen.Metrics, n.adminHandler()},
+		{&n.feeds, n.cfg.Feeds.Listen, n.feedHandler()},
 	} {
 		if l.addr == "" {
 			continue
@@ -60,78 +61,81 @@
 		if err != nil {
 			return errors.Wrap(err, l.addr)
 		}
-		*l.to = s
+		*l.dest = s
 	}
 	return nil
 }
 
-// Run serves until ctx ends, then stops as planned; now cuts that short.
-func (n *Node) Run(ctx, now context.Context) error {
-	dutyCtx, stop := context.WithCancel(context.Background())
+// Run serves until ctx ends, then shuts down gracefully. The end of force cuts the
+// shutdown short.
+func (n *Node) Run(ctx, force context.Context) error {
+	tasksCtx, stopTasks := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n.Core.Run(dutyCtx)
+		n.Core.Run(tasksCtx)
 	}()
 	failed := make(chan error, 4)
-	for _, s := range []*server{n.callers, n.ready, n.metrics, n.feeds} {
+	for _, s := range []*server{n.callers, n.ready, n.admin, n.feeds} {
 		if s != nil {
 			go func() { failed <- s.serve() }()
 		}
 	}
-	n.log.Info("serving", "node", n.set.Node, "zone", n.set.Zone, "callers", n.callers.addr(), "inside", n.metrics.addr(), "first_start", n.set.Process.FirstStart)
+	n.log.Info("serving", "node", n.cfg.Node, "zone", n.cfg.Zone, "callers", n.callers.addr(), "inside", n.admin.addr(), "first_start", n.cfg.Process.FirstStart)
 	var err error
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
 	}
-	err = errors.Join(err, n.stop(now, stop))
+	err = errors.Join(err, n.stop(force, stopTasks))
 	<-done
-	n.log.Info("stopped", "node", n.set.Node)
+	n.log.Info("stopped", "node", n.cfg.Node)
 	return err
 }
 
-// stopMargin is what a planned stop leaves of its grace, to end by itself.
-const stopMargin = 700 * time.Millisecond
+// shutdownMargin is the part of the grace period that a graceful shutdown leaves unused,
+// so that the process exits before the platform kills it.
+const shutdownMargin = 700 * time.Millisecond
 
-// stop is the planned stop: unready first, accepting while the balancer notices,
-// then every request to its end.
-func (n *Node) stop(now context.Context, stopDuties func()) error {
+// stop shuts the node down gracefully: it reports not ready, still accepts requests until
+// the load balancer has noticed, and then finishes every request.
+func (n *Node) stop(force context.Context, stopTasks func()) error {
 	began := time.Now()
-	n.leaving.Store(true)
-	n.log.Info("stopping", "step", "unready", "notice", n.set.Drain.Notice)
-	stopDuties() // another node takes the placement lease over meanwhile
-	clock.Pause(now, n.set.Drain.Notice)
-	ctx, cancel := context.WithDeadline(now, began.Add(n.set.Process.Grace-stopMargin))
+	n.stopping.Store(true)
+	n.log.Info("stopping", "step", "unready", "notice", n.cfg.Drain.Notice)
+	stopTasks() // lets another node take over the placement lease meanwhile
+	clock.Pause(force, n.cfg.Drain.Notice)
+	ctx, cancel := context.WithDeadline(force, began.Add(n.cfg.Process.Grace-shutdownMargin))
 	defer cancel()
 	err := n.callers.http.Shutdown(ctx)
 	if err != nil {
 		n.log.Error("stopping", "step", "requests cut", "running", n.relay.Running(), "err", err.Error())
 		err = errors.Join(err, n.callers.http.Close())
 	}
-	for _, s := range []*server{n.metrics, n.feeds} {
+	for _, s := range []*server{n.admin, n.feeds} {
 		if s != nil {
 			err = errors.Join(err, s.http.Close())
 		}
 	}
-	n.region.Close()
+	n.peers.Close()
 	n.Core.Close()
 	return errors.Join(err, n.ready.http.Close())
 }
 
-// AdminAddr is the ip:port of metrics and operators; nil where the settings name none.
+// AdminAddr returns the ip:port that serves metrics and operators, or nil if the settings
+// name none.
 func (n *Node) AdminAddr() net.Addr {
-	if n.metrics == nil {
+	if n.admin == nil {
 		return nil
 	}
-	return n.metrics.socket.Addr()
+	return n.admin.socket.Addr()
 }
 
-// CallersAddr is the ip:port that callers are served on.
+// CallersAddr returns the ip:port that serves callers.
 func (n *Node) CallersAddr() net.Addr { return n.callers.socket.Addr() }
 
-// Reload says that nothing is taken over without a restart: the operator's
-// configuration comes from the store, and the settings are the platform's own.
+// Reload checks the settings file and logs that nothing changes without a restart: the
+// operator's configuration comes from the store, and the platform owns the settings.
 func (n *Node) Reload(path string) {
 	_, err := settings.Load(path)
 	if err != nil {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -21,19 +21,20 @@
 )
 
 func TestMain(m *testing.M) {
-	// The library that datagrams arrive by starts a pool of its own when it is loaded.
+	// The datagram library starts a goroutine pool when its package is initialized.
 	goleak.VerifyTestMain(m, goleak.IgnoreCurrent())
 }
 
-// plainPlatform is a platform whose configurations are their version as a number.
-func plainPlatform(t *testing.T) Platform {
+// testPlatform returns a platform with an in-memory store, whose configuration is just
+// its version number.
+func testPlatform(t *testing.T) Platform {
 	t.Helper()
 	mem := memstore.New(memstore.Options{})
 	t.Cleanup(mem.Close)
 	return Platform{
 		Store: mem, ServersPrefix: "servers/", ConfigKey: "config", ReadyPath: "/ready",
-		Backend: func(*conns.Pool) relay.Backend { return nil },
-		NewHandler:   func(HandlerOptions) http.Handler { return http.NotFoundHandler() },
+		Backend:       func(*conns.Pool) relay.Backend { return nil },
+		NewHandler:    func(HandlerOptions) http.Handler { return http.NotFoundHandler() },
 		DecodeServers: func(map[string]store.KV, int64) fleet.List { return fleet.List{} },
 		DecodeConfig: func(kv store.KV) (*rules.Set, error) {
 			version, err := strconv.ParseInt(string(kv.Value), 10, 64)
@@ -47,9 +48,9 @@
 
 func newTestNode(t *testing.T) *Node {
 	t.Helper()
-	set, err := settings.Parse([]byte("node: n\nzone: z\nregion: r\nlisten: {callers: \"127.0.0.1:0\", ready: \"127.0.0.1:0\"}\nplatform: {driver: managed, address: \"127.0.0.1:1\"}\n"))
+	cfg, err := settings.Parse([]byte("node: n\nzone: z\nregion: r\nlisten: {callers: \"127.0.0.1:0\", ready: \"127.0.0.1:0\"}\nplatform: {driver: managed, address: \"127.0.0.1:1\"}\n"))
 	require.NoError(t, err)
-	n, err := New(set, plainPlatform(t), slog.New(slog.DiscardHandler))
+	n, err := New(cfg, testPlatform(t), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		_ = n.callers.socket.Close()
@@ -62,50 +63,51 @@
 	return map[string]store.KV{"config": {Key: "config", Value: []byte(version)}}
 }
 
-// A reading that was overtaken brings an older configuration, or one that nobody
-// can read. A key that was taken away would open doors again.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// A read that was overtaken by a later one can return an older configuration, and a
+// configuration may be unreadable. Adopting the older one would accept revoked API keys.
+func TestOlderOrInvalidConfigurationIsIgnored(t *testing.T) {
 	n := newTestNode(t)
-	require.Equal(t, "no configuration known yet", n.notReady())
+	require.Equal(t, "no configuration known yet", n.notReadyReason())
 	for _, c := range []struct {
-		told string
-		want int64
+		stored string
+		want   int64
 	}{{"5", 5}, {"3", 5}, {"unreadable", 5}, {"5", 5}, {"9", 9}} {
-		n.configChanged(config(c.told), 1)
-		require.Equal(t, c.want, n.rules.Load().Revision, c.told)
+		n.configChanged(config(c.stored), 1)
+		require.Equal(t, c.want, n.rules.Load().Revision, c.stored)
 	}
 	n.configChanged(nil, 1)
-	require.EqualValues(t, 9, n.rules.Load().Revision, "a configuration that is gone changes nothing")
+	require.EqualValues(t, 9, n.rules.Load().Revision, "a deleted configuration changes nothing")
 }
 
-// A node that has started holds a configuration before it has read the list. It
-// would refuse every call: it says that it is not ready.
-func TestNotReadyWithoutTheList(t *testing.T) {
+// A starting node can have a configuration before it has read the server list, and would
+// refuse every call: until then it reports not ready.
+func TestNotReadyWithoutServerList(t *testing.T) {
 	n := newTestNode(t)
 	n.configChanged(config("1"), 1)
-	require.Equal(t, "no list of servers known yet", n.notReady())
-	n.leaving.Store(true)
-	require.Equal(t, "stopping", n.notReady())
+	require.Equal(t, "no list of servers known yet", n.notReadyReason())
+	n.stopping.Store(true)
+	require.Equal(t, "stopping", n.notReadyReason())
 }
 
-// Servers of a plain service that leave, and replicas that are not whole, take no
-// calls; a replica that served goes on while only a member's entry is missing.
-func TestRoutes(t *testing.T) {
+// Draining servers of a plain service and replicas that are not whole take no calls. A
+// replica that served before continues while only a member other than its head is
+// missing from the list.
+func TestRoutingEntries(t *testing.T) {
 	member := func(id string, rank int, state fleet.State) fleet.Server {
 		return fleet.Server{ID: cluster.VMID(id), Service: "models", Membership: &fleet.Membership{Replica: fleet.Name("m", 1), Epoch: 1, Rank: rank, State: state}}
 	}
 	set := rules.Assemble(rules.Set{Groups: []rules.Group{{Name: "m", Model: "m", VMs: 2, Servers: "models"}}})
-	ids := func(before map[cluster.ReplicaID]bool, servers ...fleet.Server) (out []cluster.ReplicaID) {
+	routable := func(before map[cluster.ReplicaID]bool, servers ...fleet.Server) (out []cluster.ReplicaID) {
 		list := fleet.List{Servers: servers}
-		for _, e := range routes(list, fleet.Replicas(list, set.Groups), set, before) {
+		for _, e := range routingEntries(list, fleet.Replicas(list, set.Groups), set, before) {
 			out = append(out, e.Replica.ID)
 		}
 		return out
 	}
-	served := map[cluster.ReplicaID]bool{"m/1.1": true}
-	require.Equal(t, []cluster.ReplicaID{"m/1.1"}, ids(nil, member("a", 0, fleet.Open), member("b", 1, fleet.Ready)))
-	require.Empty(t, ids(nil, member("a", 0, fleet.Open)), "never seen whole")
-	require.Equal(t, []cluster.ReplicaID{"m/1.1"}, ids(served, member("a", 0, fleet.Open)))
-	require.Empty(t, ids(served, member("b", 1, fleet.Ready)), "without its head")
-	require.Equal(t, []cluster.ReplicaID{"desk"}, ids(nil, fleet.Server{ID: "desk", Service: "desk"}, fleet.Server{ID: "gone", Service: "desk", Draining: true}))
+	previous := map[cluster.ReplicaID]bool{"m/1.1": true}
+	require.Equal(t, []cluster.ReplicaID{"m/1.1"}, routable(nil, member("a", 0, fleet.Open), member("b", 1, fleet.Ready)))
+	require.Empty(t, routable(nil, member("a", 0, fleet.Open)), "never whole before")
+	require.Equal(t, []cluster.ReplicaID{"m/1.1"}, routable(previous, member("a", 0, fleet.Open)))
+	require.Empty(t, routable(previous, member("b", 1, fleet.Ready)), "without its head")
+	require.Equal(t, []cluster.ReplicaID{"desk"}, routable(nil, fleet.Server{ID: "desk", Service: "desk"}, fleet.Server{ID: "gone", Service: "desk", Draining: true}))
 }
--- a/internal/entry/loadreport.go
+++ b/internal/entry/loadreport.go
@@ -9,53 +9,55 @@
 	"github.com/fennelcourse/fennelcourse/internal/membership"
 )
 
-// loadReportLife is how long another node's report counts: about as long as a request.
-// With many nodes reports come seldom, and requests that ended would make replicas look full.
-const loadReportLife = time.Second
-
-// loadBytes is what one replica's count takes in a datagram: its id and a small number.
-const loadBytes = 5
-
-// LoadReport is what this node reports to the others of its region, within budget bytes:
-// whether it was asked for anything, and what it runs on each replica. It is sent again each
-// round, as datagrams are lost.
+// loadReportTTL is how long another node's report counts: about as long as a request.
+// With many nodes, reports are rare, and requests that have ended since would make
+// replicas look full.
+const loadReportTTL = time.Second
+
+// loadEntrySize is the size in bytes of one replica's count in a datagram: a 4-byte id
+// and a small number.
+const loadEntrySize = 5
+
+// LoadReport returns this node's report to the other nodes of its region, in at most
+// budget bytes: whether it has seen a request, and how many requests it runs on each
+// replica. It is sent again each round, as datagrams can be lost.
 func (n *Core) LoadReport(budget int) membership.Section {
-	out := membership.Section{Asked: n.asked.Load()}
-	room := (budget - membership.SectionSize(out) - 2*loadBytes) / loadBytes
+	out := membership.Section{Asked: n.requestSeen.Load()}
+	remaining := (budget - membership.SectionSize(out) - 2*loadEntrySize) / loadEntrySize
 	for id, count := range n.table.Outstanding() {
-		if room--; room < 0 {
-			break // another round tells others: the order differs each time
+		if remaining--; remaining < 0 {
+			break // map order varies, so that other replicas are reported in other rounds
 		}
-		out.LoadIDs = append(out.LoadIDs, loadID(id))
+		out.LoadIDs = append(out.LoadIDs, replicaHash(id))
 		out.LoadCounts = append(out.LoadCounts, uint32(count))
 	}
 	return out
 }
 
-// loadID names a replica in four bytes. Two with one id would be told apart wrongly: at
-// a hundred replicas that is one chance in a million.
-func loadID(id cluster.ReplicaID) uint32 { return uint32(xxhash.Sum64String(string(id))) }
+// replicaHash identifies a replica in four bytes. On a collision, two replicas share one
+// count; for a hundred replicas the probability is about one in a million.
+func replicaHash(id cluster.ReplicaID) uint32 { return uint32(xxhash.Sum64String(string(id))) }
 
-// ReceiveLoadReport takes what another node reported.
+// ReceiveLoadReport applies another node's load report.
 func (n *Core) ReceiveLoadReport(node cluster.NodeID, report membership.Section) {
 	now := time.Now()
 	if report.Asked {
-		n.asked.Store(true)
+		n.requestSeen.Store(true)
 	}
-	n.takeLoads(node, report, now)
+	n.applyLoads(node, report, now)
 }
 
-// takeLoads takes another node's counts. A replica that it does not name has none of its
-// requests.
-func (n *Core) takeLoads(node cluster.NodeID, report membership.Section, now time.Time) {
+// applyLoads records another node's counts of requests. A replica that the report does
+// not name has none of that node's requests.
+func (n *Core) applyLoads(node cluster.NodeID, report membership.Section, now time.Time) {
 	counts := make(map[uint32]int, len(report.LoadIDs))
 	for i := range min(len(report.LoadIDs), len(report.LoadCounts)) {
 		counts[report.LoadIDs[i]] = int(report.LoadCounts[i])
 	}
-	n.deriving.Lock()
+	n.servingMu.Lock()
 	serving := n.serving
-	n.deriving.Unlock()
+	n.servingMu.Unlock()
 	for id := range serving {
-		n.table.ObservePeerOutstanding(node, id, counts[loadID(id)], now)
+		n.table.ObservePeerOutstanding(node, id, counts[replicaHash(id)], now)
 	}
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -15,17 +15,17 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// operators answers fennelctl from what the node knows. The rules can be read and
-// not changed here: the platform's operator writes them into the store.
-type operators struct{ n *Node }
+// operatorAPI serves fennelctl from the node's state. Rules are read-only here: the
+// platform's operator writes them into the store.
+type operatorAPI struct{ n *Node }
 
-// parts are those of the operators' service that this form of a node serves.
-func (o operators) parts() operator.Parts {
+// parts returns the parts of the operator service that this kind of node implements.
+func (o operatorAPI) parts() operator.Parts {
 	return operator.Parts{Rules: o, Nodes: o, Status: o, Explain: o, Outages: o}
 }
 
-// Get implements operator.RulesAdmin; only the version in force is known.
-func (o operators) Get(_ context.Context, revision int64) (rulestore.File, error) {
+// Get implements operator.RulesAdmin; the node knows only the version in force.
+func (o operatorAPI) Get(_ context.Context, revision int64) (rulestore.File, error) {
 	set, fresh := o.n.currentRules()
 	if set == nil {
 		return rulestore.File{}, fennelerr.New(fennelerr.NotReady, "no configuration is known on this node yet")
@@ -33,37 +33,37 @@
 	if revision != 0 && revision != set.Revision {
 		return rulestore.File{}, fennelerr.New(fennelerr.NotFound, "this node knows version %d only", set.Revision)
 	}
-	return rulestore.File{Revision: set.Revision, Text: set.Lines(askedBy(set)), FromMemory: !fresh}, nil
+	return rulestore.File{Revision: set.Revision, Text: set.Lines(rulesAuthor(set)), FromMemory: !fresh}, nil
 }
 
-func askedBy(set *rules.Set) string {
+func rulesAuthor(set *rules.Set) string {
 	return fmt.Sprintf("the platform's operator, version %d", set.Revision)
 }
 
-// Apply implements operator.RulesAdmin; it refuses.
-func (operators) Apply(context.Context, rulestore.ApplyRequest) (rulestore.ApplyResult, error) {
+// Apply implements operator.RulesAdmin; it always refuses.
+func (operatorAPI) Apply(context.Context, rulestore.ApplyRequest) (rulestore.ApplyResult, error) {
 	return rulestore.ApplyResult{}, fennelerr.New(fennelerr.PermissionDenied, "on this platform the operator's configuration is changed in the platform's store")
 }
 
-// History implements operator.RulesAdmin; this node keeps none.
-func (operators) History(context.Context, int) ([]rulestore.Version, error) { return nil, nil }
+// History implements operator.RulesAdmin; this kind of node keeps no history.
+func (operatorAPI) History(context.Context, int) ([]rulestore.Version, error) { return nil, nil }
 
-// NodeRevisions implements operator.NodeSource. Nodes do not hear each other on
-// this platform: each answers for itself.
-func (o operators) NodeRevisions() []operator.NodeRevision {
+// NodeRevisions implements operator.NodeSource. On this platform nodes do not exchange
+// their rules revisions, so each node reports only itself.
+func (o operatorAPI) NodeRevisions() []operator.NodeRevision {
 	revision := int64(0)
 	if set := o.n.rules.Load(); set != nil {
 		revision = set.Revision
 	}
-	return []operator.NodeRevision{{Node: o.n.set.Node, Zone: o.n.set.Zone, Revision: revision, Heard: true}}
+	return []operator.NodeRevision{{Node: o.n.cfg.Node, Zone: o.n.cfg.Zone, Revision: revision, Heard: true}}
 }
 
 // Status implements operator.StatusSource.
-func (o operators) Status(context.Context) (*wirepb.StatusResponse, error) {
+func (o operatorAPI) Status(context.Context) (*wirepb.StatusResponse, error) {
 	n, now := o.n, time.Now()
-	reason := n.notReady()
+	reason := n.notReadyReason()
 	_, fresh := n.currentRules()
-	resp := &wirepb.StatusResponse{Node: string(n.set.Node), Zone: string(n.set.Zone), Ready: reason == "", NotReadyReason: reason, StoreReachable: fresh}
+	resp := &wirepb.StatusResponse{Node: string(n.cfg.Node), Zone: string(n.cfg.Zone), Ready: reason == "", NotReadyReason: reason, StoreReachable: fresh}
 	for _, r := range o.NodeRevisions() {
 		resp.RulesRevision = r.Revision
 		resp.Nodes = append(resp.Nodes, &wirepb.NodeRules{Node: string(r.Node), Zone: string(r.Zone), Revision: r.Revision, Heard: r.Heard})
@@ -76,9 +76,9 @@
 	return resp, nil
 }
 
-// Explain implements operator.Explainer. The path is given with its host, as in
+// Explain implements operator.Explainer. The path begins with its host, as in
 // "a.example/advice/1".
-func (o operators) Explain(_ context.Context, req rules.Request) (*wirepb.ExplainResponse, error) {
+func (o operatorAPI) Explain(_ context.Context, req rules.Request) (*wirepb.ExplainResponse, error) {
 	set := o.n.rules.Load()
 	if set == nil {
 		return nil, fennelerr.New(fennelerr.NotReady, "no configuration is known on this node yet")
--- a/internal/entry/outages.go
+++ b/internal/entry/outages.go
@@ -16,7 +16,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// Causes of outages as a node sees them in the list.
+// Causes of outages that a node derives from the server list.
 const (
 	causeMemberLost ledger.Cause = "member-lost"
 	causeEnded      ledger.Cause = "ended"
@@ -25,60 +25,60 @@
 )
 
 const (
-	// cutEvery is how often the record is cut into windows, keptWindows how many are
-	// kept: those of a day.
-	cutEvery    = time.Minute
-	keptWindows = 24 * 60
-	// strandedEvery is how often idle accelerators are counted.
-	strandedEvery = time.Second
+	// windowLength is the length of the ledger windows that are kept in memory, and
+	// maxWindows their number: those of one day.
+	windowLength = time.Minute
+	maxWindows   = 24 * 60
+	// strandedInterval is how often stranded accelerators are counted.
+	strandedInterval = time.Second
 )
 
-// outages records group downtime and stranded accelerators as this node sees them.
-// A node that watches the store itself also brings its record there, where it
-// outlives all nodes; time that nobody recorded reads as unobserved.
+// outageRecorder records group downtime and stranded accelerators as this node sees them.
+// A node that watches the store itself also writes its record there, where it outlives
+// all nodes; time that no node recorded is reported as unobserved.
 //
-// A replica that ceases to serve is down until another of its group takes its
-// place; on this platform a new one always has another name.
-type outages struct {
+// A replica that stops serving is down until another one of its group replaces it; on
+// this platform a new replica always has a new name.
+type outageRecorder struct {
 	zone cluster.ZoneID
-	// keeper brings the record to the store; nil for a node that follows a feed.
+	// keeper writes the record to the store; nil on a node that follows a feed.
 	keeper *ledger.Keeper
 
 	mu       sync.Mutex
 	recorder *ledger.Recorder
 	windows  []ledger.Window
-	cutAt    time.Time
-	// missing are the replicas that were lost and have not been replaced, oldest first.
-	missing map[cluster.GroupName][]cluster.ReplicaID
+	lastCut  time.Time
+	// unreplaced holds the replicas that went down and have not been replaced, oldest first.
+	unreplaced map[cluster.GroupName][]cluster.ReplicaID
 }
 
-func newOutages(node cluster.NodeID, zone cluster.ZoneID, now time.Time) *outages {
+func newOutageRecorder(node cluster.NodeID, zone cluster.ZoneID, now time.Time) *outageRecorder {
 	options := ledger.RecorderOptions{Observer: node, Incarnation: uint64(now.UnixNano()), Zone: zone}
-	return &outages{zone: zone, recorder: ledger.NewRecorder(options, now), cutAt: now, missing: make(map[cluster.GroupName][]cluster.ReplicaID)}
+	return &outageRecorder{zone: zone, recorder: ledger.NewRecorder(options, now), lastCut: now, unreplaced: make(map[cluster.GroupName][]cluster.ReplicaID)}
 }
 
-// keep has the record brought to the store from now on.
-func (o *outages) keep(s store.Store, node cluster.NodeID, log *slog.Logger) {
+// persist has the record written to the store from now on.
+func (o *outageRecorder) persist(s store.Store, node cluster.NodeID, log *slog.Logger) {
 	o.keeper = ledger.NewKeeper(s, ledger.RecorderOptions{Observer: node, Incarnation: uint64(time.Now().UnixNano()), Zone: o.zone}, log)
 }
 
-// run brings the record to the store until ctx ends.
-func (o *outages) run(ctx context.Context) {
+// run writes the record to the store until ctx ends.
+func (o *outageRecorder) run(ctx context.Context) {
 	if o.keeper != nil {
 		o.keeper.Run(ctx)
 	}
 }
 
 // apply records an event; the caller holds o.mu.
-func (o *outages) apply(ev ledger.Event) {
+func (o *outageRecorder) apply(ev ledger.Event) {
 	o.recorder.Apply(ev)
 	if o.keeper != nil {
 		o.keeper.Feed(ev)
 	}
 }
 
-// lost notes a replica that ceased to serve.
-func (o *outages) lost(id cluster.ReplicaID, memberLost bool, now time.Time) {
+// replicaDown records that a replica stopped serving.
+func (o *outageRecorder) replicaDown(id cluster.ReplicaID, memberLost bool, now time.Time) {
 	cause := causeEnded
 	if memberLost {
 		cause = causeMemberLost
@@ -86,62 +86,62 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	group := groupOf(id)
-	o.missing[group] = append(o.missing[group], id)
+	o.unreplaced[group] = append(o.unreplaced[group], id)
 	o.apply(ledger.Event{Kind: ledger.ReplicaDown, At: now, Group: group, Replica: id, Cause: cause, Evidence: "list of servers"})
 }
 
-// began notes a replica that serves now: itself again, or in the place of the one
-// that has been missing longest.
-func (o *outages) began(id cluster.ReplicaID, now time.Time) {
+// replicaUp records that a replica serves. It ends the downtime of that replica, if it was
+// down, and otherwise of the one of its group that has been down longest.
+func (o *outageRecorder) replicaUp(id cluster.ReplicaID, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	group := groupOf(id)
-	missing := o.missing[group]
-	if len(missing) == 0 {
+	unreplaced := o.unreplaced[group]
+	if len(unreplaced) == 0 {
 		return
 	}
-	at := max(slices.Index(missing, id), 0)
-	o.apply(ledger.Event{Kind: ledger.ReplicaGone, At: now, Group: group, Replica: missing[at]})
-	o.missing[group] = slices.Delete(missing, at, at+1)
+	i := max(slices.Index(unreplaced, id), 0)
+	o.apply(ledger.Event{Kind: ledger.ReplicaGone, At: now, Group: group, Replica: unreplaced[i]})
+	o.unreplaced[group] = slices.Delete(unreplaced, i, i+1)
 }
 
-// groupOf is the group of a replica's id, which begins with its name.
+// groupOf returns the group of a replica, whose name its id begins with.
 func groupOf(id cluster.ReplicaID) cluster.GroupName {
 	return cluster.GroupName(fleet.ModelOf(string(id)))
 }
 
-// count notes how many accelerators are idle, by group and cause.
-func (o *outages) count(idle map[strandedKey]int, now time.Time) {
+// recordStranded records how many accelerators are stranded, by group and cause.
+func (o *outageRecorder) recordStranded(counts map[strandedKey]int, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for key, n := range idle {
+	for key, n := range counts {
 		o.apply(ledger.Event{Kind: ledger.StrandedNow, At: now, Group: key.group, Cause: key.cause, Count: n})
 	}
 	o.recorder.Tick(now)
-	if now.Sub(o.cutAt) < cutEvery {
+	if now.Sub(o.lastCut) < windowLength {
 		return
 	}
-	o.cutAt = now
-	o.cut()
+	o.lastCut = now
+	o.cutWindow()
 }
 
-// cut ends a window; the caller holds o.mu.
-func (o *outages) cut() {
-	w, any := o.recorder.Cut()
-	if !any {
+// cutWindow ends the current window; the caller holds o.mu.
+func (o *outageRecorder) cutWindow() {
+	w, ok := o.recorder.Cut()
+	if !ok {
 		return
 	}
 	o.windows = append(o.windows, w)
-	if over := len(o.windows) - keptWindows; over > 0 {
-		o.windows = slices.Delete(o.windows, 0, over)
+	if excess := len(o.windows) - maxWindows; excess > 0 {
+		o.windows = slices.Delete(o.windows, 0, excess)
 	}
 }
 
-// report accounts for a period by this node's memory and what stands in the store.
-func (o *outages) report(from, to time.Time, stored []ledger.Window, corrections []ledger.Correction) ledger.Report {
+// report summarizes a period from this node's memory and the stored windows.
+func (o *outageRecorder) report(from, to time.Time, stored []ledger.Window, corrections []ledger.Correction) ledger.Report {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.cut()
+	o.cutWindow()
 	return ledger.Account(o.zone, from, to, slices.Concat(o.windows, stored), corrections)
 }
 
@@ -150,51 +150,51 @@
 	cause ledger.Cause
 }
 
-// idle counts the model engines that serve in no replica: those with weights by
-// the group these belong to, the others together.
-func (n *Core) idle() map[strandedKey]int {
-	list, set := n.list.Load(), n.rules.Load()
+// countStranded counts the model engines that serve in no replica: those with loaded
+// weights by the group of the weights, the others together.
+func (n *Core) countStranded() map[strandedKey]int {
+	list, set := n.serverList.Load(), n.rules.Load()
 	if list == nil || set == nil {
 		return nil
 	}
-	out := map[strandedKey]int{{"", causeNoWeights}: 0}
+	counts := map[strandedKey]int{{"", causeNoWeights}: 0}
 	engines := make(map[cluster.Service]bool)
 	for _, g := range set.Groups {
 		engines[g.Servers] = true
-		out[strandedKey{g.Name, causeUnassigned}] = 0
+		counts[strandedKey{g.Name, causeUnassigned}] = 0
 	}
-	n.deriving.Lock()
+	n.servingMu.Lock()
 	serving := n.serving
-	n.deriving.Unlock()
+	n.servingMu.Unlock()
 	for _, s := range list.Servers {
 		m := s.Membership
 		switch {
 		case !engines[s.Service] || s.Draining:
 		case m != nil && serving[fleet.ReplicaID(m.Replica, m.Epoch)]:
 		case len(s.Staged) > 0:
-			out[strandedKey{cluster.GroupName(s.Staged[0]), causeUnassigned}]++
+			counts[strandedKey{cluster.GroupName(s.Staged[0]), causeUnassigned}]++
 		default:
-			out[strandedKey{"", causeNoWeights}]++
+			counts[strandedKey{"", causeNoWeights}]++
 		}
 	}
-	return out
+	return counts
 }
 
-// watchIdle counts idle accelerators until ctx ends.
-func (n *Core) watchIdle(ctx context.Context) {
-	clock.Every(ctx, strandedEvery, func(now time.Time) { n.outages.count(n.idle(), now) })
+// strandedLoop records the stranded accelerators until ctx ends.
+func (n *Core) strandedLoop(ctx context.Context) {
+	clock.Every(ctx, strandedInterval, func(now time.Time) { n.outages.recordStranded(n.countStranded(), now) })
 }
 
-// Outages implements operator.OutageSource. Without the store it tells what this
-// node remembers.
-func (o operators) Outages(ctx context.Context, from, to time.Time, zone cluster.ZoneID) (*wirepb.OutagesResponse, error) {
+// Outages implements operator.OutageSource. While the store is unreachable, it reports
+// from this node's memory.
+func (o operatorAPI) Outages(ctx context.Context, from, to time.Time, zone cluster.ZoneID) (*wirepb.OutagesResponse, error) {
 	out := &wirepb.OutagesResponse{}
 	if zone != "" && zone != o.n.outages.zone {
 		return out, nil
 	}
 	stored, corrections, err := ledger.Load(ctx, o.n.platform.Store, o.n.outages.zone, from, to)
 	if err != nil {
-		o.n.log.Warn("outages from memory alone", "err", err)
+		o.n.log.Warn("outages reported from memory only", "err", err)
 	}
 	report := o.n.outages.report(from, to, stored, corrections)
 	operator.AddReport(out, o.n.outages.zone, &report)
--- a/internal/entry/region.go
+++ b/internal/entry/region.go
@@ -20,111 +20,111 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// region is the other nodes that send to the same replicas: this node tells them its
-// load report by datagrams and hears theirs. A node that hears nobody decides alone, by what it
-// sees itself.
+// regionPeers exchanges load reports by datagram with the other nodes of the region, which
+// send to the same replicas. A node that receives none decides by its own load alone.
 //
-// The datagrams are signed with a key that the nodes keep in the platform's store, which
-// only they and the platform reach: whoever can't read it can't make a node believe that
-// a replica is full.
-type region struct {
+// The datagrams are signed with a key in the platform's store, which only the nodes and
+// the platform can reach: without the key, nobody can make a node believe that a replica
+// is full.
+type regionPeers struct {
 	core *Core
-	set  *settings.Settings
+	cfg  *settings.Settings
 	log  *slog.Logger
-	// live ends with Close.
-	live  context.Context
-	leave context.CancelFunc
+	// ctx ends with Close.
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// end stops the members that are running, done is closed when they have stopped.
-	end  context.CancelFunc
-	done chan struct{}
-	key  string
-	// members is nil while there are none.
+	// stopMembers stops the running membership service; membersDone is closed when it has
+	// stopped.
+	stopMembers context.CancelFunc
+	membersDone chan struct{}
+	currentKey  string
+	// members is nil while no membership service runs.
 	members    *membership.Service
 	broadcasts *rate.Limiter
 }
 
-// keySize is the length of the datagrams' key in bytes.
-const keySize = 32
+// datagramKeySize is the length of the datagram key in bytes.
+const datagramKeySize = 32
 
-// Shares of what a node sends a second, in bytes: with what it receives it stays below
-// 6 KB/s. Nodes of one region are few, and what they run changes fast.
+// Budgets for what a node sends per second, in bytes: together with what it receives, its
+// traffic stays below 6 KB/s. A region has few nodes, and their load changes fast.
 const (
 	heartbeatBudget = 900
 	gossipBudget    = 1900
 )
 
-// broadcastsPerSecond and broadcastsBurst bound what is told to all nodes at once: each
-// costs a datagram for every one of them.
+// broadcastsPerSecond and broadcastBurst limit broadcasts, each of which costs one
+// datagram per node.
 const (
 	broadcastsPerSecond = 4
-	broadcastsBurst     = 8
+	broadcastBurst      = 8
 )
 
-// keyTimeout bounds the writing of a new key.
-const keyTimeout = 2 * time.Second
+// datagramKeyTimeout bounds the write of a new key.
+const datagramKeyTimeout = 2 * time.Second
 
-func newRegion(core *Core, set *settings.Settings, log *slog.Logger) *region {
-	r := &region{core: core, set: set, log: log, broadcasts: rate.NewLimiter(broadcastsPerSecond, broadcastsBurst)}
-	r.live, r.leave = context.WithCancel(context.Background())
+func newRegionPeers(core *Core, cfg *settings.Settings, log *slog.Logger) *regionPeers {
+	r := &regionPeers{core: core, cfg: cfg, log: log, broadcasts: rate.NewLimiter(broadcastsPerSecond, broadcastBurst)}
+	r.ctx, r.cancel = context.WithCancel(context.Background())
 	return r
 }
 
-// ensureKey writes a key if the store has none. Of several nodes that do so at once one
-// wins, and all take its key from the store.
-func (r *region) ensureKey(ctx context.Context) {
-	secret := make([]byte, keySize)
+// ensureKey writes a key if the store has none. If several nodes do so at once, one of
+// them succeeds, and all read its key from the store.
+func (r *regionPeers) ensureKey(ctx context.Context) {
+	secret := make([]byte, datagramKeySize)
 	_, _ = rand.Read(secret) // never fails
-	key := store.DatagramKey(cluster.ZoneID(r.set.Region))
-	ctx, cancel := context.WithTimeout(ctx, keyTimeout)
+	key := store.DatagramKey(cluster.ZoneID(r.cfg.Region))
+	ctx, cancel := context.WithTimeout(ctx, datagramKeyTimeout)
 	defer cancel()
 	_, err := r.core.platform.Store.Txn(ctx, store.Txn{Guards: []store.Guard{store.Absent(key)}, Then: []store.Op{store.Put(key, secret, 0)}})
 	if err != nil {
-		r.log.Warn("no key for datagrams written", "key", key, "err", err.Error())
+		r.log.Warn("datagram key not written", "key", key, "err", err.Error())
 	}
 }
 
-// keyChanged takes the key as it stands in the store. A node that watches the store for
-// others writes the first one.
-func (r *region) keyChanged(entries map[string]store.KV) {
+// keyChanged adopts the key that is in the store. If there is none, a node that watches
+// the store itself writes one.
+func (r *regionPeers) keyChanged(entries map[string]store.KV) {
 	for _, kv := range entries {
-		r.useKey(r.live, kv.Value)
+		r.useKey(r.ctx, kv.Value)
 		return
 	}
 	if r.core.feed == nil {
-		go r.ensureKey(r.live)
+		go r.ensureKey(r.ctx)
 	}
 }
 
-// useKey begins to talk to the other nodes with the key, or with another one from now on.
-func (r *region) useKey(ctx context.Context, secret []byte) {
+// useKey starts the exchange with the other nodes, or restarts it when the key changes.
+func (r *regionPeers) useKey(ctx context.Context, secret []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if string(secret) == r.key || len(secret) < wire.MinSecret || ctx.Err() != nil {
+	if string(secret) == r.currentKey || len(secret) < wire.MinSecret || ctx.Err() != nil {
 		return
 	}
 	r.stop()
 	if err := r.start(ctx, secret); err != nil {
-		r.log.Error("no datagrams", "addr", r.set.Listen.Datagrams, "err", err.Error())
+		r.log.Error("datagram listener not started", "addr", r.cfg.Listen.Datagrams, "err", err.Error())
 		return
 	}
-	r.key = string(secret)
+	r.currentKey = string(secret)
 }
 
-// start opens the socket and runs the membership; the caller holds r.mu.
-func (r *region) start(ctx context.Context, secret []byte) error {
+// start opens the socket and runs the membership service; the caller holds r.mu.
+func (r *regionPeers) start(ctx context.Context, secret []byte) error {
 	ring, err := wire.NewKeyring(wire.Key{ID: uint32(xxhash.Sum64(secret)), Secret: secret})
 	if err != nil {
 		return err
 	}
-	transport, err := wire.Listen(wire.Options{Addr: r.set.Listen.Datagrams, Keys: ring, System: r.set.Region, Log: r.log})
+	transport, err := wire.Listen(wire.Options{Addr: r.cfg.Listen.Datagrams, Keys: ring, System: r.cfg.Region, Log: r.log})
 	if err != nil {
 		return err
 	}
 	members := membership.New(membership.Options{
-		Node: r.set.Node, Zone: cluster.ZoneID(r.set.Region), Seeds: r.seeds(), PeerAddr: r.set.Feeds.Listen, Transport: transport, Log: r.log,
-		SendBudget: heartbeatBudget, Gossip: membership.Gossip{Source: r.core.LoadReport, Budget: gossipBudget, Life: loadReportLife},
+		Node: r.cfg.Node, Zone: cluster.ZoneID(r.cfg.Region), Seeds: r.seeds(), PeerAddr: r.cfg.Feeds.Listen, Transport: transport, Log: r.log,
+		SendBudget: heartbeatBudget, Gossip: membership.Gossip{Source: r.core.LoadReport, Budget: gossipBudget, Life: loadReportTTL},
 	})
 	members.AddSource(r.core.LoadReport)
 	members.OnDatagram(func(from membership.Member, d *wirepb.Datagram) {
@@ -132,30 +132,30 @@
 		r.core.ReceiveStallReport(from.Node, membership.Section{StalledIDs: d.StalledIds, WorkingIDs: d.WorkingIds})
 	})
 	r.members = members
-	ctx, r.end = context.WithCancel(ctx)
+	ctx, r.stopMembers = context.WithCancel(ctx)
 	done := make(chan struct{})
-	r.done = done
+	r.membersDone = done
 	go func() {
 		defer close(done)
 		members.Run(ctx)
 		if err := transport.Close(); err != nil {
-			r.log.Warn("datagrams not closed", "err", err.Error())
+			r.log.Warn("datagram listener not closed", "err", err.Error())
 		}
 	}()
 	return nil
 }
 
-// seeds are the datagram addresses of the nodes that feed others: these are the ones
-// that the platform names, and every node has the same port for datagrams.
-func (r *region) seeds() (out []string) {
-	_, port, err := net.SplitHostPort(r.set.Listen.Datagrams)
+// seeds returns the datagram addresses of the nodes that feed others. The settings name
+// the feed addresses of these nodes, and all nodes use the same datagram port.
+func (r *regionPeers) seeds() (out []string) {
+	_, port, err := net.SplitHostPort(r.cfg.Listen.Datagrams)
 	if err != nil {
 		return nil
 	}
-	for _, seed := range r.set.Feeds.Seeds {
+	for _, seed := range r.cfg.Feeds.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
-			r.log.Warn("seed without a port", "seed", seed, "err", errors.Wrap(err, "datagrams").Error())
+			r.log.Warn("feed address without a port", "seed", seed, "err", errors.Wrap(err, "datagrams").Error())
 			continue
 		}
 		out = append(out, net.JoinHostPort(host, port))
@@ -163,31 +163,32 @@
 	return out
 }
 
-// stop ends what start began; the caller holds r.mu.
-func (r *region) stop() {
-	if r.end == nil {
+// stop stops the membership service and waits for it; the caller holds r.mu.
+func (r *regionPeers) stop() {
+	if r.stopMembers == nil {
 		return
 	}
-	r.end()
-	<-r.done
-	r.end, r.members = nil, nil
+	r.stopMembers()
+	<-r.membersDone
+	r.stopMembers, r.members = nil, nil
 }
 
-// announce tells all other nodes at once.
-func (r *region) announce(section membership.Section) {
+// broadcast sends the section to all other nodes at once, unless the rate limit is
+// reached or no membership service runs.
+func (r *regionPeers) broadcast(section membership.Section) {
 	r.mu.Lock()
 	members := r.members
 	r.mu.Unlock()
 	if members == nil || !r.broadcasts.Allow() {
-		r.log.Debug("not announced", "stalled", len(section.StalledIDs), "working", len(section.WorkingIDs))
+		r.log.Debug("broadcast dropped", "stalled", len(section.StalledIDs), "working", len(section.WorkingIDs))
 		return
 	}
 	members.Broadcast(section)
 }
 
-// Close ends the talk.
-func (r *region) Close() {
-	r.leave()
+// Close ends the exchange for good.
+func (r *regionPeers) Close() {
+	r.cancel()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stop()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -20,19 +20,18 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb/wirepbconnect"
 )
 
-// server is one HTTP server with its socket. How long a connection may idle can
-// change while it serves, which http.Server does not offer: so it closes idle
-// connections itself.
+// server is an HTTP server with its socket. It closes idle connections itself, because
+// the idle timeout can change while it serves, which http.Server does not support.
 type server struct {
 	socket net.Listener
 	http   *http.Server
-	idle   atomic.Int64 // time.Duration; 0 for no bound
+	idle   atomic.Int64 // idle timeout as a time.Duration; 0 for none
 
 	mu     sync.Mutex
 	timers map[net.Conn]*time.Timer
 }
 
-// Bounds until the configuration names others.
+// Default limits on the header of a request.
 const (
 	defaultHeaderTimeout = 3 * time.Second
 	defaultMaxHeader     = 16 << 10
@@ -49,7 +48,7 @@
 	return s, nil
 }
 
-// addr is where the server listens; empty for one that the settings do not name.
+// addr returns the server's address, or "" for a listener that the settings do not name.
 func (s *server) addr() string {
 	if s == nil {
 		return ""
@@ -65,7 +64,7 @@
 	return err
 }
 
-// connState closes connections that have idled for longer than the bound.
+// connState closes connections that are idle for longer than the idle timeout.
 func (s *server) connState(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,20 +72,20 @@
 		timer.Stop()
 		delete(s.timers, conn)
 	}
-	if bound := time.Duration(s.idle.Load()); state == http.StateIdle && bound > 0 {
-		s.timers[conn] = time.AfterFunc(bound, func() { _ = conn.Close() }) // idle: nothing is lost
+	if timeout := time.Duration(s.idle.Load()); state == http.StateIdle && timeout > 0 {
+		s.timers[conn] = time.AfterFunc(timeout, func() { _ = conn.Close() }) // the connection is idle: no request is cut
 	}
 }
 
-// applyLimits takes over how long callers' connections may idle.
-func (n *Node) applyLimits(set *rules.Set) {
+// applyIdleTimeout adopts the idle timeout of callers' connections from the rules.
+func (n *Node) applyIdleTimeout(set *rules.Set) {
 	n.callers.idle.Store(int64(set.Bounds.IdleTimeout))
 }
 
-// notReady says why this node should get no callers; empty when it should.
-func (n *Node) notReady() string {
+// notReadyReason returns why this node should get no calls, or "" if it is ready.
+func (n *Node) notReadyReason() string {
 	switch {
-	case n.leaving.Load():
+	case n.stopping.Load():
 		return "stopping"
 	case n.rules.Load() == nil:
 		return "no configuration known yet"
@@ -101,9 +100,9 @@
 		http.NotFound(w, r)
 		return
 	}
-	if reason := n.notReady(); reason != "" {
+	if reason := n.notReadyReason(); reason != "" {
 		w.WriteHeader(http.StatusServiceUnavailable)
-		_, _ = io.WriteString(w, reason) // the asker may be gone
+		_, _ = io.WriteString(w, reason) // the client may be gone
 		return
 	}
 	w.WriteHeader(http.StatusOK)
@@ -116,10 +115,10 @@
 	return mux
 }
 
-// insideHandler serves the metrics' scraper and operators, inside the network.
-func (n *Node) insideHandler() http.Handler {
+// adminHandler serves metrics and the operator service inside the network.
+func (n *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(wirepbconnect.NewOperatorServiceHandler(operator.New(operators{n}.parts())))
+	mux.Handle(wirepbconnect.NewOperatorServiceHandler(operator.New(operatorAPI{n}.parts())))
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
 	return mux
 }
--- a/internal/entry/stalls.go
+++ b/internal/entry/stalls.go
@@ -8,44 +8,44 @@
 	"github.com/fennelcourse/fennelcourse/internal/membership"
 )
 
-// stalled has the holder of the placement lease look after replicas that stand still, and
-// tells the other nodes. Of many nodes each has few requests on a replica: were each to
-// find out by itself, callers of each would wait for it.
-func (n *Core) stalled(ids []cluster.ReplicaID, othersWork bool) {
+// onStall has the holder of the placement lease probe replicas that seem stalled, and tells
+// the other nodes if other replicas make progress. With many nodes, each has few requests
+// on a replica: if each had to detect the stall itself, callers of each would wait for it.
+func (n *Core) onStall(ids []cluster.ReplicaID, othersWorking bool) {
 	var report membership.Section
 	for _, id := range ids {
 		n.control.Suspect(id)
-		report.StalledIDs = append(report.StalledIDs, loadID(id))
+		report.StalledIDs = append(report.StalledIDs, replicaHash(id))
 	}
-	if othersWork && n.announce != nil {
-		n.announce(report)
+	if othersWorking && n.broadcast != nil {
+		n.broadcast(report)
 	}
 }
 
-// replicaWorks tells all nodes, this one too, that the members of a replica answer.
-func (n *Core) replicaWorks(id cluster.ReplicaID) {
+// onReplicaWorking tells all nodes, this one included, that a replica's members answer.
+func (n *Core) onReplicaWorking(id cluster.ReplicaID) {
 	n.relay.ReplicaWorks(id, time.Now())
-	if n.announce != nil {
-		n.announce(membership.Section{WorkingIDs: []uint32{loadID(id)}})
+	if n.broadcast != nil {
+		n.broadcast(membership.Section{WorkingIDs: []uint32{replicaHash(id)}})
 	}
 }
 
-// ReceiveStallReport takes what another node found of replicas that seem to stand still. The
-// holder asks the members itself.
+// ReceiveStallReport applies another node's report of replicas that seem stalled or were
+// found working. The holder of the placement lease probes stalled ones itself.
 func (n *Core) ReceiveStallReport(node cluster.NodeID, report membership.Section) {
 	if len(report.StalledIDs)+len(report.WorkingIDs) == 0 {
 		return
 	}
 	now := time.Now()
-	n.deriving.Lock()
+	n.servingMu.Lock()
 	serving := n.serving
-	n.deriving.Unlock()
+	n.servingMu.Unlock()
 	for id := range serving {
-		if slices.Contains(report.StalledIDs, loadID(id)) {
+		if slices.Contains(report.StalledIDs, replicaHash(id)) {
 			n.control.Suspect(id)
 			n.relay.ReportStall(id, node, now)
 		}
-		if slices.Contains(report.WorkingIDs, loadID(id)) {
+		if slices.Contains(report.WorkingIDs, replicaHash(id)) {
 			n.relay.ReplicaWorks(id, now)
 		}
 	}
