--- a/internal/daemon/feeds.go
+++ b/internal/daemon/callbacks.go
@@ -17,12 +17,12 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// reviewEvery is how often capacities and the list of nodes are passed on.
-const reviewEvery = time.Second
+// refreshInterval is how often admission gets the capacities and the list of nodes.
+const refreshInterval = time.Second
 
-// connect joins the parts: what one learns, the others are told.
-func (n *Node) connect() {
-	for _, table := range n.tables() {
+// registerCallbacks connects the components: each is notified of the others' changes.
+func (n *Node) registerCallbacks() {
+	for _, table := range n.groupings() {
 		table.OnChange(func(g cluster.Grouping) {
 			n.health.SetGrouping(g)
 			n.setRoutes(g, n.vms.List())
@@ -31,29 +31,31 @@
 	n.health.OnChange(func(r cluster.Replica, whole bool, reason string) {
 		n.log.Info("replica", "replica", r.ID, "generation", r.Generation, "whole", whole, "reason", reason)
 		n.routing.SetWhole(r.ID, r.Generation, whole)
-		n.ledger.wake()
-		n.wakeReview()
+		n.outages.notify()
+		n.signalCapacityChange()
 	})
 	n.health.OnLoad(func(r cluster.Replica, load engine.Load) { n.routing.ReportLoad(r.ID, load, time.Now()) })
 	n.rules.OnChange(func(*rules.Set) { n.members.Nudge() })
 	n.members.SetRulesRevision(n.rules.Revision)
-	n.members.OnDatagram(n.observe)
+	n.members.OnDatagram(n.receiveDatagram)
 	n.members.OnDatagram(n.suspects.Receive)
 	n.members.AddSource(n.suspects.Section)
-	n.members.AddSource(n.replicaSource())
+	n.members.AddSource(n.newReplicaSource())
 	n.members.AddSource(n.demandSource)
 }
 
-// vmsChanged passes on a new VM list.
+// vmsChanged passes a new VM list to the health check and the router.
 func (n *Node) vmsChanged(list cluster.VMList) {
 	n.health.SetVMs(list)
-	for _, table := range n.tables() {
+	for _, table := range n.groupings() {
 		n.setRoutes(table.Current(), list)
 	}
 }
 
-// tables are the groupings of all zones whose replicas this node uses.
-func (n *Node) tables() []*grouping.Table { return append([]*grouping.Table{n.table}, n.neighbors...) }
+// groupings returns the groupings of all zones whose replicas this node uses.
+func (n *Node) groupings() []*grouping.Table {
+	return append([]*grouping.Table{n.grouping}, n.neighborGroupings...)
+}
 
 // setRoutes passes the committed replicas to the router with the addresses of
 // their serving VMs.
@@ -69,70 +71,70 @@
 	n.routing.SetReplicas(g.Zone, entries)
 }
 
-// startDuties runs everything that goes on beside requests.
-func (n *Node) startDuties(ctx context.Context) {
-	for _, table := range n.neighbors {
-		n.duties.Go(func() { table.Run(ctx) })
+// startTasks starts the background tasks.
+func (n *Node) startTasks(ctx context.Context) {
+	for _, table := range n.neighborGroupings {
+		n.tasks.Go(func() { table.Run(ctx) })
 	}
 	for _, run := range []func(context.Context){
-		n.vms.Run, n.members.Run, n.rules.Run, n.table.Run, n.health.Run, n.controller.Run, n.cachePoller().Run, n.ledger.run, n.review,
+		n.vms.Run, n.members.Run, n.rules.Run, n.grouping.Run, n.health.Run, n.controller.Run, n.cachePoller().Run, n.outages.run, n.refreshLoop,
 	} {
-		n.duties.Go(func() { run(ctx) })
+		n.tasks.Go(func() { run(ctx) })
 	}
 }
 
-// cachePoller reads the engines' cache events for the router.
+// cachePoller returns the task that reads the engines' cache events for the router.
 func (n *Node) cachePoller() *routing.CachePoller {
 	return &routing.CachePoller{Table: n.routing, Source: n.engines, Log: n.log}
 }
 
-// review passes on, once a second, what changes slowly, and capacities at once
-// when a replica turned whole or not.
-func (n *Node) review(ctx context.Context) {
-	ticker := time.NewTicker(reviewEvery)
+// refreshLoop updates admission's nodes and capacities every refreshInterval, and the
+// capacities at once when a replica becomes whole or ceases to be.
+func (n *Node) refreshLoop(ctx context.Context) {
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			n.reviewNodes()
-			n.reviewCapacity()
+			n.refreshNodes()
+			n.refreshCapacity()
 		case <-n.capacityChanged:
-			n.reviewCapacity()
+			n.refreshCapacity()
 		}
 	}
 }
 
-// wakeReview has capacities passed on now; it never blocks. A group whose first
-// replica turned whole would otherwise refuse callers as overloaded until the
-// next tick, while status shows it whole.
-func (n *Node) wakeReview() {
+// signalCapacityChange triggers a refresh of the capacities without blocking. Otherwise a
+// group whose first replica became whole would refuse callers as overloaded until the next
+// tick, while its status already shows it whole.
+func (n *Node) signalCapacityChange() {
 	select {
 	case n.capacityChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (n *Node) reviewNodes() {
-	nodes := []admission.Node{{ID: n.set.Node, Zone: n.set.Zone}}
+func (n *Node) refreshNodes() {
+	nodes := []admission.Node{{ID: n.cfg.Node, Zone: n.cfg.Zone}}
 	for _, m := range n.servingMembers() {
 		nodes = append(nodes, admission.Node{ID: m.Node, Zone: m.Zone})
 	}
 	n.admission.SetNodes(nodes)
 }
 
-// servingMembers are the other nodes that may be serving callers.
+// servingMembers returns the other nodes that may be serving callers.
 func (n *Node) servingMembers() []membership.Member {
 	members := n.members.Members()
 	return slices.DeleteFunc(members, func(m membership.Member) bool { return m.Status == membership.Dead || m.Leaving })
 }
 
-func (n *Node) livePeers() int { return len(n.servingMembers()) }
+func (n *Node) livePeerCount() int { return len(n.servingMembers()) }
 
-// reviewCapacity tells admission how many requests each group's whole replicas
-// run at once; a group without any takes none.
-func (n *Node) reviewCapacity() {
+// refreshCapacity tells admission how many requests the whole replicas of each group run
+// concurrently; a group without whole replicas has capacity 0.
+func (n *Node) refreshCapacity() {
 	slots := n.routing.Capacities(time.Now())
 	if set := n.rules.Current(); set != nil {
 		for i := range set.Groups {
@@ -141,13 +143,13 @@
 			}
 		}
 	}
-	for group, count := range slots {
-		n.admission.SetCapacity(group, count)
+	for group, capacity := range slots {
+		n.admission.SetCapacity(group, capacity)
 	}
 }
 
-// observe takes in what another node says.
-func (n *Node) observe(from membership.Member, d *wirepb.Datagram) {
+// receiveDatagram applies another node's datagram.
+func (n *Node) receiveDatagram(from membership.Member, d *wirepb.Datagram) {
 	now := time.Now()
 	n.rules.ObservePeer(from.Node, d.RulesRevision)
 	demands := make([]admission.Demand, len(d.Demands))
@@ -155,10 +157,10 @@
 		demands[i] = admission.Demand{Team: cluster.TeamID(t.Team), Demand: float64(t.Demand), InFlight: int(t.InFlight)}
 	}
 	n.admission.ObservePeer(from.Node, demands, now)
-	n.observeReplicas(from, d.Replicas, now)
+	n.receiveReplicaStatuses(from, d.Replicas, now)
 }
 
-func (n *Node) observeReplicas(from membership.Member, statuses []*wirepb.ReplicaStatus, now time.Time) {
+func (n *Node) receiveReplicaStatuses(from membership.Member, statuses []*wirepb.ReplicaStatus, now time.Time) {
 	observations := make([]health.Observation, 0, len(statuses))
 	for _, s := range statuses {
 		id := cluster.ReplicaID(s.Replica)
@@ -182,15 +184,16 @@
 	}
 }
 
-// neverConfirmed stands for "this node has not confirmed it" in a datagram.
+// neverConfirmed is the value of confirmed_ago_ms for a replica that this node has not
+// confirmed.
 const neverConfirmed = -1
 
-// replicaSource says, in turn, what this node found of replicas by its own
-// polls and how many of its requests run there. Breaks go first: they stop work
-// on other nodes.
-func (n *Node) replicaSource() membership.Source {
-	// next is where the next datagram goes on. Heartbeats, nudges and the farewell
-	// may ask at once; then one of them repeats a part, which does no harm.
+// newReplicaSource returns a source of replica statuses: what this node's own polls found
+// and how many of its requests run there. Successive datagrams continue through the
+// replicas in turn. Broken replicas come first, as they make other nodes stop using them.
+func (n *Node) newReplicaSource() membership.Source {
+	// next is the index at which the next datagram continues. Heartbeats, nudges and the
+	// leave message may ask concurrently; then one of them repeats entries, which is harmless.
 	var next atomic.Int64
 	return func(budget int) membership.Section {
 		var section membership.Section
@@ -209,7 +212,7 @@
 				rest = append(rest, p)
 			}
 		}
-		fits := func(p *wirepb.ReplicaStatus) bool {
+		appendIfFits := func(p *wirepb.ReplicaStatus) bool {
 			section.Replicas = append(section.Replicas, p)
 			if membership.SectionSize(section) <= budget {
 				return true
@@ -218,17 +221,17 @@
 			return false
 		}
 		for _, p := range broken {
-			if !fits(p) {
+			if !appendIfFits(p) {
 				return section
 			}
 		}
-		first := int(next.Load())
+		start := int(next.Load())
 		sent := 0
-		for sent < len(rest) && fits(rest[(first+sent)%len(rest)]) {
+		for sent < len(rest) && appendIfFits(rest[(start+sent)%len(rest)]) {
 			sent++
 		}
 		if len(rest) > 0 {
-			next.Store(int64((first + sent) % len(rest)))
+			next.Store(int64((start + sent) % len(rest)))
 		}
 		return section
 	}
@@ -248,8 +251,8 @@
 	return p
 }
 
-// demandSource tells the teams' demand at this node, the largest first as far
-// as the budget goes.
+// demandSource returns the teams' demand at this node, the largest first, as far as the
+// budget allows.
 func (n *Node) demandSource(budget int) membership.Section {
 	var section membership.Section
 	for _, d := range n.admission.Demands(time.Now()) {
--- a/internal/daemon/feeds_test.go
+++ b/internal/daemon/callbacks_test.go
@@ -15,10 +15,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// All replicas of a group were lost, and one has just become whole again.
-// Status says so, and a caller who waited for it sends at once: he must not be
-// refused as if the group were still without a replica.
-func TestWholeReplicaTakesCallersAtOnce(t *testing.T) {
+// After all replicas of a group were lost, one becomes whole again, and its status shows
+// it. A caller who waited for that sends at once, and must not be refused because admission
+// learns the new capacity only at the next refresh.
+func TestWholeReplicaAcceptsCallersAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		n := &Node{
@@ -28,16 +28,16 @@
 			admission:       admission.New(admission.Options{Self: admission.Node{ID: "n1", Zone: "serra-a"}}),
 		}
 		n.admission.SetCapacity("fit", 0)
-		request := admission.Request{Team: "bancada", Group: "fit", Cost: 1, Deadline: time.Now().Add(reviewEvery / 2)}
+		request := admission.Request{Team: "bancada", Group: "fit", Cost: 1, Deadline: time.Now().Add(refreshInterval / 2)}
 		_, err := n.admission.Acquire(ctx, request)
 		require.Error(t, err)
 
 		done := make(chan struct{})
-		go func() { n.review(ctx); close(done) }()
+		go func() { n.refreshLoop(ctx); close(done) }()
 		replica := cluster.Replica{ID: "fit.1", Group: "fit", Zone: "serra-a", Generation: 1, Members: []cluster.VMID{"a"}, Serving: "a"}
 		n.routing.SetReplicas("serra-a", []routing.Entry{{Replica: replica, Addr: "127.0.0.1:1"}})
 		n.routing.SetWhole(replica.ID, replica.Generation, true)
-		n.wakeReview()
+		n.signalCapacityChange()
 		synctest.Wait()
 		slot, err := n.admission.Acquire(ctx, request)
 		require.NoError(t, err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon puts one node together: the platform's services, the rules in
-// force, membership, placement duty, health check, routing and the callers'
-// gateway, with the threads and sockets around their decisions.
+// Package daemon assembles a node from the platform's services, the rules in force,
+// membership, placement, health checks, routing and the gateway for callers. It owns the
+// goroutines and sockets around their decisions.
 package daemon
 
 import (
@@ -34,10 +34,10 @@
 
 // Node is one running fenneld.
 type Node struct {
-	set     *settings.Settings
+	cfg     *settings.Settings
 	log     *slog.Logger
 	version string
-	// incarnation tells this process from earlier ones of the same node.
+	// incarnation distinguishes this process from earlier ones of the same node.
 	incarnation uint64
 
 	store     store.Store
@@ -48,30 +48,32 @@
 	keyring   *wire.Keyring
 	tls       *wire.TLSConfig
 	peers     *peer.Client
-	// peerTurn spreads questions over the peers.
-	peerTurn atomic.Uint64
-	// table is the own zone's grouping, neighbors those of other zones in use.
-	table      *grouping.Table
-	neighbors  []*grouping.Table
-	controller *grouping.Controller
-	engines    *engine.Client
-	prober     *engine.Client
-	pools      *engine.Pools
-	health     *health.Check
-	routing    *routing.Table
-	admission  *admission.Controller
-	claims     *claims.Manager
-	suspects   *suspect.Tracker
-	ledger     *ledgerDuty
-	// capacityChanged holds a token while a replica's change waits for a review.
+	// nextPeerIndex distributes requests to peers in round-robin order.
+	nextPeerIndex atomic.Uint64
+	// grouping is the grouping of this node's zone, neighborGroupings those of the other
+	// zones whose replicas it uses.
+	grouping          *grouping.Table
+	neighborGroupings []*grouping.Table
+	controller        *grouping.Controller
+	engines           *engine.Client
+	prober            *engine.Client
+	pools             *engine.Pools
+	health            *health.Check
+	routing           *routing.Table
+	admission         *admission.Controller
+	claims            *claims.Manager
+	suspects          *suspect.Tracker
+	outages           *outageObserver
+	// capacityChanged holds a token while a replica's change has not been passed on to
+	// admission.
 	capacityChanged chan struct{}
 	gateway         *gateway.Gateway
 
-	callers  listener
-	control  listener
-	leaving  atomic.Bool
-	duties   sync.WaitGroup
-	stopDuty context.CancelFunc
+	callers   listener
+	control   listener
+	stopping  atomic.Bool
+	tasks     sync.WaitGroup
+	stopTasks context.CancelFunc
 }
 
 // listener is one HTTP server with its socket.
@@ -80,9 +82,8 @@
 	server *http.Server
 }
 
-// serve takes connections until the server is closed. Serve alone would speak
-// plain HTTP on a server that has TLS settings, without a word: anyone could
-// then read and replace the rules.
+// serve accepts connections until the server is closed. http.Server.Serve would silently
+// speak plain HTTP even with a TLSConfig, and anyone could read and replace the rules.
 func (l listener) serve() error {
 	if l.server.TLSConfig != nil {
 		return l.server.ServeTLS(l.socket, "", "") // the certificate comes from TLSConfig
@@ -90,9 +91,9 @@
 	return l.server.Serve(l.socket)
 }
 
-// New opens the node's sockets and puts its parts together. Nothing runs before Run.
-func New(set *settings.Settings, version string, log *slog.Logger) (*Node, error) {
-	n := &Node{set: set, log: log.With("self", set.Node), version: version, incarnation: uint64(time.Now().UnixNano()),
+// New builds the node's components and opens its sockets. Nothing runs before Run.
+func New(cfg *settings.Settings, version string, log *slog.Logger) (*Node, error) {
+	n := &Node{cfg: cfg, log: log.With("self", cfg.Node), version: version, incarnation: uint64(time.Now().UnixNano()),
 		capacityChanged: make(chan struct{}, 1)}
 	steps := []struct {
 		name string
@@ -110,66 +111,66 @@
 			return nil, errors.Wrap(err, s.name)
 		}
 	}
-	n.connect()
+	n.registerCallbacks()
 	return n, nil
 }
 
-// Run serves until ctx ends, then stops as planned: unready first, accepting
-// while the balancer notices, then every stream to its end. A second ctx, now,
-// cuts that short.
-func (n *Node) Run(ctx, now context.Context) error {
-	dutyCtx, stop := context.WithCancel(context.Background())
-	n.stopDuty = stop
-	n.startDuties(dutyCtx)
+// Run serves until ctx ends, then shuts down gracefully: it reports not ready, still
+// accepts requests until the load balancer has noticed, and finishes every stream. The end
+// of force cuts the shutdown short.
+func (n *Node) Run(ctx, force context.Context) error {
+	tasksCtx, stop := context.WithCancel(context.Background())
+	n.stopTasks = stop
+	n.startTasks(tasksCtx)
 	failed := make(chan error, 2)
 	for _, l := range []listener{n.callers, n.control} {
 		go func() { failed <- l.serve() }()
 	}
-	n.log.Info("serving", "zone", n.set.Zone, "version", n.version, "callers", n.CallersAddr(), "control", n.ControlAddr(), "datagrams", n.transport.Addr())
+	n.log.Info("serving", "zone", n.cfg.Zone, "version", n.version, "callers", n.CallersAddr(), "control", n.ControlAddr(), "datagrams", n.transport.Addr())
 	var err error
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
 	}
-	return errors.Join(err, n.stop(now))
+	return errors.Join(err, n.stop(force))
 }
 
-// CallersAddr is the ip:port that callers are served on.
+// CallersAddr returns the ip:port that serves callers.
 func (n *Node) CallersAddr() string { return n.callers.socket.Addr().String() }
 
-// ControlAddr is the ip:port that peers and operators are served on.
+// ControlAddr returns the ip:port that serves peers and operators.
 func (n *Node) ControlAddr() string { return n.control.socket.Addr().String() }
 
-// stop is the planned stop.
-func (n *Node) stop(now context.Context) error {
-	n.log.Info("stopping", "step", "unready", "notice", n.set.Drain.Notice)
-	n.leaving.Store(true)
+// stop shuts the node down gracefully, as Run describes.
+func (n *Node) stop(force context.Context) error {
+	n.log.Info("stopping", "step", "unready", "notice", n.cfg.Drain.Notice)
+	n.stopping.Store(true)
 	n.members.Leave()
-	clock.Pause(now, n.set.Drain.Notice)
+	clock.Pause(force, n.cfg.Drain.Notice)
 	n.log.Info("stopping", "step", "finish requests")
-	err := n.callers.server.Shutdown(now)
+	err := n.callers.server.Shutdown(force)
 	if err != nil {
 		n.log.Error("stopping", "step", "requests cut", "err", err.Error())
 		err = errors.Join(err, n.callers.server.Close())
 	}
 	n.gateway.Wait()
-	n.stopDuty()
-	n.duties.Wait()
-	n.closeClaims(now)
+	n.stopTasks()
+	n.tasks.Wait()
+	n.closeClaims(force)
 	err = errors.Join(err, n.control.server.Close())
 	n.closeSockets()
 	n.log.Info("stopped")
 	return err
 }
 
-// claimsCloseTimeout bounds the wait of a planned stop for the store.
+// claimsCloseTimeout bounds how long a graceful shutdown waits for the store.
 const claimsCloseTimeout = 10 * time.Second
 
-// closeClaims brings the last outcomes to the store. While the store is down that
-// could last for ever and the VM could not be replaced; calls whose outcome is not
-// recorded by then read as unknown, which is true and never runs them again.
-func (n *Node) closeClaims(now context.Context) {
-	ctx, cancel := context.WithTimeout(now, claimsCloseTimeout)
+// closeClaims writes the last outcomes to the store. The wait is bounded, because with the
+// store down it would never end and the VM could not be replaced. Calls whose outcome is
+// not recorded by then are reported as unknown, which is correct and never reruns them.
+func (n *Node) closeClaims(force context.Context) {
+	ctx, cancel := context.WithTimeout(force, claimsCloseTimeout)
 	defer cancel()
 	n.claims.Close(ctx)
 }
@@ -188,10 +189,10 @@
 	}
 }
 
-// notReady says why this node should get no callers; empty when it should.
-func (n *Node) notReady() string {
+// notReadyReason returns why this node should get no calls, or "" if it is ready.
+func (n *Node) notReadyReason() string {
 	switch {
-	case n.leaving.Load():
+	case n.stopping.Load():
 		return "stopping"
 	case n.members.Superseded():
 		return "a newer process runs under this node's name"
@@ -201,11 +202,11 @@
 		return "no VM list known yet"
 	}
 	select {
-	case <-n.table.Ready():
+	case <-n.grouping.Ready():
 		return ""
 	default:
-		// Without the grouping it would refuse every request to a model while
-		// other nodes could answer it.
+		// Without the grouping, this node would refuse every request to a model, while
+		// other nodes could serve it.
 		return "no grouping known yet"
 	}
 }
--- a/internal/daemon/gauges.go
+++ b/internal/daemon/gauges.go
@@ -7,13 +7,12 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// writeGauges writes the levels of now, which are worked out when they are asked
-// for. What this node does not observe is left out: a zero would say that all is
-// well where nobody looked.
+// writeGauges writes the gauges, which are computed at each scrape. Values that this node
+// does not observe are omitted: a zero would claim that nothing is wrong.
 func (n *Node) writeGauges(w io.Writer) {
 	set := metrics.NewSet()
-	n.ledger.gauges(set)
-	set.GetOrCreateGauge(`fennel_membership_superseded`, nil).Set(asGauge(n.members.Superseded()))
+	n.outages.addGauges(set)
+	set.GetOrCreateGauge(`fennel_membership_superseded`, nil).Set(boolGauge(n.members.Superseded()))
 	for _, t := range n.admission.Statuses() {
 		set.GetOrCreateGauge(fmt.Sprintf(`fennel_admission_running_requests{team=%q}`, t.Team), nil).Set(float64(t.Running))
 		set.GetOrCreateGauge(fmt.Sprintf(`fennel_admission_waiting_requests{team=%q}`, t.Team), nil).Set(float64(t.Waiting))
@@ -21,24 +20,24 @@
 	set.WritePrometheus(w)
 }
 
-func asGauge(on bool) float64 {
+func boolGauge(on bool) float64 {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-// gauges adds the brief's two measures, as last told to the ledger.
-func (l *ledgerDuty) gauges(set *metrics.Set) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.keeper == nil {
+// addGauges adds group downtime and stranded accelerators as last reported to the ledger.
+func (o *outageObserver) addGauges(set *metrics.Set) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.keeper == nil {
 		return
 	}
-	for group, down := range l.down {
+	for group, down := range o.down {
 		set.GetOrCreateGauge(fmt.Sprintf(`fennel_ledger_down_replicas{group=%q}`, group), nil).Set(float64(down))
 	}
-	for key, count := range l.stranded {
+	for key, count := range o.reportedStranded {
 		set.GetOrCreateGauge(fmt.Sprintf(`fennel_ledger_stranded_accelerators{group=%q,cause=%q}`, key.group, key.cause), nil).Set(float64(count))
 	}
 }
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -13,12 +13,12 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb/wirepbconnect"
 )
 
-// callersHandler serves callers and the balancer's health checks.
+// callersHandler serves callers and the load balancer's health checks.
 func (n *Node) callersHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "ok\n") })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if reason := n.notReady(); reason != "" {
+		if reason := n.notReadyReason(); reason != "" {
 			writeText(w, http.StatusServiceUnavailable, "not ready: "+reason+"\n")
 			return
 		}
@@ -33,7 +33,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(peer.NewHandler(peerSource{n}, peerSource{n}, peerSource{n}))
 	mux.Handle(wirepbconnect.NewOperatorServiceHandler(operator.New(operator.Parts{
-		Rules: n.rules, Nodes: operators{n}, Status: operators{n}, Explain: operators{n}, Outages: operators{n},
+		Rules: n.rules, Nodes: operatorAPI{n}, Status: operatorAPI{n}, Explain: operatorAPI{n}, Outages: operatorAPI{n},
 	})))
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		metrics.WritePrometheus(w, true)
@@ -44,10 +44,10 @@
 
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, text) // the asker may be gone
+	_, _ = io.WriteString(w, text) // the client may be gone
 }
 
-// requestIDBytes makes a repeat within the system's life as good as impossible.
+// requestIDBytes is large enough that two requests practically never share an ID.
 const requestIDBytes = 16
 
 func newRequestID() string {
--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -12,11 +12,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/ledger"
 )
 
-// ledgerObservers is how many nodes of a zone observe outages: two, so that one
-// dying leaves no time unobserved.
-const ledgerObservers = 2
+// outageObserversPerZone is how many nodes of a zone observe outages: two, so that the
+// death of one leaves no time unobserved.
+const outageObserversPerZone = 2
 
-// Causes of outages as the daemon sees them.
+// Causes of outages.
 const (
 	causeNotWhole   ledger.Cause = "not-whole"
 	causeNotFormed  ledger.Cause = "not-formed"
@@ -24,20 +24,21 @@
 	causeUnassigned ledger.Cause = "unassigned"
 )
 
-// ledgerDuty observes the zone's outages while this node has the duty.
-type ledgerDuty struct {
+// outageObserver reports the zone's outages to the ledger while membership assigns this
+// node that duty.
+type outageObserver struct {
 	n *Node
-	// changed holds a token while a replica's change waits to be fed.
+	// changed holds a token while a replica's change has not been reported.
 	changed chan struct{}
 
 	mu     sync.Mutex
 	keeper *ledger.Keeper
-	// known are the replicas, missing ones included, as the keeper was told of them.
-	known map[cluster.ReplicaID]seenReplica
-	// down counts the replicas told to be down, by group.
+	// reported holds the replicas, missing ones included, as last reported to the keeper.
+	reported map[cluster.ReplicaID]replicaState
+	// down counts the replicas reported as down, by group.
 	down map[cluster.GroupName]int
-	// stranded is the last level told, by group and cause.
-	stranded map[strandedKey]int
+	// reportedStranded holds the last reported counts, by group and cause.
+	reportedStranded map[strandedKey]int
 }
 
 type strandedKey struct {
@@ -45,19 +46,21 @@
 	cause ledger.Cause
 }
 
-func newLedgerDuty(n *Node) *ledgerDuty { return &ledgerDuty{n: n, changed: make(chan struct{}, 1)} }
+func newOutageObserver(n *Node) *outageObserver {
+	return &outageObserver{n: n, changed: make(chan struct{}, 1)}
+}
 
-// wake has a change of a replica fed now; it never blocks.
-func (l *ledgerDuty) wake() {
+// notify triggers an observation after a replica's change, without blocking.
+func (o *outageObserver) notify() {
 	select {
-	case l.changed <- struct{}{}:
+	case o.changed <- struct{}{}:
 	default:
 	}
 }
 
-// run takes the duty up and lays it down as membership says.
-func (l *ledgerDuty) run(ctx context.Context) {
-	ticker := time.NewTicker(reviewEvery)
+// run starts and stops observing as membership assigns the duty.
+func (o *outageObserver) run(ctx context.Context) {
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	var stop func()
 	for {
@@ -68,78 +71,78 @@
 			}
 			return
 		case <-ticker.C:
-		case <-l.changed:
+		case <-o.changed:
 		}
-		duty := l.n.members.Duty("ledger", ledgerObservers)
+		assigned := o.n.members.Duty("ledger", outageObserversPerZone)
 		switch {
-		case duty && stop == nil:
-			stop = l.begin(ctx)
-		case !duty && stop != nil:
+		case assigned && stop == nil:
+			stop = o.startKeeper(ctx)
+		case !assigned && stop != nil:
 			stop()
 			stop = nil
 		}
-		if duty {
-			l.observe(time.Now())
+		if assigned {
+			o.observe(time.Now())
 		}
 	}
 }
 
-// begin starts a keeper; the returned func ends it and waits for its last write.
-func (l *ledgerDuty) begin(ctx context.Context) func() {
-	n := l.n
-	keeper := ledger.NewKeeper(n.store, ledger.RecorderOptions{Observer: n.set.Node, Incarnation: uint64(time.Now().UnixNano()), Zone: n.set.Zone}, n.log)
-	l.mu.Lock()
-	l.keeper, l.known, l.down, l.stranded = keeper, map[cluster.ReplicaID]seenReplica{}, nil, map[strandedKey]int{}
-	l.mu.Unlock()
+// startKeeper starts a keeper. The returned function stops it and waits for its last write.
+func (o *outageObserver) startKeeper(ctx context.Context) func() {
+	n := o.n
+	keeper := ledger.NewKeeper(n.store, ledger.RecorderOptions{Observer: n.cfg.Node, Incarnation: uint64(time.Now().UnixNano()), Zone: n.cfg.Zone}, n.log)
+	o.mu.Lock()
+	o.keeper, o.reported, o.down, o.reportedStranded = keeper, map[cluster.ReplicaID]replicaState{}, nil, map[strandedKey]int{}
+	o.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { keeper.Run(ctx) })
 	n.log.Info("ledger duty", "held", true)
 	return func() {
-		l.mu.Lock()
-		l.keeper = nil
-		l.mu.Unlock()
+		o.mu.Lock()
+		o.keeper = nil
+		o.mu.Unlock()
 		cancel()
 		wg.Wait()
 		n.log.Info("ledger duty", "held", false)
 	}
 }
 
-// observe compares the zone's state with what the keeper was told and feeds the
+// observe compares the zone's state with what was last reported and reports the
 // differences. It runs once a second and soon after each change of a replica.
-func (l *ledgerDuty) observe(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.keeper == nil {
+func (o *outageObserver) observe(now time.Time) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.keeper == nil {
 		return
 	}
-	l.feedReplicas(now)
-	l.feedStranded(now)
+	o.recordReplicas(now)
+	o.recordStranded(now)
 }
 
-// seenReplica is a replica, or a wanted one that is missing, as it is now.
-type seenReplica struct {
+// replicaState is the current state of a replica, or of a wanted one that is missing.
+type replicaState struct {
 	group    cluster.GroupName
 	down     bool
 	cause    ledger.Cause
 	evidence string
 }
 
-func (l *ledgerDuty) feedReplicas(now time.Time) {
-	seen := l.replicasNow()
-	l.down = downByGroup(seen)
-	for _, ev := range replicaEvents(l.known, seen, now) {
-		l.keeper.Feed(ev)
+func (o *outageObserver) recordReplicas(now time.Time) {
+	current := o.currentReplicas()
+	o.down = downByGroup(current)
+	for _, ev := range replicaEvents(o.reported, current, now) {
+		o.keeper.Feed(ev)
 	}
-	l.known = seen
+	o.reported = current
 }
 
-// replicaEvents are the differences between what was told and what is seen now.
-func replicaEvents(told, seen map[cluster.ReplicaID]seenReplica, now time.Time) []ledger.Event {
+// replicaEvents returns the events that lead from the reported to the current replicas.
+func replicaEvents(reported, current map[cluster.ReplicaID]replicaState, now time.Time) []ledger.Event {
 	var events []ledger.Event
-	for id, r := range seen {
-		before, known := told[id]
-		if known && before.down == r.down {
+	for id, r := range current {
+		previous, ok := reported[id]
+		if ok && previous.down == r.down {
 			continue
 		}
 		ev := ledger.Event{Kind: ledger.ReplicaUp, At: now, Group: r.group, Replica: id}
@@ -148,20 +151,21 @@
 		}
 		events = append(events, ev)
 	}
-	for id, r := range told {
-		if _, still := seen[id]; !still {
-			// Without the group the ledger would not find the open interval, and
-			// the outage would be reported as going on.
+	for id, r := range reported {
+		if _, ok := current[id]; !ok {
+			// Without the group, the ledger would not find the open interval, and the
+			// outage would be reported as ongoing.
 			events = append(events, ledger.Event{Kind: ledger.ReplicaGone, At: now, Group: r.group, Replica: id})
 		}
 	}
 	return events
 }
 
-// downByGroup counts the replicas that are down; a group without any has a zero.
-func downByGroup(seen map[cluster.ReplicaID]seenReplica) map[cluster.GroupName]int {
+// downByGroup counts the replicas that are down, by group. A group with replicas but none
+// down has a zero.
+func downByGroup(replicas map[cluster.ReplicaID]replicaState) map[cluster.GroupName]int {
 	down := map[cluster.GroupName]int{}
-	for _, r := range seen {
+	for _, r := range replicas {
 		count := down[r.group]
 		if r.down {
 			count++
@@ -171,71 +175,71 @@
 	return down
 }
 
-// replicasNow lists the zone's committed replicas and, for groups whose rule
-// names a number, the wanted ones that are missing.
-func (l *ledgerDuty) replicasNow() map[cluster.ReplicaID]seenReplica {
-	seen := map[cluster.ReplicaID]seenReplica{}
+// currentReplicas returns the zone's committed replicas and, for groups whose rule sets
+// the number of replicas, the wanted ones that are missing.
+func (o *outageObserver) currentReplicas() map[cluster.ReplicaID]replicaState {
+	current := map[cluster.ReplicaID]replicaState{}
 	formed := map[cluster.GroupName]int{}
-	for _, s := range l.ownReplicas() {
+	for _, s := range o.zoneReplicas() {
 		cause := causeNotWhole
 		if s.Replica.Leaving {
 			cause = causePlanned
 		}
-		seen[s.Replica.ID] = seenReplica{group: s.Replica.Group, down: !s.Whole, cause: cause, evidence: s.Reason}
+		current[s.Replica.ID] = replicaState{group: s.Replica.Group, down: !s.Whole, cause: cause, evidence: s.Reason}
 		formed[s.Replica.Group]++
 	}
-	set := l.n.rules.Current()
+	set := o.n.rules.Current()
 	if set == nil {
-		return seen
+		return current
 	}
 	for i := range set.Groups {
 		g := &set.Groups[i]
 		for k := formed[g.Name]; k < g.Replicas; k++ {
 			id := cluster.ReplicaID(fmt.Sprintf("%s/missing-%d", g.Name, k+1))
-			seen[id] = seenReplica{group: g.Name, down: true, cause: causeNotFormed,
+			current[id] = replicaState{group: g.Name, down: true, cause: causeNotFormed,
 				evidence: fmt.Sprintf("%d of %d wanted replicas are formed", formed[g.Name], g.Replicas)}
 		}
 	}
-	return seen
+	return current
 }
 
-// ownReplicas are those of this node's zone: other zones keep their own ledger.
-func (l *ledgerDuty) ownReplicas() []health.ReplicaStatus {
-	return slices.DeleteFunc(l.n.health.Status(), func(s health.ReplicaStatus) bool { return s.Replica.Zone != l.n.set.Zone })
+// zoneReplicas returns the replicas of this node's zone; other zones keep their own ledger.
+func (o *outageObserver) zoneReplicas() []health.ReplicaStatus {
+	return slices.DeleteFunc(o.n.health.Status(), func(s health.ReplicaStatus) bool { return s.Replica.Zone != o.n.cfg.Zone })
 }
 
-// feedStranded counts live engine VMs that serve nobody: members of a replica
-// that is not whole, and VMs in no replica.
-func (l *ledgerDuty) feedStranded(now time.Time) {
-	level := map[strandedKey]int{}
-	member := map[cluster.VMID]seenReplica{}
-	for _, s := range l.ownReplicas() {
+// recordStranded reports the number of live engine VMs that do not serve: members of a
+// replica that is not whole, and VMs in no replica.
+func (o *outageObserver) recordStranded(now time.Time) {
+	counts := map[strandedKey]int{}
+	replicaOf := map[cluster.VMID]replicaState{}
+	for _, s := range o.zoneReplicas() {
 		for _, vm := range s.Replica.Members {
-			member[vm] = seenReplica{group: s.Replica.Group, down: !s.Whole}
+			replicaOf[vm] = replicaState{group: s.Replica.Group, down: !s.Whole}
 		}
 	}
-	for _, vm := range l.n.vms.List().VMs {
-		if vm.Zone != l.n.set.Zone || vm.Service != "" || vm.State != cluster.VMLive {
+	for _, vm := range o.n.vms.List().VMs {
+		if vm.Zone != o.n.cfg.Zone || vm.Service != "" || vm.State != cluster.VMLive {
 			continue
 		}
-		r, assigned := member[vm.ID]
+		r, assigned := replicaOf[vm.ID]
 		switch {
 		case !assigned:
-			level[strandedKey{cause: causeUnassigned}]++
+			counts[strandedKey{cause: causeUnassigned}]++
 		case r.down:
-			level[strandedKey{r.group, causeNotWhole}]++
+			counts[strandedKey{r.group, causeNotWhole}]++
 		}
 	}
-	for key := range l.stranded {
-		if _, still := level[key]; !still {
-			level[key] = 0
+	for key := range o.reportedStranded {
+		if _, ok := counts[key]; !ok {
+			counts[key] = 0
 		}
 	}
-	for key, count := range level {
-		if l.stranded[key] == count {
+	for key, count := range counts {
+		if o.reportedStranded[key] == count {
 			continue
 		}
-		l.stranded[key] = count
-		l.keeper.Feed(ledger.Event{Kind: ledger.StrandedNow, At: now, Group: key.group, Cause: key.cause, Count: count})
+		o.reportedStranded[key] = count
+		o.keeper.Feed(ledger.Event{Kind: ledger.StrandedNow, At: now, Group: key.group, Cause: key.cause, Count: count})
 	}
 }
--- a/internal/daemon/metrics_page_test.go
+++ b/internal/daemon/metrics_page_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A page that leaves out a metric, or explains one that is gone, misleads whoever
-// is called out at night.
-func TestMetricsPageNamesEveryMetric(t *testing.T) {
+// The metrics page must list exactly the metrics in the code: a missing or obsolete entry
+// misleads an on-call operator.
+func TestMetricsPageListsEveryMetric(t *testing.T) {
 	created := regexp.MustCompile("(?:New|GetOrCreate)(?:Counter|FloatCounter|Gauge|Histogram|Summary)\\((?:fmt\\.Sprintf\\()?[\"`](fennel_[a-z_]+)")
 	var inCode []string
 	for _, dir := range []string{"..", "../../platform"} {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -17,13 +17,13 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// operators answers fennelctl from what the node knows.
-type operators struct{ n *Node }
+// operatorAPI serves fennelctl from the node's state.
+type operatorAPI struct{ n *Node }
 
-// NodeRevisions implements operator.NodeSource. Nodes that left as planned are
-// no longer part of the system; dead ones are, until membership forgets them.
-func (o operators) NodeRevisions() []operator.NodeRevision {
-	out := []operator.NodeRevision{{Node: o.n.set.Node, Zone: o.n.set.Zone, Revision: o.n.rules.Revision(), Heard: true}}
+// NodeRevisions implements operator.NodeSource. It omits nodes that are shutting down
+// gracefully, and includes dead ones until membership drops them.
+func (o operatorAPI) NodeRevisions() []operator.NodeRevision {
+	out := []operator.NodeRevision{{Node: o.n.cfg.Node, Zone: o.n.cfg.Zone, Revision: o.n.rules.Revision(), Heard: true}}
 	for _, m := range o.n.members.Members() {
 		if m.Leaving {
 			continue
@@ -35,10 +35,10 @@
 }
 
 // Status implements operator.StatusSource.
-func (o operators) Status(ctx context.Context) (*wirepb.StatusResponse, error) {
+func (o operatorAPI) Status(ctx context.Context) (*wirepb.StatusResponse, error) {
 	n, now := o.n, time.Now()
-	reason := n.notReady()
-	resp := &wirepb.StatusResponse{Node: string(n.set.Node), Zone: string(n.set.Zone), Version: n.version, Ready: reason == "",
+	reason := n.notReadyReason()
+	resp := &wirepb.StatusResponse{Node: string(n.cfg.Node), Zone: string(n.cfg.Zone), Version: n.version, Ready: reason == "",
 		NotReadyReason: reason, RulesRevision: n.rules.Revision(), StoreReachable: n.storeReachable(ctx)}
 	for _, r := range o.NodeRevisions() {
 		resp.Nodes = append(resp.Nodes, &wirepb.NodeRules{Node: string(r.Node), Zone: string(r.Zone), Revision: r.Revision,
@@ -59,7 +59,7 @@
 	return resp, nil
 }
 
-// statusProbeTimeout bounds the status call's look at the store.
+// statusProbeTimeout bounds the status call's probe of the store.
 const statusProbeTimeout = time.Second
 
 func (n *Node) storeReachable(ctx context.Context) bool {
@@ -70,19 +70,19 @@
 }
 
 // Explain implements operator.Explainer.
-func (o operators) Explain(_ context.Context, req rules.Request) (*wirepb.ExplainResponse, error) {
+func (o operatorAPI) Explain(_ context.Context, req rules.Request) (*wirepb.ExplainResponse, error) {
 	set := o.n.rules.Current()
 	if set == nil {
 		return nil, fennelerr.New(fennelerr.NotReady, "no rules are known on this node yet")
 	}
 	resp := operator.ExplainRule(set, req)
-	rt := set.Match(req)
-	if rt == nil || rt.Group == "" {
+	route := set.Match(req)
+	if route == nil || route.Group == "" {
 		return resp, nil
 	}
-	choice, ok := o.n.routing.Peek(routing.Request{Group: rt.Group, Prefer: rt.Prefer})
+	choice, ok := o.n.routing.Peek(routing.Request{Group: route.Group, Prefer: route.Prefer})
 	if !ok {
-		resp.Reason = resp.Reason + "; no whole replica of " + string(rt.Group) + " is known here"
+		resp.Reason = resp.Reason + "; no whole replica of " + string(route.Group) + " is known here"
 		return resp, nil
 	}
 	resp.Replica = string(choice.Replica.ID)
@@ -90,9 +90,9 @@
 	return resp, nil
 }
 
-// Outages implements operator.OutageSource. Time that nobody vouches for comes as
-// intervals of their own, so that it cannot be read as up.
-func (o operators) Outages(ctx context.Context, from, to time.Time, zone cluster.ZoneID) (*wirepb.OutagesResponse, error) {
+// Outages implements operator.OutageSource. Unobserved time is reported as separate
+// intervals, so that it cannot be mistaken for uptime.
+func (o operatorAPI) Outages(ctx context.Context, from, to time.Time, zone cluster.ZoneID) (*wirepb.OutagesResponse, error) {
 	out := &wirepb.OutagesResponse{}
 	for _, z := range o.zones(zone) {
 		windows, corrections, err := ledger.Load(ctx, o.n.store, z, from, to)
@@ -105,12 +105,12 @@
 	return out, nil
 }
 
-// zones are the zones to report on: the one asked for, or all that are known.
-func (o operators) zones(asked cluster.ZoneID) []cluster.ZoneID {
-	if asked != "" {
-		return []cluster.ZoneID{asked}
+// zones returns the zones to report on: the requested one, or all known zones.
+func (o operatorAPI) zones(requested cluster.ZoneID) []cluster.ZoneID {
+	if requested != "" {
+		return []cluster.ZoneID{requested}
 	}
-	zones := []cluster.ZoneID{o.n.set.Zone}
+	zones := []cluster.ZoneID{o.n.cfg.Zone}
 	for _, vm := range o.n.vms.List().VMs {
 		if !slices.Contains(zones, vm.Zone) {
 			zones = append(zones, vm.Zone)
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -11,7 +11,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// peerFetcher asks other nodes for rules and groupings.
+// peerFetcher fetches rules, groupings and the VM list from other nodes.
 type peerFetcher struct{ n *Node }
 
 // FetchRules implements rulestore.PeerFetcher.
@@ -24,43 +24,44 @@
 	return nil, fennelerr.New(fennelerr.NotFound, "no address of node %s is known", node)
 }
 
-// FetchGrouping implements grouping.Peers. It asks one node of the zone at a
-// time, another one with each call: the answer is as large as the zone's table
-// when there is news, and small otherwise.
+// FetchGrouping implements grouping.Peers. Each call asks only one node of the zone, in
+// round-robin order: a newer grouping is as large as the zone's table.
 func (f peerFetcher) FetchGrouping(ctx context.Context, zone cluster.ZoneID, have int64) (cluster.Grouping, error) {
-	none := cluster.Grouping{Zone: zone}
-	addr := f.nextPeer(zone)
+	unchanged := cluster.Grouping{Zone: zone}
+	addr := f.nextPeerAddr(zone)
 	if addr == "" {
-		return none, fennelerr.New(fennelerr.NotFound, "no node of zone %s is known", zone)
+		return unchanged, fennelerr.New(fennelerr.NotFound, "no node of zone %s is known", zone)
 	}
 	resp, err := f.n.peers.FetchGrouping(ctx, addr, zone, have)
 	if err != nil || resp.Revision <= have || len(resp.GroupingJson) == 0 {
-		return none, err
+		return unchanged, err
 	}
 	var newer cluster.Grouping
 	if err := json.Unmarshal(resp.GroupingJson, &newer); err != nil {
-		return none, err
+		return unchanged, err
 	}
 	return newer, nil
 }
 
-// nextPeer takes the zone's live nodes in turn; those of all zones if none is given.
-func (f peerFetcher) nextPeer(zone cluster.ZoneID) string {
+// nextPeerAddr returns the address of the zone's next live node in round-robin order, or
+// of any zone's if zone is empty. It returns "" if there is none.
+func (f peerFetcher) nextPeerAddr(zone cluster.ZoneID) string {
 	members := slices.DeleteFunc(f.n.servingMembers(), func(m membership.Member) bool { return (zone != "" && m.Zone != zone) || m.PeerAddr == "" })
 	if len(members) == 0 {
 		return ""
 	}
-	return members[f.n.peerTurn.Add(1)%uint64(len(members))].PeerAddr
+	return members[f.n.nextPeerIndex.Add(1)%uint64(len(members))].PeerAddr
 }
 
-// findNamesake asks nodes whether they hear a process under this node's name.
-func (n *Node) findNamesake(ctx context.Context, addrs []string) membership.Sighting {
+// findDuplicateNode asks the nodes at addrs whether they hear from a process with this
+// node's name.
+func (n *Node) findDuplicateNode(ctx context.Context, addrs []string) membership.Sighting {
 	sighting := membership.Unanswered
 	for _, addr := range addrs {
-		heard, err := n.peers.Hears(ctx, addr, n.set.Node)
+		heard, err := n.peers.Hears(ctx, addr, n.cfg.Node)
 		switch {
 		case err != nil:
-			n.log.Warn("not told who has this node's name", "peer", addr, "err", err.Error())
+			n.log.Warn("duplicate node check failed", "peer", addr, "err", err.Error())
 		case heard:
 			return membership.Heard
 		default:
@@ -70,7 +71,7 @@
 	return sighting
 }
 
-// peerSource answers other nodes' questions.
+// peerSource serves the requests of other nodes.
 type peerSource struct{ n *Node }
 
 // FetchRules implements peer.RulesSource.
@@ -80,10 +81,10 @@
 
 // FetchGrouping implements peer.GroupingSource.
 func (s peerSource) FetchGrouping(_ context.Context, zone cluster.ZoneID, have int64) (*wirepb.FetchGroupingResponse, error) {
-	if zone != s.n.set.Zone {
-		return nil, fennelerr.New(fennelerr.NotFound, "this node keeps the grouping of zone %s only", s.n.set.Zone)
+	if zone != s.n.cfg.Zone {
+		return nil, fennelerr.New(fennelerr.NotFound, "this node keeps the grouping of zone %s only", s.n.cfg.Zone)
 	}
-	g := s.n.table.Current()
+	g := s.n.grouping.Current()
 	if g.Revision <= have {
 		return &wirepb.FetchGroupingResponse{Zone: string(zone), Revision: g.Revision}, nil
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -2,16 +2,16 @@
 
 import "github.com/fennelcourse/fennelcourse/internal/settings"
 
-// Reload reads the settings file again and takes over its datagram keys: keys are
-// rotated without a restart. TLS files are read again by themselves. Nothing else
-// changes; a file with errors changes nothing.
+// Reload reads the settings file again and adopts its datagram keys, so that keys can be
+// rotated without a restart. TLS files are reloaded automatically. Nothing else changes,
+// and a file with errors changes nothing.
 func (n *Node) Reload(path string) {
-	set, err := settings.Load(path)
+	cfg, err := settings.Load(path)
 	if err != nil {
 		n.log.Error("reload refused", "path", path, "err", err.Error())
 		return
 	}
-	keys, err := datagramKeys(set)
+	keys, err := datagramKeys(cfg)
 	if err == nil {
 		err = n.keyring.Swap(keys...)
 	}
--- a/internal/daemon/presence.go
+++ b/internal/daemon/router.go
@@ -7,15 +7,15 @@
 	"github.com/fennelcourse/fennelcourse/internal/routing"
 )
 
-// presenceRouter tells the health check of every whole answer: all members of
-// the replica worked for it, so that a busy replica needs fewer polls.
-type presenceRouter struct {
+// confirmingRouter reports every complete answer to the health check. All members of the
+// replica took part in it, so a busy replica needs fewer polls.
+type confirmingRouter struct {
 	*routing.Table
 	health *health.Check
 }
 
 // End implements gateway.Router.
-func (p presenceRouter) End(choice routing.Choice, res routing.Result) {
+func (p confirmingRouter) End(choice routing.Choice, res routing.Result) {
 	p.Table.End(choice, res)
 	if res.OK {
 		p.health.ConfirmServing(choice.Replica.ID, choice.Replica.Generation, time.Now())
--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -29,27 +29,27 @@
 )
 
 const (
-	// watchersPerZone is how many nodes of a zone watch the store: two, so that
-	// one dying leaves no gap. The store counts each watch.
-	watchersPerZone = 2
-	// placementCandidates is how many nodes of a zone try for the placement lease.
+	// storeWatchersPerZone is how many nodes of a zone watch the store: two, so that the
+	// death of one leaves no gap. The store counts each watch.
+	storeWatchersPerZone = 2
+	// placementCandidates is how many nodes of a zone try to acquire the placement lease.
 	placementCandidates = 2
-	// loadBurst is how many VMs may start to read weights at once.
+	// loadBurst is how many VMs may start to load weights at once.
 	loadBurst         = 8
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
 )
 
 func (n *Node) setupPlatform() error {
-	p := n.set.Platform
+	p := n.cfg.Platform
 	n.store = etcdgw.New(etcdgw.Options{Endpoints: p.Store, Timeout: p.Timeout})
-	n.vms = vmlist.NewWatcher(vmlist.Options{Fetcher: n.sharedVMs(), Zone: n.set.Zone,
+	n.vms = vmlist.NewWatcher(vmlist.Options{Fetcher: n.newVMFetcher(), Zone: n.cfg.Zone,
 		Interval: p.VMListEvery, OnChange: n.vmsChanged, Log: n.log})
 	return nil
 }
 
 func (n *Node) setupPeers() error {
-	keys, err := datagramKeys(n.set)
+	keys, err := datagramKeys(n.cfg)
 	if err != nil {
 		return err
 	}
@@ -58,33 +58,33 @@
 		return err
 	}
 	n.keyring = ring
-	if n.transport, err = wire.Listen(wire.Options{Addr: n.set.Listen.Datagrams, Keys: ring, System: n.set.Peers.System, Log: n.log}); err != nil {
+	if n.transport, err = wire.Listen(wire.Options{Addr: n.cfg.Listen.Datagrams, Keys: ring, System: n.cfg.Peers.System, Log: n.log}); err != nil {
 		return err
 	}
-	if n.control.socket, err = net.Listen("tcp", n.set.Listen.Control); err != nil {
+	if n.control.socket, err = net.Listen("tcp", n.cfg.Listen.Control); err != nil {
 		return err
 	}
-	if !n.set.TLS.Off {
-		t := n.set.TLS
+	if !n.cfg.TLS.Off {
+		t := n.cfg.TLS
 		if n.tls, err = wire.NewTLSConfig(wire.TLSFiles{Cert: t.Cert, Key: t.Key, CA: t.CA}, n.log); err != nil {
 			return err
 		}
 	}
-	if n.peers, err = peer.NewClient(peer.ClientOptions{TLS: n.tls, Plain: n.set.TLS.Off}); err != nil {
+	if n.peers, err = peer.NewClient(peer.ClientOptions{TLS: n.tls, Plain: n.cfg.TLS.Off}); err != nil {
 		return err
 	}
 	n.members = membership.New(membership.Options{
-		Node: n.set.Node, Zone: n.set.Zone, Incarnation: n.incarnation, Seeds: n.set.Peers.Seeds, PeerAddr: n.ControlAddr(),
-		Transport: n.transport, Interval: n.set.Peers.Heartbeat, FindNamesake: n.findNamesake, Log: n.log,
+		Node: n.cfg.Node, Zone: n.cfg.Zone, Incarnation: n.incarnation, Seeds: n.cfg.Peers.Seeds, PeerAddr: n.ControlAddr(),
+		Transport: n.transport, Interval: n.cfg.Peers.Heartbeat, FindNamesake: n.findDuplicateNode, Log: n.log,
 	})
 	n.rules = rulestore.New(rulestore.Options{Store: n.store, Peers: peerFetcher{n}, Log: n.log,
-		Watch: func() bool { return n.members.Duty("watch-rules", watchersPerZone) }})
+		Watch: func() bool { return n.members.Duty("watch-rules", storeWatchersPerZone) }})
 	return nil
 }
 
-func datagramKeys(set *settings.Settings) ([]wire.Key, error) {
-	keys := make([]wire.Key, len(set.Peers.Keys))
-	for i, k := range set.Peers.Keys {
+func datagramKeys(cfg *settings.Settings) ([]wire.Key, error) {
+	keys := make([]wire.Key, len(cfg.Peers.Keys))
+	for i, k := range cfg.Peers.Keys {
 		secret, err := k.Bytes()
 		if err != nil {
 			return nil, err
@@ -95,37 +95,37 @@
 }
 
 func (n *Node) setupReplicas() error {
-	zone := n.set.Zone
-	n.engines = engine.NewClient(n.set.Platform.Timeout)
+	zone := n.cfg.Zone
+	n.engines = engine.NewClient(n.cfg.Platform.Timeout)
 	n.prober = engine.NewProber(gateway.DefaultProbeTimeout)
-	n.table = grouping.NewTable(grouping.TableOptions{Zone: zone, Store: n.store, Log: n.log, Peers: peerFetcher{n},
-		Watches: func() bool { return n.members.Duty("watch-grouping", watchersPerZone) }})
-	for _, neighbor := range n.set.Control.NeighborZones {
-		n.neighbors = append(n.neighbors, grouping.NewTable(grouping.TableOptions{Zone: neighbor, Store: n.store, Log: n.log,
+	n.grouping = grouping.NewTable(grouping.TableOptions{Zone: zone, Store: n.store, Log: n.log, Peers: peerFetcher{n},
+		Watches: func() bool { return n.members.Duty("watch-grouping", storeWatchersPerZone) }})
+	for _, neighbor := range n.cfg.Control.NeighborZones {
+		n.neighborGroupings = append(n.neighborGroupings, grouping.NewTable(grouping.TableOptions{Zone: neighbor, Store: n.store, Log: n.log,
 			Peers: peerFetcher{n}, Watches: func() bool { return false }}))
 	}
-	n.health = health.New(health.Options{Engines: n.engines, Log: n.log, Bounds: health.BoundsWithin(n.set.Control.ConfirmWithin),
+	n.health = health.New(health.Options{Engines: n.engines, Log: n.log, Bounds: health.BoundsWithin(n.cfg.Control.ConfirmWithin),
 		Duty: func(id cluster.ReplicaID) bool { return n.members.Duty("poll/"+string(id), 1) }})
 	n.controller = grouping.NewController(grouping.Options{
-		Zone: zone, Node: n.set.Node, Store: n.store, VMs: n.vms, Rules: n.rules, Engines: n.engines, Policy: placement.Weighted{},
-		Log: n.log, Wholeness: n.health, LeaseTTL: n.set.Control.PlacementLease,
+		Zone: zone, Node: n.cfg.Node, Store: n.store, VMs: n.vms, Rules: n.rules, Engines: n.engines, Policy: placement.Weighted{},
+		Log: n.log, Wholeness: n.health, LeaseTTL: n.cfg.Control.PlacementLease,
 		Candidate:      func() bool { return n.members.Duty("place", placementCandidates) },
-		LoadsPerSecond: n.set.Control.LoadsPerMinute / time.Minute.Seconds(), LoadBurst: loadBurst,
+		LoadsPerSecond: n.cfg.Control.LoadsPerMinute / time.Minute.Seconds(), LoadBurst: loadBurst,
 	})
-	n.ledger = newLedgerDuty(n)
+	n.outages = newOutageObserver(n)
 	n.routing = routing.NewTable(routing.Options{Zone: zone, Seed: n.incarnation})
 	return nil
 }
 
 func (n *Node) setupRequests() error {
-	req := n.set.Requests
-	n.admission = admission.New(admission.Options{Self: admission.Node{ID: n.set.Node, Zone: n.set.Zone}, LimitOf: n.limitOf, MaxWait: req.Deadline,
-		SharesCapacity: n.usesZone})
-	n.claims = claims.New(claims.Options{Store: n.store, Node: n.set.Node, Incarnation: n.incarnation, Retention: req.ClaimRetention, Log: n.log})
-	n.suspects = suspect.New(suspect.Options{Node: n.set.Node, Log: n.log, Nudge: n.members.Nudge, Peers: n.livePeers, Rank: n.members.Rank})
+	req := n.cfg.Requests
+	n.admission = admission.New(admission.Options{Self: admission.Node{ID: n.cfg.Node, Zone: n.cfg.Zone}, LimitOf: n.limitOf, MaxWait: req.Deadline,
+		SharesCapacity: n.sharesReplicasWith})
+	n.claims = claims.New(claims.Options{Store: n.store, Node: n.cfg.Node, Incarnation: n.incarnation, Retention: req.ClaimRetention, Log: n.log})
+	n.suspects = suspect.New(suspect.Options{Node: n.cfg.Node, Log: n.log, Nudge: n.members.Nudge, Peers: n.livePeerCount, Rank: n.members.Rank})
 	n.pools = engine.NewPools(engine.PoolOptions{})
 	n.gateway = gateway.New(gateway.Options{
-		Node: n.set.Node, Front: openai.Front{}, Rules: n.rules, Router: presenceRouter{n.routing, n.health}, Services: n.vms, Admitter: n.admission, Claimer: gateway.StoreClaimer{Manager: n.claims},
+		Node: n.cfg.Node, Front: openai.Front{}, Rules: n.rules, Router: confirmingRouter{n.routing, n.health}, Services: n.vms, Admitter: n.admission, Claimer: gateway.StoreClaimer{Manager: n.claims},
 		Quarantine: n.suspects, Pools: n.pools, Streamer: engine.NewStreamer(n.pools, 0), Prober: n.prober, Log: n.log,
 		OnReplicaFailed: func(r cluster.Replica, _ string) { n.health.Doubt(r.ID) },
 		NewID:           newRequestID,
@@ -134,9 +134,10 @@
 	return nil
 }
 
-// usesZone reports whether the zone's nodes and this one send to the same replicas.
-func (n *Node) usesZone(zone cluster.ZoneID) bool {
-	return zone == n.set.Zone || slices.Contains(n.set.Control.NeighborZones, zone)
+// sharesReplicasWith reports whether this node and the zone's nodes send to the same
+// replicas.
+func (n *Node) sharesReplicasWith(zone cluster.ZoneID) bool {
+	return zone == n.cfg.Zone || slices.Contains(n.cfg.Control.NeighborZones, zone)
 }
 
 func (n *Node) limitOf(team cluster.TeamID) rules.Limit {
@@ -147,7 +148,7 @@
 }
 
 func (n *Node) setupListeners() error {
-	socket, err := net.Listen("tcp", n.set.Listen.Callers)
+	socket, err := net.Listen("tcp", n.cfg.Listen.Callers)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/vms.go
+++ b/internal/daemon/vms.go
@@ -11,23 +11,23 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// vmListReaders is how many nodes of a zone read the platform's VM list.
-const vmListReaders = 2
+// vmListReadersPerZone is how many nodes of a zone read the platform's VM list.
+const vmListReadersPerZone = 2
 
-// sharedVMs is where this node takes the VM list from.
-func (n *Node) sharedVMs() *vmlist.Shared {
-	p := n.set.Platform
+// newVMFetcher returns the source of this node's VM list: the platform or its peers.
+func (n *Node) newVMFetcher() *vmlist.Shared {
+	p := n.cfg.Platform
 	return &vmlist.Shared{Platform: vmlist.NewClient(p.VMList, p.Timeout), Peers: peerFetcher{n}, Interval: p.VMListEvery,
-		Duty: func() bool { return n.members.Duty("read-vms", vmListReaders) }}
+		Duty: func() bool { return n.members.Duty("read-vms", vmListReadersPerZone) }}
 }
 
-// FetchVMs implements vmlist.PeerLists. It asks one live node at a time, one of
-// its own zone if there is any.
+// FetchVMs implements vmlist.PeerLists. Each call asks one live node, of its own zone if
+// there is one.
 func (f peerFetcher) FetchVMs(ctx context.Context) (cluster.VMList, error) {
 	var list cluster.VMList
-	addr := f.nextPeer(f.n.set.Zone)
+	addr := f.nextPeerAddr(f.n.cfg.Zone)
 	if addr == "" {
-		addr = f.nextPeer("")
+		addr = f.nextPeerAddr("")
 	}
 	if addr == "" {
 		return list, fennelerr.New(fennelerr.NotFound, "no peer is known")
