--- a/cmd/fenneld/main.go
+++ b/cmd/fenneld/main.go
@@ -1,4 +1,4 @@
-// Command fenneld is the daemon of fennelcourse: one runs on each entry VM.
+// Command fenneld is the fennelcourse daemon. One process runs on each entry VM.
 package main
 
 import (
@@ -32,8 +32,8 @@
 var version = "dev"
 
 func main() {
-	// A SIGHUP ends a process that has not asked for it: one that comes while the
-	// node starts, for settings that were changed once more, must not.
+	// Without a handler, SIGHUP ends the process. One that arrives during startup, after
+	// another change of the settings, must not do that.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	os.Exit(run(os.Args[1:], reload))
@@ -41,14 +41,14 @@
 
 func run(args []string, reload <-chan os.Signal) int {
 	flags := ff.NewFlagSet("fenneld")
-	path := flags.StringLong("settings", "", "the node's YAML settings file (required)")
+	settingsPath := flags.StringLong("settings", "", "the node's YAML settings file (required)")
 	check := flags.BoolLong("check-settings", "check the settings file and exit")
 	showVersion := flags.BoolLong("version", "print the version and exit")
 	cmd := &ff.Command{Name: "fenneld", Usage: "fenneld --settings FILE [--check-settings]", Flags: flags,
 		ShortHelp: "serve callers of models whose replicas span several VMs",
 		LongHelp: "Examples:\n  fenneld --settings /etc/fennel/serra-a-1.yaml\n  fenneld --settings serra-a-1.yaml --check-settings\n\n" +
-			"SIGTERM or SIGINT is a planned stop: no request is cut. A second one cuts it short.\n" +
-			"SIGHUP reads the datagram keys of the settings file again.",
+			"SIGTERM or SIGINT shuts down gracefully: no request is cut. A second one cuts the shutdown short.\n" +
+			"SIGHUP reloads the datagram keys from the settings file.",
 		Exec: func(context.Context, []string) error { return nil }}
 	err := cmd.Parse(args, ff.WithEnvVarPrefix("FENNELD"))
 	switch {
@@ -62,97 +62,97 @@
 		fmt.Println("fenneld", versionText())
 		return exitOK
 	}
-	if *path == "" {
-		*path = platform.SettingsPath()
+	if *settingsPath == "" {
+		*settingsPath = platform.SettingsPath()
 	}
 	switch {
-	case *path == "":
+	case *settingsPath == "":
 		fmt.Fprintln(os.Stderr, "fenneld: --settings FILE is required; see fenneld --help")
 		return exitUsage
 	}
-	set, err := settings.Load(*path)
+	cfg, err := settings.Load(*settingsPath)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "fenneld: %s:\n%v\n", *path, err)
+		fmt.Fprintf(os.Stderr, "fenneld: %s:\n%v\n", *settingsPath, err)
 		return exitUsage
 	}
 	if *check {
-		fmt.Printf("%s: settings of node %s are good\n", *path, set.Node)
+		fmt.Printf("%s: settings of node %s are valid\n", *settingsPath, cfg.Node)
 		return exitOK
 	}
-	return serve(set, *path, reload)
+	return serve(cfg, *settingsPath, reload)
 }
 
-func serve(set *settings.Settings, path string, reload <-chan os.Signal) int {
+func serve(cfg *settings.Settings, path string, reload <-chan os.Signal) int {
 	var level slog.Level
-	if err := level.UnmarshalText([]byte(set.Log.Level)); err != nil {
-		fmt.Fprintln(os.Stderr, "fenneld:", err) // checked with the settings: cannot happen
+	if err := level.UnmarshalText([]byte(cfg.Log.Level)); err != nil {
+		fmt.Fprintln(os.Stderr, "fenneld:", err) // unreachable: settings.Load has validated the level
 		return exitUsage
 	}
-	lines := logqueue.New(os.Stdout)
-	defer lines.Close()
-	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: level}))
-	slog.SetDefault(log) // libraries that log by themselves write lines like ours
-	node, err := newNode(set, log)
+	queue := logqueue.New(os.Stdout)
+	defer queue.Close()
+	log := slog.New(slog.NewTextHandler(queue, &slog.HandlerOptions{Level: level}))
+	slog.SetDefault(log) // libraries that use the default logger get the same format
+	node, err := newNode(cfg, log)
 	if err != nil {
-		log.Error("not started", "node", set.Node, "err", err.Error())
+		log.Error("startup failed", "node", cfg.Node, "err", err.Error())
 		return exitFailed
 	}
-	ctx, now, end := signals()
-	defer end()
+	ctx, force, stopSignals := signalContexts()
+	defer stopSignals()
 	go func() {
 		for range reload {
 			node.Reload(path)
 		}
 	}()
-	if err := node.Run(ctx, now); err != nil {
-		log.Error("ended", "node", set.Node, "err", err.Error())
+	if err := node.Run(ctx, force); err != nil {
+		log.Error("ended", "node", cfg.Node, "err", err.Error())
 		return exitFailed
 	}
 	return exitOK
 }
 
-// node is a daemon on one of the platforms.
+// node is a daemon for one of the platform drivers.
 type node interface {
-	Run(ctx, now context.Context) error
-	// Reload takes over what may change without a restart.
+	Run(ctx, force context.Context) error
+	// Reload adopts the settings that may change without a restart.
 	Reload(path string)
 }
 
-func newNode(set *settings.Settings, log *slog.Logger) (node, error) {
-	if set.Platform.Driver == settings.DriverManaged {
-		limitMemory(set.Process)
-		return entry.New(set, platform.Parts(set.Platform.Address, log), log)
+func newNode(cfg *settings.Settings, log *slog.Logger) (node, error) {
+	if cfg.Platform.Driver == settings.DriverManaged {
+		limitMemory(cfg.Process)
+		return entry.New(cfg, platform.Parts(cfg.Platform.Address, log), log)
 	}
-	return daemon.New(set, versionText(), log)
+	return daemon.New(cfg, versionText(), log)
 }
 
-// memoryShare is the part of the process's memory that the heap may fill before
-// the collector works harder; the rest is for stacks, buffers of the kernel that
-// count to the process, and the collector's lag.
-const memoryShare = 0.6
+// heapMemoryFraction is the fraction of the process's memory that is set as the Go memory
+// limit, above which the garbage collector works harder. The rest is for stacks, kernel
+// buffers that are charged to the process, and garbage not yet collected.
+const heapMemoryFraction = 0.6
 
 func limitMemory(p settings.Process) {
 	if p.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(p.MemoryMB) * memoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(float64(p.MemoryMB) * heapMemoryFraction * (1 << 20)))
 	}
 }
 
-// signals returns a context that ends with the first stop signal and one that
-// ends with the second.
-func signals() (ctx, now context.Context, end func()) {
-	ctx, first := context.WithCancel(context.Background())
-	now, second := context.WithCancel(context.Background())
+// signalContexts returns a context that ends with the first stop signal and one that
+// ends with the second, and a function that releases both.
+func signalContexts() (ctx, force context.Context, stop func()) {
+	ctx, cancelCtx := context.WithCancel(context.Background())
+	force, cancelForce := context.WithCancel(context.Background())
 	ch := make(chan os.Signal, 2)
 	signal.Notify(ch, syscall.SIGTERM, os.Interrupt)
 	go func() {
 		if _, ok := <-ch; ok {
-			first()
+			cancelCtx()
 		}
 		if _, ok := <-ch; ok {
-			second()
+			cancelForce()
 		}
 	}()
-	return ctx, now, func() { signal.Stop(ch); close(ch); first(); second() }
+	return ctx, force, func() { signal.Stop(ch); close(ch); cancelCtx(); cancelForce() }
 }
 
 func versionText() string {
