--- a/internal/player/gossip.go
+++ b/internal/player/gossip.go
@@ -42,14 +42,14 @@
 	if sender == nil || receiver == nil || from == to || !sys.world.reachesNode(from.zone, to.zone) {
 		return
 	}
-	receiver.TakeLoadReport(from.id, sender.LoadReport(reportBudget))
+	receiver.ReceiveLoadReport(from.id, sender.LoadReport(reportBudget))
 }
 
 // announce brings a section from one node to all that it reaches.
 func (sys *System) announce(from *node, section membership.Section) {
 	for _, to := range sys.nodes {
 		if receiver := to.running(); receiver != nil && to != from && sys.world.reachesNode(from.zone, to.zone) {
-			receiver.TakeStallReport(from.id, section)
+			receiver.ReceiveStallReport(from.id, section)
 		}
 	}
 }
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -38,7 +38,7 @@
 type Options struct {
 	Seed uint64
 	// Decisions replace those that a node takes by itself; the zero value replaces none.
-	Decisions entry.Decisions
+	Decisions entry.Policies
 	// Log gets the nodes' lines; may be nil.
 	Log *slog.Logger
 }
@@ -133,9 +133,9 @@
 	n.core = entry.NewCore(set, entry.Platform{
 		Store: &cutStore{Store: sys.world.store, cut: func() bool { return sys.world.isCut(n.zone) }}, Orders: orders{sys.world, n.zone},
 		Backend:       func(*conns.Pool) relay.Backend { return &backend{sys.world, n.zone, sys.callers.answerOf} },
-		ServersPrefix: serversPrefix, Servers: func(e map[string]store.KV, r int64) fleet.List { return servers(e, r) },
-		ConfigKey: configKey, Config: func(store.KV) (*rules.Set, error) { return sys.set, nil },
-	}, entry.CoreOptions{Decisions: sys.opts.Decisions, Log: log, Announce: func(section membership.Section) { sys.announce(n, section) }})
+		ServersPrefix: serversPrefix, DecodeServers: func(e map[string]store.KV, r int64) fleet.List { return servers(e, r) },
+		ConfigKey: configKey, DecodeConfig: func(store.KV) (*rules.Set, error) { return sys.set, nil },
+	}, entry.CoreOptions{Policies: sys.opts.Decisions, Log: log, Broadcast: func(section membership.Section) { sys.announce(n, section) }})
 	core := n.core
 	n.mu.Unlock()
 	sys.stop.Go(func() {
