--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -70,7 +70,7 @@
 			return err
 		}
 	}
-	if n.peers, err = peer.NewClient(peer.ClientOptions{TLS: n.tls, Plain: n.set.TLS.Off}); err != nil {
+	if n.peers, err = peer.NewClient(peer.ClientOptions{TLS: n.tls, Plaintext: n.set.TLS.Off}); err != nil {
 		return err
 	}
 	n.members = membership.New(membership.Options{
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -27,8 +27,8 @@
 	TLS *wire.TLSConfig
 	// ServerName is the name that peers' certificates carry; empty means their IP number.
 	ServerName string
-	// Plain allows calls without TLS.
-	Plain bool
+	// Plaintext allows calls without TLS.
+	Plaintext bool
 	// Timeout bounds one call; zero means DefaultTimeout.
 	Timeout time.Duration
 }
@@ -50,7 +50,7 @@
 	case opts.TLS != nil:
 		c.scheme = "https://"
 		c.http = &http.Client{Transport: opts.TLS.HTTPTransport(opts.ServerName)}
-	case opts.Plain:
+	case opts.Plaintext:
 		c.scheme = "http://"
 		c.http = &http.Client{Transport: &http.Transport{IdleConnTimeout: time.Minute}}
 	default:
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestFetch(t *testing.T) {
-	client, err := peer.NewClient(peer.ClientOptions{Plain: true})
+	client, err := peer.NewClient(peer.ClientOptions{Plaintext: true})
 	require.NoError(t, err)
 	t.Cleanup(client.Close)
 	addr := serve(t, fakeSource{})
@@ -66,7 +66,7 @@
 // A peer is frozen or its zone is cut off in the middle of a call. The caller
 // must get its thread back soon, so that it can ask another peer.
 func TestFetchGivesUp(t *testing.T) {
-	client, err := peer.NewClient(peer.ClientOptions{Plain: true, Timeout: 50 * time.Millisecond})
+	client, err := peer.NewClient(peer.ClientOptions{Plaintext: true, Timeout: 50 * time.Millisecond})
 	require.NoError(t, err)
 	t.Cleanup(client.Close)
 	_, err = client.FetchRules(t.Context(), serve(t, fakeSource{hang: true}), 0)
@@ -76,7 +76,7 @@
 // A call's time ends at the peer a moment before it ends at the caller. The caller must
 // take that for a timeout all the same, and not for a peer that is not ready.
 func TestDeadlineThatEndsAtThePeerIsATimeout(t *testing.T) {
-	client, err := peer.NewClient(peer.ClientOptions{Plain: true})
+	client, err := peer.NewClient(peer.ClientOptions{Plaintext: true})
 	require.NoError(t, err)
 	t.Cleanup(client.Close)
 	_, err = client.FetchVMs(t.Context(), serve(t, fakeSource{hang: true}), 0)
