--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -57,7 +57,7 @@
 func (n *Node) findNamesake(ctx context.Context, addrs []string) membership.Sighting {
 	sighting := membership.Unanswered
 	for _, addr := range addrs {
-		heard, err := n.peers.Hears(ctx, addr, n.set.Node)
+		heard, err := n.peers.ReceivesHeartbeatsFrom(ctx, addr, n.set.Node)
 		switch {
 		case err != nil:
 			n.log.Warn("not told who has this node's name", "peer", addr, "err", err.Error())
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -99,8 +99,8 @@
 	return resp.Msg, nil
 }
 
-// Hears asks the peer at addr, an ip:port, whether it hears the node.
-func (c *Client) Hears(ctx context.Context, addr string, node cluster.NodeID) (bool, error) {
+// ReceivesHeartbeatsFrom asks the peer at addr, an ip:port, whether it hears the node.
+func (c *Client) ReceivesHeartbeatsFrom(ctx context.Context, addr string, node cluster.NodeID) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	operators := wirepbconnect.NewOperatorServiceClient(c.http, c.scheme+addr, connect.WithReadMaxBytes(maxResponse))
