--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -26,8 +26,8 @@
 	RulesRevision int64
 	// Team is empty on public routes.
 	Team cluster.TeamID
-	// Urgency is the caller's priority, 0 first.
-	Urgency int
+	// Priority is the caller's priority, 0 first.
+	Priority int
 
 	// Model is empty for calls to plain services.
 	Model string
--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -167,7 +167,7 @@
 	c.mu.Unlock()
 	now := time.Now()
 	n.serve(ctx, &call.Call{ID: id, Route: route, RulesRevision: 1, Model: k.Model, PromptTokens: prompt, AnswerTokens: int(k.Answer.Most), HintTokens: hint,
-		Urgency: k.Priority, ReceivedAt: now, Deadline: sent.Add(k.Deadline), ResumeAfter: resume}, s)
+		Priority: k.Priority, ReceivedAt: now, Deadline: sent.Add(k.Deadline), ResumeAfter: resume}, s)
 	return s
 }
 
