--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -31,9 +31,9 @@
 
 	// Model is empty for calls to plain services.
 	Model string
-	// PromptTokens and AnswerTokens are the prompt's size and the answer's bound;
+	// PromptTokens and MaxOutputTokens are the prompt's size and the answer's bound;
 	// HintTokens is the caller's guess at the answer's size. Zero where not told.
-	PromptTokens, AnswerTokens, HintTokens int
+	PromptTokens, MaxOutputTokens, HintTokens int
 	// Work is the part of a replica's time that the call takes, as estimated on a full
 	// replica; zero where it is not known.
 	Work time.Duration
@@ -85,11 +85,11 @@
 func (c *Call) ExpectedAnswer() int {
 	switch {
 	case c.HintTokens <= 0:
-		return c.AnswerTokens
-	case c.AnswerTokens <= 0:
+		return c.MaxOutputTokens
+	case c.MaxOutputTokens <= 0:
 		return c.HintTokens
 	}
-	return min(c.HintTokens, c.AnswerTokens)
+	return min(c.HintTokens, c.MaxOutputTokens)
 }
 
 // returnShare is the part of its time that a caller must have used up elsewhere
