--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -32,8 +32,8 @@
 	// Model is empty for calls to plain services.
 	Model string
 	// PromptTokens and MaxOutputTokens are the prompt's size and the answer's bound;
-	// HintTokens is the caller's guess at the answer's size. Zero where not told.
-	PromptTokens, MaxOutputTokens, HintTokens int
+	// OutputTokensHint is the caller's guess at the answer's size. Zero where not told.
+	PromptTokens, MaxOutputTokens, OutputTokensHint int
 	// Work is the part of a replica's time that the call takes, as estimated on a full
 	// replica; zero where it is not known.
 	Work time.Duration
@@ -84,12 +84,12 @@
 // the bound that it set.
 func (c *Call) ExpectedAnswer() int {
 	switch {
-	case c.HintTokens <= 0:
+	case c.OutputTokensHint <= 0:
 		return c.MaxOutputTokens
 	case c.MaxOutputTokens <= 0:
-		return c.HintTokens
+		return c.OutputTokensHint
 	}
-	return min(c.HintTokens, c.MaxOutputTokens)
+	return min(c.OutputTokensHint, c.MaxOutputTokens)
 }
 
 // returnShare is the part of its time that a caller must have used up elsewhere
--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -166,7 +166,7 @@
 	route := c.routes[k.Name]
 	c.mu.Unlock()
 	now := time.Now()
-	n.serve(ctx, &call.Call{ID: id, Route: route, RulesRevision: 1, Model: k.Model, PromptTokens: prompt, MaxOutputTokens: int(k.Answer.Most), HintTokens: hint,
+	n.serve(ctx, &call.Call{ID: id, Route: route, RulesRevision: 1, Model: k.Model, PromptTokens: prompt, MaxOutputTokens: int(k.Answer.Most), OutputTokensHint: hint,
 		Priority: k.Priority, ReceivedAt: now, Deadline: sent.Add(k.Deadline), ResumeAfter: resume}, s)
 	return s
 }
