--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -34,9 +34,9 @@
 	// PromptTokens and MaxOutputTokens are the prompt's size and the answer's bound;
 	// OutputTokensHint is the caller's guess at the answer's size. Zero where not told.
 	PromptTokens, MaxOutputTokens, OutputTokensHint int
-	// Work is the part of a replica's time that the call takes, as estimated on a full
+	// EstimatedWork is the part of a replica's time that the call takes, as estimated on a full
 	// replica; zero where it is not known.
-	Work time.Duration
+	EstimatedWork time.Duration
 	// ResumeAfter is the id of the last piece that the caller has of an earlier
 	// attempt; empty when it starts anew.
 	ResumeAfter string
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -205,7 +205,7 @@
 // Serve takes a call to its end; it is the relay, and also notices the first request of all.
 func (n *Core) Serve(ctx context.Context, c *call.Call, sink call.Sink) {
 	n.asked.Store(true)
-	c.Work = n.workOf(c)
+	c.EstimatedWork = n.workOf(c)
 	n.relay.Serve(ctx, c, sink)
 }
 
