--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -46,9 +46,9 @@
 	Deadline time.Time
 }
 
-// End is when the call must have its final answer: the caller's deadline or the
+// EffectiveDeadline is when the call must have its final answer: the caller's deadline or the
 // route's timeout, whichever is first.
-func (c *Call) End() time.Time {
+func (c *Call) EffectiveDeadline() time.Time {
 	end := c.Deadline
 	if limit := c.Route.Terms.Timeout; limit > 0 {
 		if at := c.ReceivedAt.Add(limit); end.IsZero() || at.Before(end) {
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -59,7 +59,7 @@
 // Serve handles the call until it is answered or given up. ctx ends when the caller
 // disconnects.
 func (r *Relay) Serve(ctx context.Context, c *call.Call, sink call.Sink) {
-	s := &session{r: r, call: c, sink: sink, end: c.End(), lastID: c.ResumeAfter}
+	s := &session{r: r, call: c, sink: sink, end: c.EffectiveDeadline(), lastID: c.ResumeAfter}
 	s.service = c.Route.Terms.Pick(xxhash.Sum64String(c.ID))
 	s.group = GroupOf(s.service, c.Model)
 	r.opts.Budget.RecordCall(s.service, c.ReceivedAt)
