--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -80,9 +80,9 @@
 	Refuse(err *fennelerr.Error)
 }
 
-// ExpectedAnswer is how many tokens the answer probably has: the caller's guess, within
+// ExpectedOutputTokens is how many tokens the answer probably has: the caller's guess, within
 // the bound that it set.
-func (c *Call) ExpectedAnswer() int {
+func (c *Call) ExpectedOutputTokens() int {
 	switch {
 	case c.OutputTokensHint <= 0:
 		return c.MaxOutputTokens
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -220,7 +220,7 @@
 	if g == nil || !g.Engine.Known() {
 		return 0
 	}
-	return g.Engine.Work(c.PromptTokens, c.ExpectedAnswer())
+	return g.Engine.Work(c.PromptTokens, c.ExpectedOutputTokens())
 }
 
 // freshFor is how long the configuration counts as the newest after the store
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -267,7 +267,7 @@
 		"reason", choice.Reason, "considered", choice.Considered, "waited", a.started.Sub(s.call.ReceivedAt),
 		"first", result.FirstToken, "target", terms.Target, "took", result.Duration}
 	if s.streams() {
-		fields = append(fields, "prompt", s.call.PromptTokens, "expected", s.call.ExpectedAnswer(), "work", s.call.EstimatedWork, "pieces", result.Tokens, "pause", s.maxGap, "pause_target", terms.TargetGap)
+		fields = append(fields, "prompt", s.call.PromptTokens, "expected", s.call.ExpectedOutputTokens(), "work", s.call.EstimatedWork, "pieces", result.Tokens, "pause", s.maxGap, "pause_target", terms.TargetGap)
 	}
 	if a.load != nil {
 		fields = append(fields, "running", a.load.Running, "waiting", a.load.Waiting, "slots", a.load.Slots)
