--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -98,9 +98,9 @@
 // a day without faults; below it lay 4%, most of them second attempts).
 const returnShare = 0.16
 
-// Returning reports whether the caller has sent this before, and was turned away or cut
+// LikelyRetry reports whether the caller has sent this before, and was turned away or cut
 // off: it has less time left than callers of the route start with.
-func (c *Call) Returning() bool {
+func (c *Call) LikelyRetry() bool {
 	limit := c.Route.Terms.Timeout
 	if limit <= 0 || c.Deadline.IsZero() {
 		return false
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -146,7 +146,7 @@
 // allowedExtra returns how many requests beyond its slots a replica may hold, this one
 // included.
 func (s *session) allowedExtra() float64 {
-	if s.attempts == 1 && s.call.Returning() {
+	if s.attempts == 1 && s.call.LikelyRetry() {
 		return extraForReturning
 	}
 	return extraRequests
