--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -67,8 +67,8 @@
 // Sink takes a call's answer. Exactly one of Whole, Refuse, or Start is called;
 // after Start come pieces and then End or Abort.
 type Sink interface {
-	// Whole delivers an answer in one piece.
-	Whole(head Head, body []byte) error
+	// Respond delivers an answer in one piece.
+	Respond(head Head, body []byte) error
 	// Start begins an answer that comes in pieces.
 	Start(head Head) error
 	Piece(data []byte) error
--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -190,8 +190,8 @@
 	refused     *fennelerr.Error
 }
 
-// Whole implements call.Sink.
-func (s *sink) Whole(call.Head, []byte) error { s.ended = true; return nil }
+// Respond implements call.Sink.
+func (s *sink) Respond(call.Head, []byte) error { s.ended = true; return nil }
 
 // Start implements call.Sink.
 func (s *sink) Start(call.Head) error { return nil }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -112,7 +112,7 @@
 		a.s.failedAnswer = &storedAnswer{reply.Head, body}
 		return a.result(false, first, 0), serverFailure(reply)
 	}
-	if err := a.s.sink.Whole(reply.Head, body); err != nil {
+	if err := a.s.sink.Respond(reply.Head, body); err != nil {
 		a.s.r.opts.Log.Info("caller gone", "request", a.s.call.ID, "err", err.Error())
 	}
 	return a.result(true, first, 1), nil
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -155,7 +155,7 @@
 	refused *fennelerr.Error
 }
 
-func (r *recorder) Whole(head call.Head, body []byte) error {
+func (r *recorder) Respond(head call.Head, body []byte) error {
 	r.head, r.text, r.ended = head, string(body), true
 	return nil
 }
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -208,7 +208,7 @@
 	case s.started:
 		s.sink.Abort(s.failure(cause))
 	case s.failedAnswer != nil:
-		_ = s.sink.Whole(s.failedAnswer.head, s.failedAnswer.body) // the caller may have disconnected
+		_ = s.sink.Respond(s.failedAnswer.head, s.failedAnswer.body) // the caller may have disconnected
 	case s.mayHaveRun:
 		s.sink.Refuse(s.failure(cause))
 	default:
