--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -71,7 +71,7 @@
 	Respond(head Head, body []byte) error
 	// Start begins an answer that comes in pieces.
 	Start(head Head) error
-	Piece(data []byte) error
+	WritePiece(data []byte) error
 	// End says that the answer is complete.
 	End() error
 	// Abort breaks off an answer so that it can't be taken for a complete one.
--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -196,8 +196,8 @@
 // Start implements call.Sink.
 func (s *sink) Start(call.Head) error { return nil }
 
-// Piece implements call.Sink.
-func (s *sink) Piece([]byte) error {
+// WritePiece implements call.Sink.
+func (s *sink) WritePiece([]byte) error {
 	now := time.Now()
 	if s.pieces == 0 {
 		s.first = now
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -154,7 +154,7 @@
 		}
 	}
 	a.s.recordPiece(time.Now())
-	return a.s.sink.Piece(data)
+	return a.s.sink.WritePiece(data)
 }
 
 func (a *attempt) endStream(reply *Reply, first time.Duration, pieces int) (routing.Result, error) {
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -160,7 +160,7 @@
 	return nil
 }
 func (r *recorder) Start(head call.Head) error  { r.head = head; return nil }
-func (r *recorder) Piece(data []byte) error     { r.text += string(data); return nil }
+func (r *recorder) WritePiece(data []byte) error     { r.text += string(data); return nil }
 func (r *recorder) End() error                  { r.ended = true; return nil }
 func (r *recorder) Abort(err *fennelerr.Error)  { r.aborted = err }
 func (r *recorder) Refuse(err *fennelerr.Error) { r.refused = err }
