--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -15,8 +15,8 @@
 	Cost int
 	// PrefixHashes name the prompt's beginnings, for replicas that have them in memory.
 	PrefixHashes []uint64
-	// Begin opens the exchange with the caller.
-	Begin func(to Caller) Exchange
+	// NewExchange opens the exchange with the caller.
+	NewExchange func(to Caller) Exchange
 }
 
 // Caller is where the answer to a call goes.
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -446,7 +446,7 @@
 	set := testSet(t)
 	asked, err := openai.Front{}.Parse(engine.ChatPath, []byte(chatStrm))
 	require.NoError(t, err)
-	exchange := asked.Begin(call.Caller{W: out, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
+	exchange := asked.NewExchange(call.Caller{W: out, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
 	t.Cleanup(exchange.Close)
 	return &session{g: New(Options{Front: openai.Front{}}), c: caller{id: "r", set: set, team: &set.Teams[0]}, asked: asked, exchange: exchange,
 		target: &target{}, slot: openSlot{&openAdmitter{}}}
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -29,7 +29,7 @@
 		g.replay(w, c, recorded)
 		return
 	}
-	s.exchange = s.asked.Begin(call.Caller{W: w, RequestID: c.id, WriteTimeout: g.opts.WriteTimeout, KeepAlive: g.opts.KeepAlive})
+	s.exchange = s.asked.NewExchange(call.Caller{W: w, RequestID: c.id, WriteTimeout: g.opts.WriteTimeout, KeepAlive: g.opts.KeepAlive})
 	defer s.exchange.Close()
 	s.right = right
 	err = g.runSession(r, s, deadline)
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -24,7 +24,7 @@
 	asked, err := Front{}.Parse(engine.ChatPath, []byte(body))
 	require.NoError(t, err)
 	seen := httptest.NewRecorder()
-	x := asked.Begin(call.Caller{W: seen, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
+	x := asked.NewExchange(call.Caller{W: seen, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
 	t.Cleanup(x.Close)
 	return x, seen
 }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -22,7 +22,7 @@
 	}
 	return &call.ModelCall{
 		Model: req.model, Cost: req.cost(), PrefixHashes: req.prefixHashes,
-		Begin: func(to call.Caller) call.Exchange { return newExchange(req, to) },
+		NewExchange: func(to call.Caller) call.Exchange { return newExchange(req, to) },
 	}, nil
 }
 
