--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -33,9 +33,9 @@
 // Exchange translates one call to a model engine, and the engine's events to the
 // caller's answer. It is used by one goroutine.
 type Exchange interface {
-	// Body is what the engine gets. With goOn it is asked to go on after what has come
+	// RequestBody is what the engine gets. With goOn it is asked to go on after what has come
 	// so far.
-	Body(goOn bool) ([]byte, error)
+	RequestBody(goOn bool) ([]byte, error)
 	// Check reads an event and fails when it is no part of this call's answer, with an
 	// *engine.MismatchError or *engine.BrokenError. At the end marker it fails unless
 	// the answer is whole.
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -153,7 +153,7 @@
 // Attempt implements recovery.Call: it runs one exchange with the target.
 func (s *session) Attempt(ctx context.Context) error {
 	goOn := s.carryOn && !s.resume // a replica that is asked again has the beginning already
-	body, err := s.exchange.Body(goOn)
+	body, err := s.exchange.RequestBody(goOn)
 	if err != nil {
 		return err
 	}
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -31,8 +31,8 @@
 	return x
 }
 
-// Body implements call.Exchange.
-func (x *exchange) Body(goOn bool) ([]byte, error) {
+// RequestBody implements call.Exchange.
+func (x *exchange) RequestBody(goOn bool) ([]byte, error) {
 	if !goOn {
 		return x.req.engineBody("")
 	}
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -95,7 +95,7 @@
 	require.True(t, x.Begun())
 	require.True(t, x.CanGoOn())
 	require.Nil(t, x.Document())
-	body, err := x.Body(true)
+	body, err := x.RequestBody(true)
 	require.NoError(t, err)
 	require.Contains(t, string(body), `"warm "`)
 	require.Contains(t, seen.Body.String(), "warm ")
