--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -45,8 +45,8 @@
 	Pass(ev engine.Event) error
 	// LastID is the id of the last event handed on.
 	LastID() int64
-	// CanGoOn reports whether another engine could go on after what has come so far.
-	CanGoOn() bool
+	// CanContinue reports whether another engine could go on after what has come so far.
+	CanContinue() bool
 	// Begun reports whether the caller has a part of the answer.
 	Begun() bool
 	// Restart drops what has come; only allowed while not Begun.
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -74,8 +74,8 @@
 // LastID implements call.Exchange.
 func (x *exchange) LastID() int64 { return x.prog.lastID }
 
-// CanGoOn implements call.Exchange: text of a single choice can be continued.
-func (x *exchange) CanGoOn() bool { return x.req.choices == 1 && x.prog.plain }
+// CanContinue implements call.Exchange: text of a single choice can be continued.
+func (x *exchange) CanContinue() bool { return x.req.choices == 1 && x.prog.plain }
 
 // Begun implements call.Exchange.
 func (x *exchange) Begun() bool { return x.sink.committed() }
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -93,17 +93,17 @@
 	x, seen := begin(t, streamBody)
 	require.NoError(t, feed(x, 1, firstChunk))
 	require.True(t, x.Begun())
-	require.True(t, x.CanGoOn())
+	require.True(t, x.CanContinue())
 	require.Nil(t, x.Document())
 	body, err := x.RequestBody(true)
 	require.NoError(t, err)
 	require.Contains(t, string(body), `"warm "`)
 	require.Contains(t, seen.Body.String(), "warm ")
 	require.NoError(t, feed(x, 2, `{"id":"chatcmpl-r","choices":[{"index":0,"delta":{"tool_calls":[{"index":0}]}}]}`))
-	require.False(t, x.CanGoOn(), "a tool call")
+	require.False(t, x.CanContinue(), "a tool call")
 
 	two, _ := begin(t, twoChoices)
-	require.False(t, two.CanGoOn(), "two choices")
+	require.False(t, two.CanContinue(), "two choices")
 }
 
 // A rejection without a document still has to become an answer.
