--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -47,8 +47,8 @@
 	LastID() int64
 	// CanContinue reports whether another engine could go on after what has come so far.
 	CanContinue() bool
-	// Begun reports whether the caller has a part of the answer.
-	Begun() bool
+	// ResponseStarted reports whether the caller has a part of the answer.
+	ResponseStarted() bool
 	// Restart drops what has come; only allowed while not Begun.
 	Restart()
 	// Finish ends a whole answer.
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -99,7 +99,7 @@
 		log.Info("caller gone", "run", s.run, "err", err.Error())
 		return
 	}
-	if !s.exchange.Begun() {
+	if !s.exchange.ResponseStarted() {
 		g.refuse(w, r, s.c, err)
 		return
 	}
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -28,7 +28,7 @@
 func (s *session) Classify(ctx context.Context, err error) recovery.Failure {
 	f := recovery.Failure{
 		Outcome: recovery.Interrupted, MayHaveRun: s.run != fennelerr.NotRun, Repeatable: s.route.Once != rules.OnceRequired,
-		ResponseStarted: s.exchange.Begun(), CanContinue: s.info.CanContinue && s.exchange.CanContinue(),
+		ResponseStarted: s.exchange.ResponseStarted(), CanContinue: s.info.CanContinue && s.exchange.CanContinue(),
 		Attempts: s.fruitless, MaxAttempts: s.g.opts.MaxAttempts,
 		TakeRetry: func() bool { return s.g.opts.Admitter.AllowRetry(s.c.team.Name) },
 	}
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -77,8 +77,8 @@
 // CanContinue implements call.Exchange: text of a single choice can be continued.
 func (x *exchange) CanContinue() bool { return x.req.choices == 1 && x.prog.plain }
 
-// Begun implements call.Exchange.
-func (x *exchange) Begun() bool { return x.sink.committed() }
+// ResponseStarted implements call.Exchange.
+func (x *exchange) ResponseStarted() bool { return x.sink.committed() }
 
 // Restart implements call.Exchange.
 func (x *exchange) Restart() {
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -77,7 +77,7 @@
 func TestRestartDropsWhatCame(t *testing.T) {
 	x, seen := begin(t, wholeBody)
 	require.NoError(t, feed(x, 1, firstChunk))
-	require.False(t, x.Begun())
+	require.False(t, x.ResponseStarted())
 	x.Restart()
 	require.Zero(t, x.LastID())
 	require.NoError(t, feed(x, 1, lastChunk))
@@ -92,7 +92,7 @@
 func TestOnlyPlainTextGoesOnElsewhere(t *testing.T) {
 	x, seen := begin(t, streamBody)
 	require.NoError(t, feed(x, 1, firstChunk))
-	require.True(t, x.Begun())
+	require.True(t, x.ResponseStarted())
 	require.True(t, x.CanContinue())
 	require.Nil(t, x.Document())
 	body, err := x.RequestBody(true)
