--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -49,8 +49,8 @@
 	CanContinue() bool
 	// ResponseStarted reports whether the caller has a part of the answer.
 	ResponseStarted() bool
-	// Restart drops what has come; only allowed while not Begun.
-	Restart()
+	// Reset drops what has come; only allowed while not Begun.
+	Reset()
 	// Finish ends a whole answer.
 	Finish() error
 	// Document is the whole answer as one document, after Finish; nil when it was
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -89,7 +89,7 @@
 		return
 	}
 	restarts.Inc()
-	s.exchange.Restart()
+	s.exchange.Reset()
 }
 
 func countInterruption(err error) {
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -80,8 +80,8 @@
 // ResponseStarted implements call.Exchange.
 func (x *exchange) ResponseStarted() bool { return x.sink.committed() }
 
-// Restart implements call.Exchange.
-func (x *exchange) Restart() {
+// Reset implements call.Exchange.
+func (x *exchange) Reset() {
 	x.sink.restart()
 	x.prog = newProgress()
 }
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -78,7 +78,7 @@
 	x, seen := begin(t, wholeBody)
 	require.NoError(t, feed(x, 1, firstChunk))
 	require.False(t, x.ResponseStarted())
-	x.Restart()
+	x.Reset()
 	require.Zero(t, x.LastID())
 	require.NoError(t, feed(x, 1, lastChunk))
 	require.NoError(t, x.Finish())
