--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -53,9 +53,9 @@
 	Reset()
 	// Finish ends a whole answer.
 	Finish() error
-	// Document is the whole answer as one document, after Finish; nil when it was
+	// ResponseDocument is the whole answer as one document, after Finish; nil when it was
 	// streamed.
-	Document() []byte
+	ResponseDocument() []byte
 	// Abort ends a begun answer with an error's document, so that it can't be taken
 	// for whole.
 	Abort(document []byte)
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -122,7 +122,7 @@
 		return claimOutcome{kind: claimUnknown}
 	}
 	answer := claims.Answer{Status: http.StatusOK, ContentType: "application/json"}
-	answer.Body = s.exchange.Document()
+	answer.Body = s.exchange.ResponseDocument()
 	answer.BodyOmitted = answer.Body == nil
 	return claimOutcome{kind: claimRan, answer: answer}
 }
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -89,8 +89,8 @@
 // Finish implements call.Exchange.
 func (x *exchange) Finish() error { return x.sink.finish() }
 
-// Document implements call.Exchange.
-func (x *exchange) Document() []byte {
+// ResponseDocument implements call.Exchange.
+func (x *exchange) ResponseDocument() []byte {
 	if whole, ok := x.sink.(*wholeSink); ok {
 		return whole.sent
 	}
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -82,8 +82,8 @@
 	require.Zero(t, x.LastID())
 	require.NoError(t, feed(x, 1, lastChunk))
 	require.NoError(t, x.Finish())
-	require.Contains(t, string(x.Document()), `"content":"shell"`)
-	require.Equal(t, string(x.Document()), seen.Body.String())
+	require.Contains(t, string(x.ResponseDocument()), `"content":"shell"`)
+	require.Equal(t, string(x.ResponseDocument()), seen.Body.String())
 	require.Equal(t, string(fennelerr.Ran), seen.Header().Get(call.HeaderRun))
 }
 
@@ -94,7 +94,7 @@
 	require.NoError(t, feed(x, 1, firstChunk))
 	require.True(t, x.ResponseStarted())
 	require.True(t, x.CanContinue())
-	require.Nil(t, x.Document())
+	require.Nil(t, x.ResponseDocument())
 	body, err := x.RequestBody(true)
 	require.NoError(t, err)
 	require.Contains(t, string(body), `"warm "`)
