--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -40,9 +40,9 @@
 	// *engine.MismatchError or *engine.BrokenError. At the end marker it fails unless
 	// the answer is whole.
 	Check(addr string, ev engine.Event) error
-	// Pass hands on the event that was checked last. Its error means that the caller
+	// Forward hands on the event that was checked last. Its error means that the caller
 	// is gone.
-	Pass(ev engine.Event) error
+	Forward(ev engine.Event) error
 	// LastID is the id of the last event handed on.
 	LastID() int64
 	// CanContinue reports whether another engine could go on after what has come so far.
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -194,7 +194,7 @@
 		return errFirstTokenLate
 	}
 	s.noteToken()
-	if err := s.exchange.Pass(ev); err != nil {
+	if err := s.exchange.Forward(ev); err != nil {
 		return &callerGoneError{err}
 	}
 	return nil
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// Pass implements call.Exchange.
-func (x *exchange) Pass(ev engine.Event) error {
+// Forward implements call.Exchange.
+func (x *exchange) Forward(ev engine.Event) error {
 	if x.checked == nil {
 		return nil
 	}
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -35,7 +35,7 @@
 	if err := x.Check("engine-1", ev); err != nil {
 		return err
 	}
-	return x.Pass(ev)
+	return x.Forward(ev)
 }
 
 const (
@@ -53,7 +53,7 @@
 	require.True(t, broken, "%v", err)
 	require.NoError(t, feed(x, 2, lastChunk))
 	require.NoError(t, x.Check("engine-1", engine.Event{Done: true}))
-	require.NoError(t, x.Pass(engine.Event{Done: true}))
+	require.NoError(t, x.Forward(engine.Event{Done: true}))
 }
 
 // A connection brings the answer to another caller's request. Passed on, one skier
