--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -43,8 +43,8 @@
 	// Forward hands on the event that was checked last. Its error means that the caller
 	// is gone.
 	Forward(ev engine.Event) error
-	// LastID is the id of the last event handed on.
-	LastID() int64
+	// LastEventID is the id of the last event handed on.
+	LastEventID() int64
 	// CanContinue reports whether another engine could go on after what has come so far.
 	CanContinue() bool
 	// ResponseStarted reports whether the caller has a part of the answer.
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -56,7 +56,7 @@
 func (s *session) Apply(_ context.Context, d recovery.Decision, err error) error {
 	t := s.target.choice
 	s.g.opts.Log.Warn("attempt failed", "request", s.c.id, "replica", t.Replica.ID, "addr", t.Addr,
-		"after_event", s.exchange.LastID(), "next", d.Step, "reason", d.Reason, "err", err.Error())
+		"after_event", s.exchange.LastEventID(), "next", d.Step, "reason", d.Reason, "err", err.Error())
 	if d.Step == recovery.Resume {
 		resumesSame.Inc()
 		s.resume = true
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -118,7 +118,7 @@
 	s.resume = false
 	s.g.opts.Log.Info("route", "request", s.c.id, "team", s.c.team.Name, "group", s.route.Group, "rule_line", s.route.Line,
 		"replica", choice.Replica.ID, "generation", choice.Replica.Generation, "addr", choice.Addr, "reason", choice.Reason,
-		"considered", choice.Considered, "alone", alone, "after_event", s.exchange.LastID())
+		"considered", choice.Considered, "alone", alone, "after_event", s.exchange.LastEventID())
 	return nil
 }
 
@@ -158,7 +158,7 @@
 		return err
 	}
 	replica := s.target.choice.Replica
-	before := s.exchange.LastID()
+	before := s.exchange.LastEventID()
 	err = s.g.opts.Streamer.Stream(ctx, engine.StreamRequest{
 		Addr: s.target.choice.Addr, Path: s.path, RequestID: s.c.id, Replica: replica.ID, Generation: replica.Generation,
 		Priority: s.c.team.Priority, Body: body, ResumeAfter: before, Resume: s.resume, Continue: goOn,
@@ -166,7 +166,7 @@
 	if s.run == fennelerr.NotRun && !provesNotStarted(err) {
 		s.run = fennelerr.Unknown
 	}
-	if s.exchange.LastID() > before {
+	if s.exchange.LastEventID() > before {
 		s.fruitless = 0
 	} else {
 		s.fruitless++
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// LastID implements call.Exchange.
-func (x *exchange) LastID() int64 { return x.prog.lastID }
+// LastEventID implements call.Exchange.
+func (x *exchange) LastEventID() int64 { return x.prog.lastID }
 
 // CanContinue implements call.Exchange: text of a single choice can be continued.
 func (x *exchange) CanContinue() bool { return x.req.choices == 1 && x.prog.plain }
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -66,7 +66,7 @@
 			mismatch, ok := errors.Into[*engine.MismatchError](err)
 			require.True(t, ok, "%v", err)
 			require.Equal(t, "chatcmpl-r", mismatch.Want)
-			require.Zero(t, x.LastID())
+			require.Zero(t, x.LastEventID())
 			require.Empty(t, seen.Body.String())
 		})
 	}
@@ -79,7 +79,7 @@
 	require.NoError(t, feed(x, 1, firstChunk))
 	require.False(t, x.ResponseStarted())
 	x.Reset()
-	require.Zero(t, x.LastID())
+	require.Zero(t, x.LastEventID())
 	require.NoError(t, feed(x, 1, lastChunk))
 	require.NoError(t, x.Finish())
 	require.Contains(t, string(x.ResponseDocument()), `"content":"shell"`)
