--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,7 +18,7 @@
 // Defaults of Options.
 const (
 	DefaultMaxBody       = 4 << 20
-	DefaultDeadline      = 30 * time.Second
+	DefaultFirstTokenTimeout      = 30 * time.Second
 	DefaultCallTimeout   = 20 * time.Second
 	DefaultWriteTimeout  = 30 * time.Second
 	DefaultProbeTimeout  = time.Second
@@ -77,7 +77,7 @@
 
 func (o *Options) setDefaults() {
 	setDefault(&o.MaxBody, DefaultMaxBody)
-	setDefault(&o.Deadline, DefaultDeadline)
+	setDefault(&o.Deadline, DefaultFirstTokenTimeout)
 	setDefault(&o.CallTimeout, DefaultCallTimeout)
 	setDefault(&o.WriteTimeout, DefaultWriteTimeout)
 	setDefault(&o.ProbeTimeout, DefaultProbeTimeout)
