--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -129,7 +129,7 @@
 		Quarantine: n.suspects, Pools: n.pools, Streamer: engine.NewStreamer(n.pools, 0), Prober: n.prober, Log: n.log,
 		OnReplicaFailed: func(r cluster.Replica, _ string) { n.health.Doubt(r.ID) },
 		NewID:           newRequestID,
-		MaxBody:         req.MaxBody, Deadline: req.Deadline, CallTimeout: req.CallTimeout,
+		MaxBody:         req.MaxBody, FirstTokenTimeout: req.Deadline, CallTimeout: req.CallTimeout,
 	})
 	return nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -60,8 +60,8 @@
 
 	// MaxBody bounds a request's body, in bytes.
 	MaxBody int64
-	// Deadline is how long a caller waits for the first token when it names no bound itself.
-	Deadline time.Duration
+	// FirstTokenTimeout is how long a caller waits for the first token when it names no bound itself.
+	FirstTokenTimeout time.Duration
 	// CallTimeout bounds a call to a plain service.
 	CallTimeout time.Duration
 	// WriteTimeout is how long a caller may take no bytes before it counts as gone.
@@ -77,7 +77,7 @@
 
 func (o *Options) setDefaults() {
 	setDefault(&o.MaxBody, DefaultMaxBody)
-	setDefault(&o.Deadline, DefaultFirstTokenTimeout)
+	setDefault(&o.FirstTokenTimeout, DefaultFirstTokenTimeout)
 	setDefault(&o.CallTimeout, DefaultCallTimeout)
 	setDefault(&o.WriteTimeout, DefaultWriteTimeout)
 	setDefault(&o.ProbeTimeout, DefaultProbeTimeout)
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -42,7 +42,7 @@
 		return nil, time.Time{}, fennelerr.Invalid("", "%s takes POST", r.URL.Path)
 	}
 	now := time.Now()
-	deadline, err := deadlineOf(r, now, g.opts.Deadline)
+	deadline, err := deadlineOf(r, now, g.opts.FirstTokenTimeout)
 	if err != nil {
 		return nil, deadline, err
 	}
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -48,7 +48,7 @@
 	const callers, batch = 120, 2
 	b := newBench(t, 3, standinengine.Options{MaxRunning: batch, TokenInterval: 2 * time.Millisecond}, func(b *bench) {
 		realChoice(b, nil, true, batch)
-		b.opts.Deadline = 400 * time.Millisecond
+		b.opts.FirstTokenTimeout = 400 * time.Millisecond
 	})
 	for i := range 6 { // so that hold times are known
 		requireWhole(t, b.chat(numbered(i)), numbered(i))
@@ -127,7 +127,7 @@
 			policy = routing.Naive{}
 		}
 		realChoice(b, policy, !naive, batch)
-		b.opts.Deadline = 500 * time.Millisecond
+		b.opts.FirstTokenTimeout = 500 * time.Millisecond
 	})
 	b.server.Client().Transport.(*http.Transport).MaxIdleConnsPerHost = 1 << 10
 	tick := time.NewTicker(gap)
--- a/internal/gateway/rerun_test.go
+++ b/internal/gateway/rerun_test.go
@@ -41,7 +41,7 @@
 		b.router.choices[0].Addr = rel.addr()
 		b.opts.Rules = fixedRules{set}
 		b.opts.Prober = lastWords{b.opts.Prober, func() { rel.ln.Close() }}
-		b.opts.Deadline = 5 * time.Second
+		b.opts.FirstTokenTimeout = 5 * time.Second
 	})
 	go func() {
 		for b.runs() == 0 {
