--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,8 +55,8 @@
 	// OnReplicaFailed is told of replicas that failed a request, so that the
 	// health check looks at once; may be nil.
 	OnReplicaFailed func(replica cluster.Replica, reason string)
-	// NewID returns a request id that no other request of any node has.
-	NewID func() string
+	// NewRequestID returns a request id that no other request of any node has.
+	NewRequestID func() string
 
 	// MaxBody bounds a request's body, in bytes.
 	MaxBody int64
@@ -141,7 +141,7 @@
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	id := g.opts.NewID()
+	id := g.opts.NewRequestID()
 	w.Header().Set(engine.HeaderRequestID, id)
 	c, err := g.authenticate(r, id)
 	if err != nil {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -196,7 +196,7 @@
 	b.opts = Options{
 		Front: openai.Front{}, Rules: fixedRules{testSet(t)}, Router: b.router, Admitter: b.admitter, Claimer: b.claims, Quarantine: b.quarantine,
 		Pools: pools, Streamer: engine.NewStreamer(pools, time.Second), Prober: prober,
-		NewID: func() string { return fmt.Sprintf("req-%d", ids.Add(1)) },
+		NewRequestID: func() string { return fmt.Sprintf("req-%d", ids.Add(1)) },
 	}
 	if testing.Verbose() {
 		b.opts.Log = slog.New(slog.NewTextHandler(b.t.Output(), nil))
