--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -54,7 +54,7 @@
 	}
 	for _, t := range n.admission.Statuses() {
 		resp.Teams = append(resp.Teams, &wirepb.TeamReport{Team: string(t.Team), Running: int32(t.Running), Waiting: int32(t.Waiting),
-			Refused: n.gateway.Refused(t.Team)})
+			Refused: n.gateway.RefusedRequests(t.Team)})
 	}
 	return resp, nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -115,8 +115,8 @@
 	count.(*atomic.Int64).Add(1)
 }
 
-// Refused returns how many requests of the team were refused since the start.
-func (g *Gateway) Refused(team cluster.TeamID) int64 {
+// RefusedRequests returns how many requests of the team were refused since the start.
+func (g *Gateway) RefusedRequests(team cluster.TeamID) int64 {
 	if count, ok := g.refused.Load(team); ok {
 		return count.(*atomic.Int64).Load()
 	}
