--- a/internal/gateway/deps.go
+++ b/internal/gateway/deps.go
@@ -30,9 +30,9 @@
 	Models(names []string) []byte
 	// Error is the document of a refusal.
 	Error(e *fennelerr.Error, requestID string) []byte
-	// Rejection reads an engine's rejection of a request; both results are empty where
+	// ParseRejection reads an engine's rejection of a request; both results are empty where
 	// it gives no reason.
-	Rejection(body []byte) (message, field string)
+	ParseRejection(body []byte) (message, field string)
 }
 
 // Router chooses replicas and counts what runs on them.
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -109,9 +109,9 @@
 // A rejection without a document still has to become an answer.
 func TestRejection(t *testing.T) {
 	refusal := fennelerr.Invalid("max_tokens", "too many")
-	message, field := Front{}.Rejection(Front{}.Error(refusal, "r"))
+	message, field := Front{}.ParseRejection(Front{}.Error(refusal, "r"))
 	require.Equal(t, "too many", message)
 	require.Equal(t, "max_tokens", field)
-	message, field = Front{}.Rejection([]byte("<html>"))
+	message, field = Front{}.ParseRejection([]byte("<html>"))
 	require.Empty(t, message+field)
 }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -71,9 +71,9 @@
 	}})
 }
 
-// Rejection reads an engine's rejection of a request; both results are empty where it
+// ParseRejection reads an engine's rejection of a request; both results are empty where it
 // gives no reason.
-func (Front) Rejection(body []byte) (message, field string) {
+func (Front) ParseRejection(body []byte) (message, field string) {
 	var doc errorBody
 	if json.Unmarshal(body, &doc) != nil {
 		return "", ""
