--- a/internal/gateway/deps.go
+++ b/internal/gateway/deps.go
@@ -22,8 +22,8 @@
 	Current() *rules.Set
 }
 
-// Front translates the callers' protocol.
-type Front interface {
+// Protocol translates the callers' protocol.
+type Protocol interface {
 	// Parse checks a request to a model; its error names the field.
 	Parse(path string, body []byte) (*call.ModelCall, error)
 	// Models is the document that lists models.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,7 +41,7 @@
 type Options struct {
 	Node cluster.NodeID
 	// Front speaks the callers' protocol.
-	Front      Front
+	Front      Protocol
 	Rules      RuleSource
 	Router     Router
 	Services   Services
