--- a/internal/gateway/claim.go
+++ b/internal/gateway/claim.go
@@ -94,7 +94,7 @@
 	if a.BodyOmitted {
 		e := fennelerr.New(fennelerr.AlreadyRun, "the call ran with status %d; its answer was too large to keep", a.Status).
 			WithRun(fennelerr.Ran)
-		status, contentType, body = e.Code.HTTPStatus(), "application/json", g.opts.Front.Error(e, c.id)
+		status, contentType, body = e.Code.HTTPStatus(), "application/json", g.opts.Protocol.Error(e, c.id)
 	}
 	if contentType != "" {
 		h.Set("Content-Type", contentType)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,8 +40,8 @@
 // required; those take the defaults above when zero.
 type Options struct {
 	Node cluster.NodeID
-	// Front speaks the callers' protocol.
-	Front      Protocol
+	// Protocol speaks the callers' protocol.
+	Protocol      Protocol
 	Rules      RuleSource
 	Router     Router
 	Services   Services
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -194,7 +194,7 @@
 	prober := engine.NewProber(time.Second)
 	var ids atomic.Int64
 	b.opts = Options{
-		Front: openai.Front{}, Rules: fixedRules{testSet(t)}, Router: b.router, Admitter: b.admitter, Claimer: b.claims, Quarantine: b.quarantine,
+		Protocol: openai.Front{}, Rules: fixedRules{testSet(t)}, Router: b.router, Admitter: b.admitter, Claimer: b.claims, Quarantine: b.quarantine,
 		Pools: pools, Streamer: engine.NewStreamer(pools, time.Second), Prober: prober,
 		NewRequestID: func() string { return fmt.Sprintf("req-%d", ids.Add(1)) },
 	}
@@ -448,6 +448,6 @@
 	require.NoError(t, err)
 	exchange := asked.NewExchange(call.Caller{W: out, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
 	t.Cleanup(exchange.Close)
-	return &session{g: New(Options{Front: openai.Front{}}), c: caller{id: "r", set: set, team: &set.Teams[0]}, asked: asked, exchange: exchange,
+	return &session{g: New(Options{Protocol: openai.Front{}}), c: caller{id: "r", set: set, team: &set.Teams[0]}, asked: asked, exchange: exchange,
 		target: &target{}, slot: openSlot{&openAdmitter{}}}
 }
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, deadline, err
 	}
-	asked, err := g.opts.Front.Parse(r.URL.Path, body)
+	asked, err := g.opts.Protocol.Parse(r.URL.Path, body)
 	if err != nil {
 		return nil, deadline, err
 	}
@@ -109,7 +109,7 @@
 	e := typed(err)
 	countRefusal(e)
 	log.Error("answer aborted", "code", e.Code, "run", e.Run, "err", err.Error())
-	s.exchange.Abort(g.opts.Front.Error(e, s.c.id))
+	s.exchange.Abort(g.opts.Protocol.Error(e, s.c.id))
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -18,7 +18,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(g.opts.Front.Models(modelsOf(c.set, c.team))) // the caller may be gone: nothing left to tell
+	_, _ = w.Write(g.opts.Protocol.Models(modelsOf(c.set, c.team))) // the caller may be gone: nothing left to tell
 }
 
 func modelsOf(set *rules.Set, team *rules.Team) []string {
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -142,7 +142,7 @@
 
 // rejected passes on an engine's word about the request itself.
 func (s *session) rejected(r *engine.RejectedError) error {
-	message, field := s.g.opts.Front.ParseRejection(r.Body)
+	message, field := s.g.opts.Protocol.ParseRejection(r.Body)
 	if message == "" {
 		message = "the model engine rejected the request"
 	}
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -57,7 +57,7 @@
 		h.Set("Retry-After", retryAfterSeconds(e))
 	}
 	w.WriteHeader(e.Code.HTTPStatus())
-	_, _ = w.Write(g.opts.Front.Error(e, c.id)) // the caller may be gone: nothing left to tell
+	_, _ = w.Write(g.opts.Protocol.Error(e, c.id)) // the caller may be gone: nothing left to tell
 	countRefusal(e)
 	g.noteRefused(c)
 	g.opts.Log.Info("refuse", "request", c.id, "team", c.teamName(), "path", r.URL.Path,
