--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -128,7 +128,7 @@
 		Node: n.set.Node, Protocol: openai.Front{}, Rules: n.rules, Router: presenceRouter{n.routing, n.health}, Services: n.vms, Admitter: n.admission, Claimer: gateway.StoreClaimer{Manager: n.claims},
 		Quarantine: n.suspects, Pools: n.pools, Streamer: engine.NewStreamer(n.pools, 0), Prober: n.prober, Log: n.log,
 		OnReplicaFailed: func(r cluster.Replica, _ string) { n.health.Doubt(r.ID) },
-		NewRequestID:           newRequestID,
+		NewRequestID:    newRequestID,
 		MaxBody:         req.MaxBody, FirstTokenTimeout: req.Deadline, CallTimeout: req.CallTimeout,
 	})
 	return nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,17 +17,17 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxBody       = 4 << 20
-	DefaultFirstTokenTimeout      = 30 * time.Second
-	DefaultCallTimeout   = 20 * time.Second
-	DefaultWriteTimeout  = 30 * time.Second
-	DefaultProbeTimeout  = time.Second
-	DefaultMaxAttempts   = 6
-	DefaultKeepAlive     = 5 * time.Second
-	DefaultAnswerBuffer  = 1 << 20
-	cancelTimeout        = 2 * time.Second
-	claimFinishTimeout   = 5 * time.Second
-	maxRefusalRetryAfter = time.Minute
+	DefaultMaxBody           = 4 << 20
+	DefaultFirstTokenTimeout = 30 * time.Second
+	DefaultCallTimeout       = 20 * time.Second
+	DefaultWriteTimeout      = 30 * time.Second
+	DefaultProbeTimeout      = time.Second
+	DefaultMaxAttempts       = 6
+	DefaultKeepAlive         = 5 * time.Second
+	DefaultAnswerBuffer      = 1 << 20
+	cancelTimeout            = 2 * time.Second
+	claimFinishTimeout       = 5 * time.Second
+	maxRefusalRetryAfter     = time.Minute
 )
 
 // Prober asks an engine for its state over a new connection.
@@ -41,7 +41,7 @@
 type Options struct {
 	Node cluster.NodeID
 	// Protocol speaks the callers' protocol.
-	Protocol      Protocol
+	Protocol   Protocol
 	Rules      RuleSource
 	Router     Router
 	Services   Services
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -159,11 +159,11 @@
 	r.head, r.text, r.ended = head, string(body), true
 	return nil
 }
-func (r *recorder) Start(head call.Head) error  { r.head = head; return nil }
-func (r *recorder) WritePiece(data []byte) error     { r.text += string(data); return nil }
-func (r *recorder) End() error                  { r.ended = true; return nil }
-func (r *recorder) Abort(err *fennelerr.Error)  { r.aborted = err }
-func (r *recorder) Refuse(err *fennelerr.Error) { r.refused = err }
+func (r *recorder) Start(head call.Head) error   { r.head = head; return nil }
+func (r *recorder) WritePiece(data []byte) error { r.text += string(data); return nil }
+func (r *recorder) End() error                   { r.ended = true; return nil }
+func (r *recorder) Abort(err *fennelerr.Error)   { r.aborted = err }
+func (r *recorder) Refuse(err *fennelerr.Error)  { r.refused = err }
 
 // fixture is a relay with a fake backend.
 type fixture struct {
