--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -15,21 +15,21 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb/wirepbconnect"
 )
 
-// DefaultTimeout bounds one call to a peer.
+// DefaultTimeout is the default timeout of one call to a peer.
 const DefaultTimeout = 2 * time.Second
 
-// maxResponse bounds an answer, in bytes: twice the platform's largest value.
+// maxResponse is the largest response that is read, in bytes: twice the platform's largest value.
 const maxResponse = 2 << 20
 
 // ClientOptions configures a Client.
 type ClientOptions struct {
-	// TLS carries the node's certificate for mutual TLS. Nil is refused unless Plain is set.
+	// TLS holds the node's certificate for mutual TLS. It is required unless Plaintext is set.
 	TLS *wire.TLSConfig
-	// ServerName is the name that peers' certificates carry; empty means their IP number.
+	// ServerName is the name expected in peers' certificates; empty means their IP address.
 	ServerName string
-	// Plaintext allows calls without TLS.
+	// Plaintext allows calls without TLS if TLS is nil.
 	Plaintext bool
-	// Timeout bounds one call; zero means DefaultTimeout.
+	// Timeout limits each call; zero means DefaultTimeout.
 	Timeout time.Duration
 }
 
@@ -54,7 +54,7 @@
 		c.scheme = "http://"
 		c.http = &http.Client{Transport: &http.Transport{IdleConnTimeout: time.Minute}}
 	default:
-		return nil, fennelerr.New(fennelerr.InvalidRequest, "calls to peers need TLS files, or plain must be allowed").WithField("peer.tls")
+		return nil, fennelerr.New(fennelerr.InvalidRequest, "calls to peers require TLS unless plaintext is allowed").WithField("peer.tls")
 	}
 	return c, nil
 }
@@ -62,7 +62,7 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// FetchRules asks the peer at addr, an ip:port, for its rules in force.
+// FetchRules requests the rules in force from the peer at addr, an ip:port.
 func (c *Client) FetchRules(ctx context.Context, addr string, haveRevision int64) (*wirepb.FetchRulesResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -74,12 +74,12 @@
 	return resp.Msg, nil
 }
 
-// FetchGrouping asks the peer at addr, an ip:port, for the newest grouping it knows
-// of a zone; the answer has no grouping when none is newer than revision have.
-func (c *Client) FetchGrouping(ctx context.Context, addr string, zone cluster.ZoneID, have int64) (*wirepb.FetchGroupingResponse, error) {
+// FetchGrouping requests the newest grouping of a zone that the peer at addr, an ip:port,
+// knows. The response has no grouping if the peer has none newer than haveRevision.
+func (c *Client) FetchGrouping(ctx context.Context, addr string, zone cluster.ZoneID, haveRevision int64) (*wirepb.FetchGroupingResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	req := connect.NewRequest(&wirepb.FetchGroupingRequest{Zone: string(zone), HaveRevision: have})
+	req := connect.NewRequest(&wirepb.FetchGroupingRequest{Zone: string(zone), HaveRevision: haveRevision})
 	resp, err := c.service(addr).FetchGrouping(ctx, req)
 	if err != nil {
 		return nil, fromConnect(err, "peer.fetch_grouping", addr)
@@ -87,8 +87,8 @@
 	return resp.Msg, nil
 }
 
-// FetchVMs asks the peer at addr, an ip:port, for the newest VM list it knows; the
-// answer has no VMs when their sum is haveSum.
+// FetchVMs requests the newest VM list that the peer at addr, an ip:port, knows. The
+// response has no VMs if the checksum of the peer's list equals haveSum.
 func (c *Client) FetchVMs(ctx context.Context, addr string, haveSum uint64) (*wirepb.FetchVMsResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -99,24 +99,26 @@
 	return resp.Msg, nil
 }
 
-// ReceivesHeartbeatsFrom asks the peer at addr, an ip:port, whether it hears the node.
+// ReceivesHeartbeatsFrom reports whether the peer at addr, an ip:port, currently receives
+// the node's heartbeats.
 func (c *Client) ReceivesHeartbeatsFrom(ctx context.Context, addr string, node cluster.NodeID) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	operators := wirepbconnect.NewOperatorServiceClient(c.http, c.scheme+addr, connect.WithReadMaxBytes(maxResponse))
-	resp, err := operators.RulesInForce(ctx, connect.NewRequest(&wirepb.RulesInForceRequest{}))
+	operator := wirepbconnect.NewOperatorServiceClient(c.http, c.scheme+addr, connect.WithReadMaxBytes(maxResponse))
+	resp, err := operator.RulesInForce(ctx, connect.NewRequest(&wirepb.RulesInForceRequest{}))
 	if err != nil {
-		return false, fromConnect(err, "peer.hears", addr)
+		return false, fromConnect(err, "peer.rules_in_force", addr)
 	}
-	hears := func(n *wirepb.NodeRules) bool { return n.GetNode() == string(node) && n.GetHeard() }
-	return slices.ContainsFunc(resp.Msg.GetDetail(), hears), nil
+	receives := func(n *wirepb.NodeRules) bool { return n.GetNode() == string(node) && n.GetHeard() }
+	return slices.ContainsFunc(resp.Msg.GetDetail(), receives), nil
 }
 
 func (c *Client) service(addr string) wirepbconnect.PeerServiceClient {
 	return wirepbconnect.NewPeerServiceClient(c.http, c.scheme+addr, connect.WithReadMaxBytes(maxResponse))
 }
 
-// fennelCodes is the reverse of connectCodes; other codes mean the peer was not reached or failed.
+// fennelCodes is the inverse of connectCodes, without NotReady. Any other connect code means
+// that the peer is unreachable or failed, and maps to NotReady.
 var fennelCodes = map[connect.Code]fennelerr.Code{
 	connect.CodeInvalidArgument:  fennelerr.InvalidRequest,
 	connect.CodeNotFound:         fennelerr.NotFound,
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,21 +18,21 @@
 
 type fakeSource struct{ hang bool }
 
-func (f fakeSource) FetchRules(ctx context.Context, have int64) (*wirepb.FetchRulesResponse, error) {
+func (f fakeSource) FetchRules(ctx context.Context, haveRevision int64) (*wirepb.FetchRulesResponse, error) {
 	if f.hang {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return &wirepb.FetchRulesResponse{Revision: have + 1, Text: "rules"}, nil
+	return &wirepb.FetchRulesResponse{Revision: haveRevision + 1, Text: "rules"}, nil
 }
 
 func (f fakeSource) FetchGrouping(_ context.Context, zone cluster.ZoneID, _ int64) (*wirepb.FetchGroupingResponse, error) {
-	return nil, fennelerr.New(fennelerr.NotFound, "no grouping of %s", zone)
+	return nil, fennelerr.New(fennelerr.NotFound, "no grouping of zone %s", zone)
 }
 
 func (f fakeSource) FetchVMs(_ context.Context, haveSum uint64) (*wirepb.FetchVMsResponse, error) {
 	if f.hang {
-		return nil, context.DeadlineExceeded // as when the caller's time ends here first
+		return nil, context.DeadlineExceeded // the caller's deadline expires at the peer first
 	}
 	return &wirepb.FetchVMsResponse{AsOfUnixNs: 1, Sum: haveSum}, nil
 }
@@ -63,9 +63,9 @@
 	require.True(t, fennelerr.Is(err, fennelerr.InvalidRequest), err)
 }
 
-// A peer is frozen or its zone is cut off in the middle of a call. The caller
-// must get its thread back soon, so that it can ask another peer.
-func TestFetchGivesUp(t *testing.T) {
+// A call to a peer that is frozen or partitioned away must end after the timeout, so that
+// the caller can try another peer.
+func TestFetchTimesOut(t *testing.T) {
 	client, err := peer.NewClient(peer.ClientOptions{Plaintext: true, Timeout: 50 * time.Millisecond})
 	require.NoError(t, err)
 	t.Cleanup(client.Close)
@@ -73,9 +73,9 @@
 	require.True(t, fennelerr.Is(err, fennelerr.Timeout), err)
 }
 
-// A call's time ends at the peer a moment before it ends at the caller. The caller must
-// take that for a timeout all the same, and not for a peer that is not ready.
-func TestDeadlineThatEndsAtThePeerIsATimeout(t *testing.T) {
+// A deadline that expires at the peer just before it expires at the caller must be reported
+// as a timeout and not as a peer that is not ready.
+func TestDeadlineExpiredAtPeerIsTimeout(t *testing.T) {
 	client, err := peer.NewClient(peer.ClientOptions{Plaintext: true})
 	require.NoError(t, err)
 	t.Cleanup(client.Close)
@@ -83,7 +83,7 @@
 	require.True(t, fennelerr.Is(err, fennelerr.Timeout), err)
 }
 
-func TestClientNeedsTLSUnlessPlainIsAllowed(t *testing.T) {
+func TestNewClientRequiresTLSOrPlaintext(t *testing.T) {
 	_, err := peer.NewClient(peer.ClientOptions{})
 	require.True(t, fennelerr.Is(err, fennelerr.InvalidRequest))
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,7 +1,7 @@
-// Package peer is what one fenneld asks of another by connect-go: the rules in
-// force and the newest grouping of a zone, which are too large for datagrams.
-// Both sides take plain interfaces; the daemon mounts the server and decides
-// whom to ask.
+// Package peer implements the RPCs between fenneld nodes, over connect-go. They transfer
+// data that is too large for datagrams: the rules in force, the newest grouping of a zone
+// and the VM list. The daemon provides the data sources, mounts the handler and chooses
+// which peers to call.
 package peer
 
 import (
@@ -17,26 +17,28 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb/wirepbconnect"
 )
 
-// RulesSource answers with the rules in force here, as a delta when it can.
+// RulesSource returns the rules in force on this node, as a delta from haveRevision if
+// possible.
 type RulesSource interface {
 	FetchRules(ctx context.Context, haveRevision int64) (*wirepb.FetchRulesResponse, error)
 }
 
-// GroupingSource answers with the newest committed grouping known here of a zone.
+// GroupingSource returns the newest committed grouping of a zone that this node knows.
 type GroupingSource interface {
-	FetchGrouping(ctx context.Context, zone cluster.ZoneID, have int64) (*wirepb.FetchGroupingResponse, error)
+	FetchGrouping(ctx context.Context, zone cluster.ZoneID, haveRevision int64) (*wirepb.FetchGroupingResponse, error)
 }
 
-// VMSource answers with the newest VM list known here.
+// VMSource returns the newest VM list that this node knows.
 type VMSource interface {
 	FetchVMs(ctx context.Context, haveSum uint64) (*wirepb.FetchVMsResponse, error)
 }
 
-// maxRequest bounds a request's body, in bytes; requests only carry a name or a number.
+// maxRequest is the largest request body accepted, in bytes. Requests only contain names and
+// numbers.
 const maxRequest = 4 << 10
 
-// NewHandler returns the path and handler of the PeerService, to be mounted on
-// the node's inner listener.
+// NewHandler returns the path and handler of the PeerService, to be mounted on the node's
+// control listener.
 func NewHandler(rules RulesSource, groupings GroupingSource, vms VMSource) (string, http.Handler) {
 	s := &server{rules: rules, groupings: groupings, vms: vms}
 	return wirepbconnect.NewPeerServiceHandler(s, connect.WithReadMaxBytes(maxRequest))
@@ -60,7 +62,7 @@
 // FetchGrouping implements wirepbconnect.PeerServiceHandler.
 func (s *server) FetchGrouping(ctx context.Context, req *connect.Request[wirepb.FetchGroupingRequest]) (*connect.Response[wirepb.FetchGroupingResponse], error) {
 	if req.Msg.Zone == "" {
-		return nil, toConnect(fennelerr.New(fennelerr.InvalidRequest, "no zone given").WithField("zone"))
+		return nil, toConnect(fennelerr.New(fennelerr.InvalidRequest, "zone is required").WithField("zone"))
 	}
 	resp, err := s.groupings.FetchGrouping(ctx, cluster.ZoneID(req.Msg.Zone), req.Msg.HaveRevision)
 	if err != nil {
@@ -78,7 +80,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-// connectCodes maps the codes that peers act on; the others are CodeInternal.
+// connectCodes maps the error codes that callers distinguish; all others become CodeInternal.
 var connectCodes = map[fennelerr.Code]connect.Code{
 	fennelerr.InvalidRequest: connect.CodeInvalidArgument,
 	fennelerr.NotFound:       connect.CodeNotFound,
@@ -87,9 +89,9 @@
 	fennelerr.Canceled:       connect.CodeCanceled,
 }
 
-// toConnect gives an error the code that the caller acts on. The caller's own deadline
-// ends the work here, too, sometimes before it ends the call there: told as an internal
-// error, it would look as if the peer were not ready.
+// toConnect converts err to a connect error. The caller's deadline also applies on this side
+// and may expire here first. Returned as CodeInternal, that would look to the caller as if
+// the peer were not ready.
 func toConnect(err error) error {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return connect.NewError(connect.CodeDeadlineExceeded, err)
