--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,5 +1,5 @@
-// Package call describes a caller's request and its answer without the protocol
-// in which they came.
+// Package call defines the protocol-independent form of a caller's request and its
+// response.
 package call
 
 import (
@@ -11,77 +11,79 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// Call is one request of a caller. What it asks of the backend server is opaque.
+// Call is one request of a caller. Its URI, headers and body are opaque and are forwarded to
+// the backend server.
 type Call struct {
-	// ID names this attempt of the caller; its backend server echoes it.
+	// ID identifies this attempt of the caller. The backend server echoes it.
 	ID string
-	// Method, Host and URI, the path with its query, are passed on as they came.
+	// Method, Host and URI are forwarded unchanged. URI is the path with its query.
 	Method, Host, URI string
-	// Header has the caller's headers that concern the backend server.
+	// Header holds the caller's headers that are forwarded to the backend server.
 	Header http.Header
 	Body   []byte
 
-	// Route is the rule that the call matched, RulesRevision the set it is of.
+	// Route is the rule that the call matched, and RulesRevision the revision of its rule set.
 	Route         *rules.Route
 	RulesRevision int64
 	// Team is empty on public routes.
 	Team cluster.TeamID
-	// Priority is the caller's priority, 0 first.
+	// Priority orders calls; 0 is the most urgent.
 	Priority int
 
 	// Model is empty for calls to plain services.
 	Model string
-	// PromptTokens and MaxOutputTokens are the prompt's size and the answer's bound;
-	// OutputTokensHint is the caller's guess at the answer's size. Zero where not told.
+	// PromptTokens is the length of the prompt, MaxOutputTokens the limit on the output and
+	// OutputTokensHint the caller's estimate of the output's length. Each is 0 if not given.
 	PromptTokens, MaxOutputTokens, OutputTokensHint int
-	// EstimatedWork is the part of a replica's time that the call takes, as estimated on a full
-	// replica; zero where it is not known.
+	// EstimatedWork is the estimated part of a replica's time that the call takes on a fully
+	// loaded replica; 0 if unknown.
 	EstimatedWork time.Duration
-	// ResumeAfter is the id of the last piece that the caller has of an earlier
-	// attempt; empty when it starts anew.
+	// ResumeAfter is the ID of the last piece that the caller received from an earlier
+	// attempt; empty if the answer is to start from the beginning.
 	ResumeAfter string
 
 	ReceivedAt time.Time
-	// Deadline is when the caller gives up; zero when it did not say.
+	// Deadline is when the caller stops waiting; zero if it gave no deadline.
 	Deadline time.Time
 }
 
-// EffectiveDeadline is when the call must have its final answer: the caller's deadline or the
-// route's timeout, whichever is first.
+// EffectiveDeadline returns the time by which the call must be answered: the caller's deadline
+// or the end of the route's timeout, whichever is earlier. It is zero if neither is set.
 func (c *Call) EffectiveDeadline() time.Time {
-	end := c.Deadline
-	if limit := c.Route.Terms.Timeout; limit > 0 {
-		if at := c.ReceivedAt.Add(limit); end.IsZero() || at.Before(end) {
-			end = at
+	deadline := c.Deadline
+	if timeout := c.Route.Terms.Timeout; timeout > 0 {
+		if end := c.ReceivedAt.Add(timeout); deadline.IsZero() || end.Before(deadline) {
+			deadline = end
 		}
 	}
-	return end
+	return deadline
 }
 
-// Head is the beginning of an answer.
+// Head holds the status and header of an answer.
 type Head struct {
 	Status int
 	Header http.Header
 }
 
-// Sink takes a call's answer. Exactly one of Whole, Refuse, or Start is called;
-// after Start come pieces and then End or Abort.
+// Sink receives a call's answer. Exactly one of Respond, Refuse and Start is called. Start is
+// followed by calls of WritePiece and then by End or Abort.
 type Sink interface {
-	// Respond delivers an answer in one piece.
+	// Respond sends a complete answer.
 	Respond(head Head, body []byte) error
-	// Start begins an answer that comes in pieces.
+	// Start begins a streamed answer.
 	Start(head Head) error
+	// WritePiece sends the next piece of a streamed answer.
 	WritePiece(data []byte) error
-	// End says that the answer is complete.
+	// End marks a streamed answer as complete.
 	End() error
-	// Abort breaks off an answer so that it can't be taken for a complete one.
+	// Abort terminates a streamed answer so that the caller can't take it for a complete one.
 	Abort(err *fennelerr.Error)
-	// Refuse gives a final answer of this node's own.
+	// Refuse answers the call with an error of this node.
 	Refuse(err *fennelerr.Error)
 }
 
-// ExpectedOutputTokens is how many tokens the answer probably has: the caller's guess, within
-// the bound that it set.
+// ExpectedOutputTokens estimates the length of the output: the caller's hint, limited to
+// MaxOutputTokens. Without a hint it is MaxOutputTokens.
 func (c *Call) ExpectedOutputTokens() int {
 	switch {
 	case c.OutputTokensHint <= 0:
@@ -92,18 +94,18 @@
 	return min(c.OutputTokensHint, c.MaxOutputTokens)
 }
 
-// returnShare is the part of its time that a caller must have used up elsewhere
-// before it sent this attempt, to count as one that was turned away before. Callers
-// give first attempts between 0.85 and 1 of the route's time (of 4,800 first attempts of
-// a day without faults; below it lay 4%, most of them second attempts).
-const returnShare = 0.16
+// retryElapsedShare is the share of the route's timeout that must be missing from the caller's
+// deadline for the call to count as a retry. Callers give first attempts 0.85 to 1 of the
+// route's timeout (4,800 first attempts on a day without faults). 4% of the attempts had
+// less, and most of these were second attempts.
+const retryElapsedShare = 0.16
 
-// LikelyRetry reports whether the caller has sent this before, and was turned away or cut
-// off: it has less time left than callers of the route start with.
+// LikelyRetry reports whether the caller has probably sent this request before and was
+// refused or disconnected: less time is left than first attempts on the route have.
 func (c *Call) LikelyRetry() bool {
-	limit := c.Route.Terms.Timeout
-	if limit <= 0 || c.Deadline.IsZero() {
+	timeout := c.Route.Terms.Timeout
+	if timeout <= 0 || c.Deadline.IsZero() {
 		return false
 	}
-	return float64(c.Deadline.Sub(c.ReceivedAt)) < (1-returnShare)*float64(limit)
+	return float64(c.Deadline.Sub(c.ReceivedAt)) < (1-retryElapsedShare)*float64(timeout)
 }
--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -7,63 +7,66 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// ModelCall is a checked request to a model. What it says in its caller's protocol
-// is known to its front only.
+// ModelCall is a validated request to a model. Its content in the caller's protocol is only
+// accessible to the protocol's implementation, through NewExchange.
 type ModelCall struct {
 	Model string
-	// Cost estimates the call's work, in tokens.
+	// Cost is the estimated work of the call, in tokens.
 	Cost int
-	// PrefixHashes name the prompt's beginnings, for replicas that have them in memory.
+	// PrefixHashes identify prefixes of the prompt. They are matched with the prefixes that
+	// replicas have cached.
 	PrefixHashes []uint64
-	// NewExchange opens the exchange with the caller.
+	// NewExchange returns the exchange that writes the answer to a caller.
 	NewExchange func(to Caller) Exchange
 }
 
-// Caller is where the answer to a call goes.
+// Caller describes the connection on which the answer is written.
 type Caller struct {
 	W http.ResponseWriter
-	// RequestID names the call to the engine and to the caller.
+	// RequestID identifies the call to the engine and to the caller.
 	RequestID string
-	// WriteTimeout is how long the caller may take no bytes before it counts as gone.
+	// WriteTimeout is how long a write may block before the caller counts as disconnected.
 	WriteTimeout time.Duration
-	// KeepAlive is how often a streaming caller hears a comment while nothing else comes.
+	// KeepAlive is the interval of comments that are sent on an idle stream.
 	KeepAlive time.Duration
 }
 
-// Exchange translates one call to a model engine, and the engine's events to the
-// caller's answer. It is used by one goroutine.
+// Exchange translates one call into requests to model engines, and the engines' events into
+// the caller's answer. It is not safe for concurrent use.
 type Exchange interface {
-	// RequestBody is what the engine gets. With goOn it is asked to go on after what has come
-	// so far.
-	RequestBody(goOn bool) ([]byte, error)
-	// Check reads an event and fails when it is no part of this call's answer, with an
-	// *engine.MismatchError or *engine.BrokenError. At the end marker it fails unless
-	// the answer is whole.
+	// RequestBody returns the body of the request to an engine. If continuation is set, the
+	// engine is asked to continue after the events received so far.
+	RequestBody(continuation bool) ([]byte, error)
+	// Check parses an event. It returns an *engine.MismatchError or *engine.BrokenError if
+	// the event does not belong to this call's answer, or if it is the end marker and the
+	// answer is incomplete.
 	Check(addr string, ev engine.Event) error
-	// Forward hands on the event that was checked last. Its error means that the caller
-	// is gone.
+	// Forward sends the event that was checked last to the caller. An error means that the
+	// caller disconnected.
 	Forward(ev engine.Event) error
-	// LastEventID is the id of the last event handed on.
+	// LastEventID returns the ID of the last event that was forwarded.
 	LastEventID() int64
-	// CanContinue reports whether another engine could go on after what has come so far.
+	// CanContinue reports whether another engine can continue after the events received so far.
 	CanContinue() bool
-	// ResponseStarted reports whether the caller has a part of the answer.
+	// ResponseStarted reports whether part of the answer was sent to the caller.
 	ResponseStarted() bool
-	// Reset drops what has come; only allowed while not Begun.
+	// Reset discards the events received so far. It must not be called once ResponseStarted
+	// returns true.
 	Reset()
-	// Finish ends a whole answer.
+	// Finish ends a complete answer.
 	Finish() error
-	// ResponseDocument is the whole answer as one document, after Finish; nil when it was
-	// streamed.
+	// ResponseDocument returns the complete answer as one document, after Finish; nil if the
+	// answer was streamed.
 	ResponseDocument() []byte
-	// Abort ends a begun answer with an error's document, so that it can't be taken
-	// for whole.
+	// Abort ends a started answer with an error document, so that the caller can't take it
+	// for complete.
 	Abort(document []byte)
+	// Close releases the exchange's resources.
 	Close()
 }
 
-// Headers of answers to callers that every front sets.
+// Headers that every protocol sets in answers to callers.
 const (
-	// HeaderRun says whether a backend server executed the request: not-run, ran or unknown.
+	// HeaderRun tells whether a backend server executed the request: not-run, ran or unknown.
 	HeaderRun = "Fennel-Run"
 )
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -32,8 +32,8 @@
 }
 
 // RequestBody implements call.Exchange.
-func (x *exchange) RequestBody(goOn bool) ([]byte, error) {
-	if !goOn {
+func (x *exchange) RequestBody(continuation bool) ([]byte, error) {
+	if !continuation {
 		return x.req.engineBody("")
 	}
 	return x.req.engineBody(x.prog.text.String())
