--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -18,21 +18,21 @@
 	standinengine "github.com/fennelcourse/fennelcourse/internal/standin/engine"
 )
 
-// newBenchmark is a bench without a log, before one engine whose tokens come as fast as they can.
-func newBenchmark(b *testing.B, opts standinengine.Options, change func(*bench)) *bench {
+// newBenchmarkFixture returns a fixture with one engine that admits 4,096 requests at a time.
+func newBenchmarkFixture(b *testing.B, opts standinengine.Options, change func(*fixture)) *fixture {
 	b.Helper()
 	opts.MaxRunning = 4096
-	return newBench(b, 1, opts, change)
+	return newFixture(b, 1, opts, change)
 }
 
-// timing is how one streamed answer went.
+// timing holds the measured times of one streamed answer.
 type timing struct {
 	first time.Duration
-	// perToken is the time between the first and the last event, divided by the events.
+	// perToken is the time from the first event to the end, divided by the number of events.
 	perToken time.Duration
 }
 
-// stream reads one whole answer from url and times it.
+// stream reads one complete streamed answer from url and measures its times.
 func stream(tb testing.TB, client *http.Client, url, body string, header http.Header) timing {
 	tb.Helper()
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
@@ -60,14 +60,14 @@
 	return t
 }
 
-// BenchmarkAddedTime compares answers through the gateway with answers straight
-// from the engine, in pairs; it reports medians and 99th percentiles of the
-// differences in microseconds.
+// BenchmarkAddedTime measures the latency that the gateway adds. It compares pairs of answers,
+// one through the gateway and one directly from the engine, and reports the median and the
+// 99th percentile of the differences in microseconds.
 func BenchmarkAddedTime(b *testing.B) {
 	for _, tokens := range []int{16, 128} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
-			bn := newBenchmark(b, standinengine.Options{TokenInterval: time.Millisecond}, nil)
-			body := strings.Replace(chatStrm, `"max_tokens":12`, fmt.Sprintf(`"max_tokens":%d`, tokens), 1)
+			bn := newBenchmarkFixture(b, standinengine.Options{TokenInterval: time.Millisecond}, nil)
+			body := strings.Replace(chatStreamBody, `"max_tokens":12`, fmt.Sprintf(`"max_tokens":%d`, tokens), 1)
 			through := http.Header{"Authorization": {"Bearer " + testToken}}
 			client := &http.Client{}
 			defer client.CloseIdleConnections()
@@ -91,11 +91,11 @@
 	b.ReportMetric(float64(d[len(d)*99/100].Nanoseconds())/1e3, "µs-"+name+"-p99")
 }
 
-// BenchmarkRequests is the cost of whole streamed answers of 16 tokens, caller,
-// gateway and engine stand-in together in one process.
+// BenchmarkRequests measures the throughput of streamed answers of 16 tokens, with the caller,
+// the gateway and the stand-in engine in one process.
 func BenchmarkRequests(b *testing.B) {
-	bn := newBenchmark(b, standinengine.Options{TokenInterval: 100 * time.Microsecond}, nil)
-	body := strings.Replace(chatStrm, `"max_tokens":12`, `"max_tokens":16`, 1)
+	bn := newBenchmarkFixture(b, standinengine.Options{TokenInterval: 100 * time.Microsecond}, nil)
+	body := strings.Replace(chatStreamBody, `"max_tokens":12`, `"max_tokens":16`, 1)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer client.CloseIdleConnections()
 	b.ReportAllocs()
@@ -109,20 +109,20 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-// BenchmarkTake is the gateway's own work for one event of a stream: checking it
-// and handing it on, without any socket.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkHandleEvent measures the gateway's work for one event of a stream, which is to
+// validate and forward it, without sockets.
+func BenchmarkHandleEvent(b *testing.B) {
 	s := testSession(b, discard{http.Header{}})
 	data := []byte(`{"id":"chatcmpl-r","object":"chat.completion.chunk","created":1700000000,"model":"assistente-fit","choices":[{"index":0,"delta":{"content":" shell"},"finish_reason":null}]}`)
 	b.ReportAllocs()
 	for i := int64(1); b.Loop(); i++ {
-		if err := s.take(engine.Event{ID: i, Data: data}); err != nil {
+		if err := s.handleEvent(engine.Event{ID: i, Data: data}); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// discard is a caller that takes everything.
+// discard is an http.ResponseWriter that discards all data.
 type discard struct{ header http.Header }
 
 func (d discard) Header() http.Header            { return d.header }
@@ -131,12 +131,12 @@
 func (discard) FlushError() error                { return nil }
 func (discard) SetWriteDeadline(time.Time) error { return nil }
 
-// BenchmarkOpenStreams reports the memory of one open stream in the gateway's
-// process, which here also holds the caller and the engine stand-in.
+// BenchmarkOpenStreams measures the memory of one open stream. The process includes the caller
+// and the stand-in engine.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 1000
 	for b.Loop() {
-		bn := newBenchmark(b, standinengine.Options{TokenInterval: time.Hour, MaxGap: time.Minute}, nil)
+		bn := newBenchmarkFixture(b, standinengine.Options{TokenInterval: time.Hour, MaxGap: time.Minute}, nil)
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
@@ -144,7 +144,7 @@
 		var wg sync.WaitGroup
 		client := &http.Client{Transport: &http.Transport{}}
 		for range streams {
-			wg.Go(func() { holdStream(ctx, client, bn.server.URL) })
+			wg.Go(func() { openStream(ctx, client, bn.server.URL) })
 		}
 		for bn.admitter.held.Load() < streams {
 			runtime.Gosched()
@@ -160,8 +160,8 @@
 	}
 }
 
-func holdStream(ctx context.Context, client *http.Client, url string) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+engine.ChatPath, strings.NewReader(chatStrm))
+func openStream(ctx context.Context, client *http.Client, url string) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+engine.ChatPath, strings.NewReader(chatStreamBody))
 	if err != nil {
 		return
 	}
--- a/internal/gateway/claim.go
+++ b/internal/gateway/claim.go
@@ -11,37 +11,40 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// claimKind is what became of a claimed call.
+// claimKind is the outcome of a claimed call.
 type claimKind int
 
 const (
-	claimNotRun claimKind = iota
-	claimRan
+	claimNotExecuted claimKind = iota
+	claimExecuted
 	claimUnknown
 )
 
+// claimOutcome is the outcome of a claimed call. answer is only set for claimExecuted.
 type claimOutcome struct {
 	kind   claimKind
 	answer claims.Answer
 }
 
-// claimFor takes the right to dispatch a call that may run at most once. All
-// results nil mean that the call needs no claim.
-func (g *Gateway) claimFor(r *http.Request, c caller, rt *rules.Route, body []byte) (Claim, *claims.Answer, error) {
+// acquireClaim claims a call that may run at most once. All results are nil if the call needs
+// no claim.
+func (g *Gateway) acquireClaim(r *http.Request, c caller, route *rules.Route, body []byte) (Claim, *claims.Answer, error) {
 	key := r.Header.Get(HeaderIdempotencyKey)
-	if !needsClaim(rt, r.Method, key) {
+	if !needsClaim(route, r.Method, key) {
 		return nil, nil, nil
 	}
 	if key == "" {
-		return nil, nil, fennelerr.New(fennelerr.KeyRequired, "%s %s may run at most once: send an %s", r.Method, r.URL.Path, HeaderIdempotencyKey).
+		return nil, nil, fennelerr.New(fennelerr.KeyRequired, "%s %s may run at most once and requires the header %s", r.Method, r.URL.Path, HeaderIdempotencyKey).
 			WithField(HeaderIdempotencyKey).WithRun(fennelerr.NotRun)
 	}
 	if len(key) > claims.MaxKeyLen {
-		return nil, nil, fennelerr.Invalid(HeaderIdempotencyKey, "the key has %d bytes; at most %d are taken", len(key), claims.MaxKeyLen)
+		return nil, nil, fennelerr.Invalid(HeaderIdempotencyKey, "the key has %d bytes, the limit is %d", len(key), claims.MaxKeyLen)
 	}
 	return g.opts.Claimer.Claim(r.Context(), claims.Call{Team: c.team.Name, Key: key, BodySHA256: bodyHash(r, body)})
 }
 
+// bodyHash hashes everything that must be equal in two calls with the same key: the method, the
+// URI and the body.
 func bodyHash(r *http.Request, body []byte) [sha256.Size]byte {
 	h := sha256.New()
 	h.Write([]byte(r.Method))
@@ -52,39 +55,39 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// mayDispatch refuses a claimed call whose right to run may have lapsed while this
-// process was paused, or while the call waited: the key may be free again by then,
-// and the call may have run elsewhere.
-func mayDispatch(right Claim) error {
-	if right == nil || right.StillHeld(time.Now()) {
+// checkClaimHeld returns an error if the claim may have expired while the call waited or this
+// process was paused. By then, the key may have been free again and the call may have run
+// through another node.
+func checkClaimHeld(claim Claim) error {
+	if claim == nil || claim.StillHeld(time.Now()) {
 		return nil
 	}
-	return fennelerr.New(fennelerr.LeaseLost, "the claim on the Idempotency-Key got too old before dispatch").
-		WithRun(fennelerr.NotRun).WithRetryAfter(retryBudgetWait)
+	return fennelerr.New(fennelerr.LeaseLost, "the claim on the Idempotency-Key expired before dispatch").
+		WithRun(fennelerr.NotRun).WithRetryAfter(retryLaterDelay)
 }
 
-// settle records what became of a claimed call. It outlives the caller: one who
-// hangs up must find the outcome when sending again.
-func (g *Gateway) settle(right Claim, out claimOutcome) {
-	if right == nil {
+// settleClaim records the outcome of a claimed call. It is independent of the request's context: a
+// caller that disconnects must find the outcome when it sends the call again.
+func (g *Gateway) settleClaim(claim Claim, outcome claimOutcome) {
+	if claim == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), claimFinishTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), claimSettleTimeout)
 	defer cancel()
-	switch out.kind {
-	case claimNotRun:
-		right.Release(ctx)
-	case claimRan:
-		if len(out.answer.Body) > claims.MaxAnswerBody {
-			out.answer.Body, out.answer.BodyOmitted = nil, true
+	switch outcome.kind {
+	case claimNotExecuted:
+		claim.Release(ctx)
+	case claimExecuted:
+		if len(outcome.answer.Body) > claims.MaxAnswerBody {
+			outcome.answer.Body, outcome.answer.BodyOmitted = nil, true
 		}
-		right.Finish(ctx, out.answer)
+		claim.Finish(ctx, outcome.answer)
 	case claimUnknown:
-		right.Abandon(ctx)
+		claim.Abandon(ctx)
 	}
 }
 
-// replay answers a repeat with the recorded answer of the earlier run.
+// replay answers a repeated call with the recorded answer of its earlier run.
 func (g *Gateway) replay(w http.ResponseWriter, c caller, a *claims.Answer) {
 	claimReplays.Inc()
 	h := w.Header()
@@ -92,14 +95,14 @@
 	h.Set(HeaderReplayed, "true")
 	status, contentType, body := a.Status, a.ContentType, a.Body
 	if a.BodyOmitted {
-		e := fennelerr.New(fennelerr.AlreadyRun, "the call ran with status %d; its answer was too large to keep", a.Status).
+		e := fennelerr.New(fennelerr.AlreadyRun, "the call ran with status %d, but its answer was too large to record", a.Status).
 			WithRun(fennelerr.Ran)
-		status, contentType, body = e.Code.HTTPStatus(), "application/json", g.opts.Protocol.Error(e, c.id)
+		status, contentType, body = e.Code.HTTPStatus(), "application/json", g.opts.Protocol.Error(e, c.requestID)
 	}
 	if contentType != "" {
 		h.Set("Content-Type", contentType)
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the caller may be gone: it can ask again
-	g.opts.Log.Info("replayed", "request", c.id, "team", c.teamName(), "status", status)
+	_, _ = w.Write(body) // a caller that disconnected can send the call again
+	g.opts.Log.Info("replayed", "request", c.requestID, "team", c.teamName(), "status", status)
 }
--- a/internal/gateway/claimer.go
+++ b/internal/gateway/claimer.go
@@ -6,7 +6,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/claims"
 )
 
-// StoreClaimer is the Claimer that keeps its claims in the platform's store.
+// StoreClaimer is a Claimer whose claims are kept in the platform's store.
 type StoreClaimer struct {
 	Manager *claims.Manager
 }
@@ -15,7 +15,7 @@
 func (s StoreClaimer) Claim(ctx context.Context, call claims.Call) (Claim, *claims.Answer, error) {
 	claim, answer, err := s.Manager.Claim(ctx, call)
 	if claim == nil {
-		return nil, answer, err // a nil *claims.Claim must not become a non-nil Claim
+		return nil, answer, err // converting a nil *claims.Claim would give a non-nil Claim
 	}
 	return claim, nil, nil
 }
--- a/internal/gateway/claimer_test.go
+++ b/internal/gateway/claimer_test.go
@@ -16,8 +16,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// storeClaimer is one node's claims in the platform's store over HTTP.
-func storeClaimer(t *testing.T, url string, node cluster.NodeID) StoreClaimer {
+// newStoreClaimer returns a node's claimer that uses the platform's store over HTTP.
+func newStoreClaimer(t *testing.T, url string, node cluster.NodeID) StoreClaimer {
 	t.Helper()
 	client := etcdgw.New(etcdgw.Options{Endpoints: []string{url}})
 	t.Cleanup(client.Close)
@@ -26,23 +26,23 @@
 	return StoreClaimer{m}
 }
 
-// A deposit is taken while the platform's store loses an answer, and sent again
-// through another node; then one is tried while the store is down. The skier is
-// charged once, gets the same receipt twice, and "not-run" is true.
-func TestDepositWithClaimsInTheStore(t *testing.T) {
+// The store loses a response while a keyed call is claimed. The call must run once, and sending
+// it again through another node must return the same answer. A call that is refused as not run
+// because the store is down must not have run.
+func TestCallWithClaimsInStoreRunsOnce(t *testing.T) {
 	p := platform.New(platform.Options{})
 	srv := httptest.NewServer(p.Handler())
 	t.Cleanup(srv.Close)
 	t.Cleanup(p.Store().Close)
-	first := storeClaimer(t, srv.URL, "a")
-	b, svc := plainBench(t, func(b *bench) { b.opts.Claimer = first })
+	claimer := newStoreClaimer(t, srv.URL, "a")
+	b, svc := newServiceFixture(t, func(b *fixture) { b.opts.Claimer = claimer })
 	deposit := func(key string) reply {
 		return b.send(http.MethodPost, "/deposits/7", `{"amount":40}`, HeaderIdempotencyKey, key)
 	}
 	require.Equal(t, http.StatusCreated, deposit("warm-up").status)
 	p.SetFaults(platform.Faults{Store: memstore.Faults{LoseAnswers: 1}})
-	receipt := deposit("k1")
-	require.Equal(t, http.StatusCreated, receipt.status)
+	first := deposit("k1")
+	require.Equal(t, http.StatusCreated, first.status)
 
 	p.SetFaults(platform.Faults{Store: memstore.Faults{Down: true}})
 	refused := deposit("k2")
@@ -52,10 +52,10 @@
 	require.Zero(t, svc.Runs().ByKey["k2"])
 
 	p.SetFaults(platform.Faults{})
-	first.Manager.Close(t.Context()) // brings the outcomes to the store
-	b.gateway.opts.Claimer = storeClaimer(t, srv.URL, "b")
+	claimer.Manager.Close(t.Context()) // writes the outcomes to the store
+	b.gateway.opts.Claimer = newStoreClaimer(t, srv.URL, "b")
 	again := deposit("k1")
-	require.Equal(t, receipt.body, again.body)
+	require.Equal(t, first.body, again.body)
 	require.Equal(t, "true", again.header.Get(HeaderReplayed))
 	require.Equal(t, http.StatusCreated, deposit("k2").status)
 	require.Equal(t, 1, svc.Runs().ByKey["k1"])
--- a/internal/gateway/deps.go
+++ b/internal/gateway/deps.go
@@ -1,6 +1,7 @@
-// Package gateway serves callers: it authenticates, matches a rule, admits,
-// chooses a replica, dispatches, and sees to it that every caller gets the whole
-// answer to its own request or a truthful refusal.
+// Package gateway handles callers' HTTP requests. It authenticates a request, matches it with a
+// rule, admits it, chooses a replica and dispatches it. Every caller receives the complete
+// answer to its own request, or an error that states truthfully whether the request was
+// executed.
 package gateway
 
 import (
@@ -17,87 +18,87 @@
 	"github.com/fennelcourse/fennelcourse/internal/suspect"
 )
 
-// RuleSource gives the rules in force on this node; nil before the first are known.
+// RuleSource provides the rules in force on this node; nil until the first are known.
 type RuleSource interface {
 	Current() *rules.Set
 }
 
-// Protocol translates the callers' protocol.
+// Protocol implements the API that callers use.
 type Protocol interface {
-	// Parse checks a request to a model; its error names the field.
+	// Parse validates a request to a model. Its error names the invalid field.
 	Parse(path string, body []byte) (*call.ModelCall, error)
-	// Models is the document that lists models.
+	// Models returns the document that lists models.
 	Models(names []string) []byte
-	// Error is the document of a refusal.
+	// Error returns the document of an error response.
 	Error(e *fennelerr.Error, requestID string) []byte
-	// ParseRejection reads an engine's rejection of a request; both results are empty where
-	// it gives no reason.
+	// ParseRejection parses an engine's rejection of a request. Both results are empty if it
+	// gives no reason.
 	ParseRejection(body []byte) (message, field string)
 }
 
-// Router chooses replicas and counts what runs on them.
+// Router chooses replicas and counts the requests that are outstanding on them.
 type Router interface {
-	// Choose picks a replica and counts the request as outstanding on it until
-	// End is called. It fails with a fennelerr.NoReplica error.
+	// Choose selects a replica and counts the request as outstanding on it until End is
+	// called. It returns a fennelerr.NoReplica error if no replica is available.
 	Choose(req routing.Request) (routing.Choice, error)
 	End(choice routing.Choice, res routing.Result)
 }
 
-// Services finds live, not leaving addresses of a plain service, this node's zone first.
+// Services returns the addresses of a plain service's backend servers that are live and not
+// leaving, those in this node's zone first.
 type Services interface {
 	ServiceAddrs(name cluster.Service) []string
 }
 
-// Admitter hands out slots under the teams' limits.
+// Admitter grants slots within the teams' limits.
 type Admitter interface {
-	// Acquire waits for a slot or refuses with Overloaded, LimitExceeded or
-	// DeadlineTooShort, each with RetryAfter set and Run NotRun.
+	// Acquire waits for a slot. It fails with Overloaded, LimitExceeded or DeadlineTooShort,
+	// each with RetryAfter set and Run set to NotRun.
 	Acquire(ctx context.Context, req admission.Request) (Slot, error)
-	// AllowRetry spends one retry of the team's budget, or reports false.
+	// AllowRetry takes one retry from the team's budget. It returns false if none is left.
 	AllowRetry(team cluster.TeamID) bool
 }
 
-// Slot is held while a request runs.
+// Slot is held for as long as a request runs.
 type Slot = admission.Slot
 
-// The daemon's router and admitter.
+// The implementations that the daemon uses.
 var (
 	_ Router   = (*routing.Table)(nil)
 	_ Admitter = (*admission.Controller)(nil)
 )
 
-// Claimer makes calls with an idempotency key run at most once.
+// Claimer ensures that a call with an idempotency key runs at most once.
 type Claimer interface {
-	// Claim returns a claim that this node alone may dispatch; or the recorded
-	// answer of an earlier run; or an error: KeyReused, KeyInProgress,
-	// KeyExpired, OutcomeUnknown, StoreUnavailable.
+	// Claim returns a claim, with which only this node may dispatch the call, or the recorded
+	// answer of an earlier run, or one of the errors KeyReused, KeyInProgress, KeyExpired,
+	// OutcomeUnknown and StoreUnavailable.
 	Claim(ctx context.Context, call claims.Call) (Claim, *claims.Answer, error)
 }
 
-// Claim is the right to dispatch one call. Exactly one of Release, Finish and
-// Abandon is called.
+// Claim is the exclusive right to dispatch one call. It ends with exactly one of Release,
+// Finish and Abandon.
 type Claim interface {
-	// StillHeld reports whether the call may still be dispatched. It is asked right
-	// before dispatch; a claim no longer held is released and not dispatched.
+	// StillHeld reports whether the call may still be dispatched. It is checked immediately
+	// before dispatch; if it is false, the call is not dispatched and the claim is released.
 	StillHeld(now time.Time) bool
-	// Release gives the key back: the call was certainly not run.
+	// Release frees the key after a call that certainly did not run.
 	Release(ctx context.Context)
-	// Finish records the answer of the call, which ran.
+	// Finish records the answer of a call that ran.
 	Finish(ctx context.Context, answer claims.Answer)
-	// Abandon records that the call's fate is unknown.
+	// Abandon records that it is unknown whether the call ran.
 	Abandon(ctx context.Context)
 }
 
-// Quarantine bars requests that crash replicas.
+// Quarantine blocks requests that crash replicas.
 type Quarantine interface {
-	// Admit refuses a quarantined fingerprint with a Quarantined error. For a
-	// suspect it waits until no other node or request retries it, and reports
-	// alone=true: the caller then asks the router for a replica without suspects.
+	// Admit refuses a quarantined fingerprint with a Quarantined error. For a suspect, it
+	// waits until no other node or request retries it and returns alone=true. The caller must
+	// then choose a replica that runs no other suspect.
 	Admit(ctx context.Context, fp suspect.Fingerprint) (alone bool, err error)
-	// MayRetryOn reports whether a suspect may run on the replica now: no other
-	// node's suspect is there, and it is this node's turn to take it.
+	// MayRetryOn reports whether a suspect may run on the replica now: no suspect of another
+	// node runs there, and it is this node's turn to use the replica.
 	MayRetryOn(replica cluster.ReplicaID) bool
-	// Begin records that fp runs on the replica; the returned func ends it and
-	// says how.
+	// Begin records that fp runs on the replica. The returned function records the outcome.
 	Begin(fp suspect.Fingerprint, replica cluster.ReplicaID, generation int64, alone bool) (end func(suspect.Outcome))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,7 +15,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// Defaults of Options.
+// Defaults of Options, and fixed limits.
 const (
 	DefaultMaxBody           = 4 << 20
 	DefaultFirstTokenTimeout = 30 * time.Second
@@ -25,22 +25,22 @@
 	DefaultMaxAttempts       = 6
 	DefaultKeepAlive         = 5 * time.Second
 	DefaultAnswerBuffer      = 1 << 20
-	cancelTimeout            = 2 * time.Second
-	claimFinishTimeout       = 5 * time.Second
+	engineCancelTimeout      = 2 * time.Second
+	claimSettleTimeout       = 5 * time.Second
 	maxRefusalRetryAfter     = time.Minute
 )
 
-// Prober asks an engine for its state over a new connection.
+// Prober queries and cancels requests at an engine, over new connections.
 type Prober interface {
 	State(ctx context.Context, addr string) (engine.State, error)
 	Cancel(ctx context.Context, addr, requestID string) error
 }
 
-// Options are the parts a Gateway is made of. All but the sizes and times are
-// required; those take the defaults above when zero.
+// Options configures a Gateway. Log, OnReplicaFailed, the sizes and the durations are optional
+// and take the defaults above if zero; everything else is required.
 type Options struct {
 	Node cluster.NodeID
-	// Protocol speaks the callers' protocol.
+	// Protocol implements the API that callers use.
 	Protocol   Protocol
 	Rules      RuleSource
 	Router     Router
@@ -52,38 +52,40 @@
 	Streamer   *engine.Streamer
 	Prober     Prober
 	Log        *slog.Logger
-	// OnReplicaFailed is told of replicas that failed a request, so that the
-	// health check looks at once; may be nil.
+	// OnReplicaFailed is called when a replica failed a request, so that its health is
+	// checked at once. It may be nil.
 	OnReplicaFailed func(replica cluster.Replica, reason string)
-	// NewRequestID returns a request id that no other request of any node has.
+	// NewRequestID returns a request ID that is unique over all nodes.
 	NewRequestID func() string
 
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody is the largest accepted request body, in bytes.
 	MaxBody int64
-	// FirstTokenTimeout is how long a caller waits for the first token when it names no bound itself.
+	// FirstTokenTimeout limits the wait for the first token if the caller sets no limit.
 	FirstTokenTimeout time.Duration
-	// CallTimeout bounds a call to a plain service.
+	// CallTimeout limits a call to a plain service.
 	CallTimeout time.Duration
-	// WriteTimeout is how long a caller may take no bytes before it counts as gone.
+	// WriteTimeout is how long a write may block before the caller counts as disconnected.
 	WriteTimeout time.Duration
+	// ProbeTimeout limits the query of an engine's state after a failed attempt.
 	ProbeTimeout time.Duration
-	// MaxAttempts bounds dispatches without progress of one request.
+	// MaxAttempts limits the consecutive attempts of a request that make no progress.
 	MaxAttempts int
-	// KeepAlive is how often a streaming caller hears a comment while nothing else comes.
+	// KeepAlive is the interval of comments that are sent on an idle stream.
 	KeepAlive time.Duration
-	// AnswerBuffer is how much of a plain service's answer is read before the first byte goes on, in bytes.
+	// AnswerBuffer is how much of a plain service's answer is read before any of it is
+	// forwarded, in bytes. A failure within this part can still be retried or reported.
 	AnswerBuffer int64
 }
 
 func (o *Options) setDefaults() {
-	setDefault(&o.MaxBody, DefaultMaxBody)
-	setDefault(&o.FirstTokenTimeout, DefaultFirstTokenTimeout)
-	setDefault(&o.CallTimeout, DefaultCallTimeout)
-	setDefault(&o.WriteTimeout, DefaultWriteTimeout)
-	setDefault(&o.ProbeTimeout, DefaultProbeTimeout)
-	setDefault(&o.MaxAttempts, DefaultMaxAttempts)
-	setDefault(&o.KeepAlive, DefaultKeepAlive)
-	setDefault(&o.AnswerBuffer, DefaultAnswerBuffer)
+	setIfUnset(&o.MaxBody, DefaultMaxBody)
+	setIfUnset(&o.FirstTokenTimeout, DefaultFirstTokenTimeout)
+	setIfUnset(&o.CallTimeout, DefaultCallTimeout)
+	setIfUnset(&o.WriteTimeout, DefaultWriteTimeout)
+	setIfUnset(&o.ProbeTimeout, DefaultProbeTimeout)
+	setIfUnset(&o.MaxAttempts, DefaultMaxAttempts)
+	setIfUnset(&o.KeepAlive, DefaultKeepAlive)
+	setIfUnset(&o.AnswerBuffer, DefaultAnswerBuffer)
 	if o.OnReplicaFailed == nil {
 		o.OnReplicaFailed = func(cluster.Replica, string) {}
 	}
@@ -92,38 +94,39 @@
 	}
 }
 
-func setDefault[T int | int64 | time.Duration](field *T, value T) {
+func setIfUnset[T int | int64 | time.Duration](field *T, value T) {
 	if *field <= 0 {
 		*field = value
 	}
 }
 
-// Gateway is the callers' http.Handler.
+// Gateway is the http.Handler for callers' requests.
 type Gateway struct {
 	opts Options
-	// background counts cancels and claim records still on their way.
+	// background tracks cancel requests that are still being sent.
 	background sync.WaitGroup
-	// refused counts refusals by team since the start: *atomic.Int64 by cluster.TeamID.
-	refused sync.Map
+	// refusals counts refused requests since the start: *atomic.Int64 by cluster.TeamID.
+	refusals sync.Map
 }
 
-func (g *Gateway) noteRefused(c caller) {
+// countTeamRefusal counts a refused request of an authenticated caller.
+func (g *Gateway) countTeamRefusal(c caller) {
 	if c.team == nil {
 		return
 	}
-	count, _ := g.refused.LoadOrStore(c.team.Name, new(atomic.Int64))
+	count, _ := g.refusals.LoadOrStore(c.team.Name, new(atomic.Int64))
 	count.(*atomic.Int64).Add(1)
 }
 
 // RefusedRequests returns how many requests of the team were refused since the start.
 func (g *Gateway) RefusedRequests(team cluster.TeamID) int64 {
-	if count, ok := g.refused.Load(team); ok {
+	if count, ok := g.refusals.Load(team); ok {
 		return count.(*atomic.Int64).Load()
 	}
 	return 0
 }
 
-// Wait returns when nothing that the gateway started in the background runs any more.
+// Wait waits until all background work of the gateway has ended.
 func (g *Gateway) Wait() { g.background.Wait() }
 
 // New returns a Gateway.
@@ -132,11 +135,12 @@
 	return &Gateway{opts: opts}
 }
 
-// caller is an authenticated request before its target is known.
+// caller holds a request's ID, the rules it is handled by and the team that sent it. team is
+// nil if authentication failed.
 type caller struct {
-	set  *rules.Set
-	team *rules.Team
-	id   string
+	rules     *rules.Set
+	team      *rules.Team
+	requestID string
 }
 
 // ServeHTTP implements http.Handler.
@@ -159,8 +163,8 @@
 }
 
 func (g *Gateway) authenticate(r *http.Request, id string) (caller, error) {
-	c := caller{id: id, set: g.opts.Rules.Current()}
-	if c.set == nil {
+	c := caller{requestID: id, rules: g.opts.Rules.Current()}
+	if c.rules == nil {
 		return c, fennelerr.New(fennelerr.NotReady, "no rules are known on this node yet").
 			WithRun(fennelerr.NotRun).WithRetryAfter(time.Second)
 	}
@@ -169,7 +173,7 @@
 		return c, fennelerr.New(fennelerr.Unauthenticated, "send the team's token as 'Authorization: Bearer TOKEN'").
 			WithField("Authorization").WithRun(fennelerr.NotRun)
 	}
-	c.team = c.set.TeamByToken(token)
+	c.team = c.rules.TeamByToken(token)
 	if c.team == nil {
 		return c, fennelerr.New(fennelerr.Unauthenticated, "no team has this token").
 			WithField("Authorization").WithRun(fennelerr.NotRun)
@@ -177,11 +181,11 @@
 	return c, nil
 }
 
-// route finds the rule of a request or refuses it.
+// route returns the rule that matches a request, or an error if there is none.
 func (g *Gateway) route(c caller, path, model string) (*rules.Route, error) {
-	rt := c.set.Match(rules.Request{Path: path, Model: model, Team: c.team.Name})
-	if rt != nil {
-		return rt, nil
+	route := c.rules.Match(rules.Request{Path: path, Model: model, Team: c.team.Name})
+	if route != nil {
+		return route, nil
 	}
 	if model != "" {
 		return nil, fennelerr.New(fennelerr.ModelNotFound, "no rule serves model %q on %s to team %s", model, path, c.team.Name).
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -33,9 +33,9 @@
 )
 
 const (
-	testToken = "token-a"
-	chatBody  = `{"model":"assistente-fit","messages":[{"role":"user","content":"cold left foot"}],"max_tokens":12}`
-	chatStrm  = `{"model":"assistente-fit","messages":[{"role":"user","content":"cold left foot"}],"max_tokens":12,"stream":true}`
+	testToken      = "token-a"
+	chatBody       = `{"model":"assistente-fit","messages":[{"role":"user","content":"cold left foot"}],"max_tokens":12}`
+	chatStreamBody = `{"model":"assistente-fit","messages":[{"role":"user","content":"cold left foot"}],"max_tokens":12,"stream":true}`
 )
 
 const testRules = `
@@ -47,19 +47,19 @@
 route   path=/notes/* to=caixa                 # asked for by: Ana
 `
 
-// fixedRules is a RuleSource with one set.
-type fixedRules struct{ set *rules.Set }
+// fakeRules is a RuleSource with a fixed rule set.
+type fakeRules struct{ set *rules.Set }
 
-func (f fixedRules) Current() *rules.Set { return f.set }
+func (f fakeRules) Current() *rules.Set { return f.set }
 
-// listRouter hands out replicas in order, skipping excluded ones.
-type listRouter struct {
+// fakeRouter chooses the first replica of a list that is not excluded.
+type fakeRouter struct {
 	mu      sync.Mutex
 	choices []routing.Choice
 	ended   []routing.Result
 }
 
-func (l *listRouter) Choose(req routing.Request) (routing.Choice, error) {
+func (l *fakeRouter) Choose(req routing.Request) (routing.Choice, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 next:
@@ -71,55 +71,55 @@
 		}
 		return c, nil
 	}
-	return routing.Choice{}, fennelerr.New(fennelerr.NoReplica, "none left").WithRun(fennelerr.NotRun)
+	return routing.Choice{}, fennelerr.New(fennelerr.NoReplica, "no replica left").WithRun(fennelerr.NotRun)
 }
 
-func (l *listRouter) End(_ routing.Choice, res routing.Result) {
+func (l *fakeRouter) End(_ routing.Choice, res routing.Result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ended = append(l.ended, res)
 }
 
-type fixedServices []string
+type fakeServices []string
 
-func (f fixedServices) ServiceAddrs(cluster.Service) []string { return f }
+func (f fakeServices) ServiceAddrs(cluster.Service) []string { return f }
 
-// openAdmitter admits everything and counts slots.
-type openAdmitter struct{ held atomic.Int64 }
+// unlimitedAdmitter admits every request and counts the slots in use.
+type unlimitedAdmitter struct{ held atomic.Int64 }
 
-func (o *openAdmitter) Acquire(context.Context, admission.Request) (Slot, error) {
+func (o *unlimitedAdmitter) Acquire(context.Context, admission.Request) (Slot, error) {
 	o.held.Add(1)
-	return openSlot{o}, nil
+	return unlimitedSlot{o}, nil
 }
-func (o *openAdmitter) AllowRetry(cluster.TeamID) bool { return true }
+func (o *unlimitedAdmitter) AllowRetry(cluster.TeamID) bool { return true }
 
-type openSlot struct{ o *openAdmitter }
+type unlimitedSlot struct{ o *unlimitedAdmitter }
 
-func (s openSlot) FirstToken() {}
+func (s unlimitedSlot) FirstToken() {}
 
-func (s openSlot) Release(int) { s.o.held.Add(-1) }
+func (s unlimitedSlot) Release(int) { s.o.held.Add(-1) }
 
-// memoryClaims is a Claimer without faults.
-type memoryClaims struct {
-	// lapsed makes all claims look as after a long pause of the process.
-	lapsed atomic.Bool
+// fakeClaimer is an in-memory Claimer without faults.
+type fakeClaimer struct {
+	// expired makes all claims look expired, as after a long pause of the process.
+	expired atomic.Bool
 
 	mu   sync.Mutex
-	keys map[string]*memoryClaim
+	keys map[string]*fakeClaim
 }
 
-type memoryClaim struct {
-	m      *memoryClaims
+type fakeClaim struct {
+	m      *fakeClaimer
 	key    string
 	answer *claims.Answer
 	state  claims.State
 }
 
-func (m *memoryClaims) Claim(_ context.Context, call claims.Call) (Claim, *claims.Answer, error) {
+func (m *fakeClaimer) Claim(_ context.Context, call claims.Call) (Claim, *claims.Answer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.keys == nil {
-		m.keys = map[string]*memoryClaim{}
+		m.keys = map[string]*fakeClaim{}
 	}
 	if c := m.keys[call.Key]; c != nil {
 		if c.state == claims.Done {
@@ -127,33 +127,33 @@
 		}
 		return nil, nil, fennelerr.New(fennelerr.OutcomeUnknown, "unknown").WithRun(fennelerr.Unknown)
 	}
-	c := &memoryClaim{m: m, key: call.Key, state: claims.Pending}
+	c := &fakeClaim{m: m, key: call.Key, state: claims.Pending}
 	m.keys[call.Key] = c
 	return c, nil, nil
 }
 
-func (c *memoryClaim) set(state claims.State, a *claims.Answer) {
+func (c *fakeClaim) set(state claims.State, a *claims.Answer) {
 	c.m.mu.Lock()
 	defer c.m.mu.Unlock()
 	c.state, c.answer = state, a
 }
 
-func (c *memoryClaim) StillHeld(time.Time) bool { return !c.m.lapsed.Load() }
+func (c *fakeClaim) StillHeld(time.Time) bool { return !c.m.expired.Load() }
 
-func (c *memoryClaim) Release(context.Context) {
+func (c *fakeClaim) Release(context.Context) {
 	c.m.mu.Lock()
 	defer c.m.mu.Unlock()
 	delete(c.m.keys, c.key)
 }
-func (c *memoryClaim) Finish(_ context.Context, a claims.Answer) { c.set(claims.Done, &a) }
-func (c *memoryClaim) Abandon(context.Context)                   { c.set(claims.Unknown, nil) }
+func (c *fakeClaim) Finish(_ context.Context, a claims.Answer) { c.set(claims.Done, &a) }
+func (c *fakeClaim) Abandon(context.Context)                   { c.set(claims.Unknown, nil) }
 
-// noQuarantine lets everything pass and counts crashes.
-type noQuarantine struct{ crashes atomic.Int64 }
+// fakeQuarantine admits every request and counts crashes.
+type fakeQuarantine struct{ crashes atomic.Int64 }
 
-func (q *noQuarantine) Admit(context.Context, suspect.Fingerprint) (bool, error) { return false, nil }
-func (q *noQuarantine) MayRetryOn(cluster.ReplicaID) bool                        { return true }
-func (q *noQuarantine) Begin(suspect.Fingerprint, cluster.ReplicaID, int64, bool) func(suspect.Outcome) {
+func (q *fakeQuarantine) Admit(context.Context, suspect.Fingerprint) (bool, error) { return false, nil }
+func (q *fakeQuarantine) MayRetryOn(cluster.ReplicaID) bool                        { return true }
+func (q *fakeQuarantine) Begin(suspect.Fingerprint, cluster.ReplicaID, int64, bool) func(suspect.Outcome) {
 	return func(how suspect.Outcome) {
 		if how == suspect.Crashed {
 			q.crashes.Add(1)
@@ -161,32 +161,33 @@
 	}
 }
 
-// bench is one gateway before stand-in engines, each a replica of one VM.
-type bench struct {
+// fixture is a gateway with stand-in engines, each of them a replica of one VM.
+type fixture struct {
 	t          testing.TB
 	gateway    *Gateway
 	server     *httptest.Server
 	engines    []*standinengine.Server
 	addrs      []string
-	router     *listRouter
-	admitter   *openAdmitter
-	claims     *memoryClaims
-	quarantine *noQuarantine
-	services   fixedServices
+	router     *fakeRouter
+	admitter   *unlimitedAdmitter
+	claims     *fakeClaimer
+	quarantine *fakeQuarantine
+	services   fakeServices
 	opts       Options
 }
 
-func testSet(t testing.TB) *rules.Set {
+func testRuleSet(t testing.TB) *rules.Set {
 	t.Helper()
 	set, err := rules.Parse(fmt.Sprintf(testRules, tokenHash(testToken)))
 	require.NoError(t, err)
 	return set
 }
 
-// newBench starts n engines and a gateway; change may be nil.
-func newBench(t testing.TB, n int, engineOpts standinengine.Options, change func(*bench)) *bench {
+// newFixture starts n engines and a gateway. change, which may be nil, modifies the fixture
+// before the gateway is created.
+func newFixture(t testing.TB, n int, engineOpts standinengine.Options, change func(*fixture)) *fixture {
 	t.Helper()
-	b := &bench{t: t, router: &listRouter{}, admitter: &openAdmitter{}, claims: &memoryClaims{}, quarantine: &noQuarantine{}}
+	b := &fixture{t: t, router: &fakeRouter{}, admitter: &unlimitedAdmitter{}, claims: &fakeClaimer{}, quarantine: &fakeQuarantine{}}
 	for i := range n {
 		b.addEngine(i, engineOpts)
 	}
@@ -194,7 +195,7 @@
 	prober := engine.NewProber(time.Second)
 	var ids atomic.Int64
 	b.opts = Options{
-		Protocol: openai.Front{}, Rules: fixedRules{testSet(t)}, Router: b.router, Admitter: b.admitter, Claimer: b.claims, Quarantine: b.quarantine,
+		Protocol: openai.Front{}, Rules: fakeRules{testRuleSet(t)}, Router: b.router, Admitter: b.admitter, Claimer: b.claims, Quarantine: b.quarantine,
 		Pools: pools, Streamer: engine.NewStreamer(pools, time.Second), Prober: prober,
 		NewRequestID: func() string { return fmt.Sprintf("req-%d", ids.Add(1)) },
 	}
@@ -207,9 +208,9 @@
 	b.opts.Services = b.services
 	b.gateway = New(b.opts)
 	b.server = httptest.NewUnstartedServer(b.gateway)
-	b.server.Listener = smallBuffers{b.server.Listener}
+	b.server.Listener = smallBufferListener{b.server.Listener}
 	b.server.Start()
-	b.server.Client().Transport.(*http.Transport).DialContext = dialSmallBuffers
+	b.server.Client().Transport.(*http.Transport).DialContext = dialWithSmallBuffer
 	t.Cleanup(func() {
 		b.server.CloseClientConnections()
 		b.server.Close()
@@ -220,41 +221,42 @@
 	return b
 }
 
-// smallBuffers makes connections on which a reader that pauses is soon felt by the writer.
-type smallBuffers struct{ net.Listener }
+// smallBufferListener accepts connections with a small write buffer, so that writes soon block
+// if the reader pauses.
+type smallBufferListener struct{ net.Listener }
 
-const smallBuffer = 8 << 10
+const socketBufferSize = 8 << 10
 
-func (l smallBuffers) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		err = c.(*net.TCPConn).SetWriteBuffer(smallBuffer)
+		err = c.(*net.TCPConn).SetWriteBuffer(socketBufferSize)
 	}
 	return c, err
 }
 
-func dialSmallBuffers(ctx context.Context, network, addr string) (net.Conn, error) {
+func dialWithSmallBuffer(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if err == nil {
-		err = c.(*net.TCPConn).SetReadBuffer(smallBuffer)
+		err = c.(*net.TCPConn).SetReadBuffer(socketBufferSize)
 	}
 	return c, err
 }
 
-// deadProbes is a Prober to which one address seems dead.
-type deadProbes struct {
+// unreachableProber is a Prober for which one address does not answer.
+type unreachableProber struct {
 	Prober
 	addr string
 }
 
-func (d deadProbes) State(ctx context.Context, addr string) (engine.State, error) {
+func (d unreachableProber) State(ctx context.Context, addr string) (engine.State, error) {
 	if addr == d.addr {
 		return engine.State{}, &engine.CallError{Kind: engine.CallNoAnswer, Addr: addr, Err: context.DeadlineExceeded}
 	}
 	return d.Prober.State(ctx, addr)
 }
 
-func (b *bench) addEngine(i int, opts standinengine.Options) {
+func (b *fixture) addEngine(i int, opts standinengine.Options) {
 	opts.VM = cluster.VMID(fmt.Sprintf("vm-%d", i))
 	eng := standinengine.New(opts)
 	srv := httptest.NewServer(eng.Handler())
@@ -277,16 +279,16 @@
 	b.router.choices = append(b.router.choices, routing.Choice{Replica: replica, Addr: addr, Reason: "first"})
 }
 
-// reply is what a caller saw.
+// reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// err is how reading the body ended; nil for a clean end.
+	// err is the error of reading the body; nil if it ended cleanly.
 	err error
 }
 
-func (b *bench) send(method, path, body string, headers ...string) reply {
+func (b *fixture) send(method, path, body string, headers ...string) reply {
 	b.t.Helper()
 	req, err := http.NewRequest(method, b.server.URL+path, strings.NewReader(body))
 	require.NoError(b.t, err)
@@ -301,13 +303,14 @@
 	return reply{resp.StatusCode, resp.Header, string(text), err}
 }
 
-func (b *bench) chat(body string) reply {
+func (b *fixture) chat(body string) reply {
 	b.t.Helper()
 	return b.send(http.MethodPost, engine.ChatPath, body)
 }
 
-// streamText is the text of a stream's chunks; whole tells whether it ended with the marker.
-func streamText(body string) (text string, whole bool) {
+// streamText returns the text of a stream's chunks, and whether the stream ended with the end
+// marker.
+func streamText(body string) (text string, complete bool) {
 	var out strings.Builder
 	sc := bufio.NewScanner(bytes.NewReader([]byte(body)))
 	for sc.Scan() {
@@ -332,19 +335,19 @@
 	return out.String(), false
 }
 
-// requireWhole asserts a clean stream with exactly the engine's text.
-func requireWhole(t testing.TB, r reply, body string) {
+// requireCompleteStream requires a complete stream with exactly the engine's text.
+func requireCompleteStream(t testing.TB, r reply, body string) {
 	t.Helper()
 	require.Equal(t, http.StatusOK, r.status, r.body)
 	require.NoError(t, r.err)
-	text, whole := streamText(r.body)
-	require.True(t, whole, r.body)
+	text, complete := streamText(r.body)
+	require.True(t, complete, r.body)
 	require.Equal(t, standinengine.Text([]byte(body)), text)
 	require.Equal(t, string(fennelerr.Ran), r.header.Get(HeaderRun))
 }
 
-// runsOf counts executions at all engines.
-func (b *bench) runs() int {
+// runs returns the number of executions at all engines.
+func (b *fixture) runs() int {
 	total := 0
 	for _, e := range b.engines {
 		for _, n := range e.Runs().ByRequest {
@@ -354,9 +357,9 @@
 	return total
 }
 
-// relay passes bytes between callers and a target until it is muted: then the
-// connections that are open stay open but pass nothing, while new ones work.
-type relay struct {
+// tcpProxy forwards bytes between callers and a target. After mute, the connections that were
+// open stay open but pass no more data, and new connections work.
+type tcpProxy struct {
 	ln     net.Listener
 	target string
 	mu     sync.Mutex
@@ -365,11 +368,11 @@
 	opened int
 }
 
-func newRelay(t testing.TB, target string) *relay {
+func newTCPProxy(t testing.TB, target string) *tcpProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	r := &relay{ln: ln, target: target, muted: &atomic.Bool{}}
+	r := &tcpProxy{ln: ln, target: target, muted: &atomic.Bool{}}
 	var wg sync.WaitGroup
 	wg.Go(func() { r.accept(&wg) })
 	t.Cleanup(func() {
@@ -384,9 +387,9 @@
 	return r
 }
 
-func (r *relay) addr() string { return r.ln.Addr().String() }
+func (r *tcpProxy) addr() string { return r.ln.Addr().String() }
 
-func (r *relay) accept(wg *sync.WaitGroup) {
+func (r *tcpProxy) accept(wg *sync.WaitGroup) {
 	for {
 		in, err := r.ln.Accept()
 		if err != nil {
@@ -402,26 +405,26 @@
 		r.conns = append(r.conns, in, out)
 		r.opened++
 		r.mu.Unlock()
-		wg.Go(func() { pump(out, in, muted) })
-		wg.Go(func() { pump(in, out, muted) })
+		wg.Go(func() { copyUntilMuted(out, in, muted) })
+		wg.Go(func() { copyUntilMuted(in, out, muted) })
 	}
 }
 
-// mute silences all connections open now.
-func (r *relay) mute() {
+// mute makes all connections that are open now drop their data.
+func (r *tcpProxy) mute() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.muted.Store(true)
 	r.muted = &atomic.Bool{}
 }
 
-func (r *relay) connections() int {
+func (r *tcpProxy) connections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.opened
 }
 
-func pump(to, from net.Conn, muted *atomic.Bool) {
+func copyUntilMuted(to, from net.Conn, muted *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -440,14 +443,14 @@
 	}
 }
 
-// testSession is a session of a streamed chat request that goes to out.
+// testSession returns a session of a streamed chat request whose answer is written to out.
 func testSession(t testing.TB, out http.ResponseWriter) *session {
 	t.Helper()
-	set := testSet(t)
-	asked, err := openai.Front{}.Parse(engine.ChatPath, []byte(chatStrm))
+	set := testRuleSet(t)
+	modelCall, err := openai.Front{}.Parse(engine.ChatPath, []byte(chatStreamBody))
 	require.NoError(t, err)
-	exchange := asked.NewExchange(call.Caller{W: out, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
+	exchange := modelCall.NewExchange(call.Caller{W: out, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
 	t.Cleanup(exchange.Close)
-	return &session{g: New(Options{Protocol: openai.Front{}}), c: caller{id: "r", set: set, team: &set.Teams[0]}, asked: asked, exchange: exchange,
-		target: &target{}, slot: openSlot{&openAdmitter{}}}
+	return &session{g: New(Options{Protocol: openai.Front{}}), c: caller{requestID: "r", rules: set, team: &set.Teams[0]}, modelCall: modelCall, exchange: exchange,
+		target: &target{}, slot: unlimitedSlot{&unlimitedAdmitter{}}}
 }
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -13,14 +13,14 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// serveModel answers a completion request.
+// serveModel handles a completion request.
 func (g *Gateway) serveModel(w http.ResponseWriter, r *http.Request, c caller) {
-	s, deadline, err := g.newSession(w, r, c)
+	s, deadline, err := g.parseModelRequest(w, r, c)
 	if err != nil {
 		g.refuse(w, r, c, err)
 		return
 	}
-	right, recorded, err := g.claimFor(r, c, s.route, s.body)
+	claim, recorded, err := g.acquireClaim(r, c, s.route, s.body)
 	if err != nil {
 		g.refuse(w, r, c, err)
 		return
@@ -29,20 +29,22 @@
 		g.replay(w, c, recorded)
 		return
 	}
-	s.exchange = s.asked.NewExchange(call.Caller{W: w, RequestID: c.id, WriteTimeout: g.opts.WriteTimeout, KeepAlive: g.opts.KeepAlive})
+	s.exchange = s.modelCall.NewExchange(call.Caller{W: w, RequestID: c.requestID, WriteTimeout: g.opts.WriteTimeout, KeepAlive: g.opts.KeepAlive})
 	defer s.exchange.Close()
-	s.right = right
+	s.claim = claim
 	err = g.runSession(r, s, deadline)
-	g.settle(right, s.outcome(err))
-	g.endModel(w, r, s, err)
+	g.settleClaim(claim, s.claimOutcome(err))
+	g.finishModel(w, r, s, err)
 }
 
-func (g *Gateway) newSession(w http.ResponseWriter, r *http.Request, c caller) (*session, time.Time, error) {
+// parseModelRequest validates a completion request. It returns the session for it and the deadline
+// of its first token.
+func (g *Gateway) parseModelRequest(w http.ResponseWriter, r *http.Request, c caller) (*session, time.Time, error) {
 	if r.Method != http.MethodPost {
-		return nil, time.Time{}, fennelerr.Invalid("", "%s takes POST", r.URL.Path)
+		return nil, time.Time{}, fennelerr.Invalid("", "%s requires method POST", r.URL.Path)
 	}
 	now := time.Now()
-	deadline, err := deadlineOf(r, now, g.opts.FirstTokenTimeout)
+	deadline, err := firstTokenDeadline(r, now, g.opts.FirstTokenTimeout)
 	if err != nil {
 		return nil, deadline, err
 	}
@@ -50,47 +52,47 @@
 	if err != nil {
 		return nil, deadline, err
 	}
-	asked, err := g.opts.Protocol.Parse(r.URL.Path, body)
+	modelCall, err := g.opts.Protocol.Parse(r.URL.Path, body)
 	if err != nil {
 		return nil, deadline, err
 	}
-	rt, err := g.route(c, r.URL.Path, asked.Model)
+	route, err := g.route(c, r.URL.Path, modelCall.Model)
 	if err != nil {
 		return nil, deadline, err
 	}
-	if rt.Group == "" {
-		return nil, deadline, fennelerr.New(fennelerr.ModelNotFound, "path %s leads to a plain service here", r.URL.Path).
+	if route.Group == "" {
+		return nil, deadline, fennelerr.New(fennelerr.ModelNotFound, "path %s is routed to a plain service, not to a model", r.URL.Path).
 			WithField("path").WithRun(fennelerr.NotRun)
 	}
-	return &session{g: g, c: c, asked: asked, path: r.URL.Path, body: body, route: rt, run: fennelerr.NotRun, started: now,
+	return &session{g: g, c: c, modelCall: modelCall, path: r.URL.Path, body: body, route: route, run: fennelerr.NotRun, started: now,
 		fp: fingerprintOf(c.team.Name, r.URL.Path, body)}, deadline, nil
 }
 
-// runSession holds a slot while the session runs.
+// runSession acquires a slot and runs the session while holding it.
 func (g *Gateway) runSession(r *http.Request, s *session, deadline time.Time) error {
 	slot, err := g.opts.Admitter.Acquire(r.Context(), admission.Request{
-		Team: s.c.team.Name, Group: s.route.Group, Deadline: deadline, Cost: s.asked.Cost,
+		Team: s.c.team.Name, Group: s.route.Group, Deadline: deadline, Cost: s.modelCall.Cost,
 	})
 	if err != nil {
 		if r.Context().Err() != nil {
 			return &callerGoneError{r.Context().Err()}
 		}
-		return s.withRun(err)
+		return s.withRunState(err)
 	}
 	defer func() { slot.Release(s.tokens) }()
 	s.slot = slot
-	if err := mayDispatch(s.right); err != nil {
+	if err := checkClaimHeld(s.claim); err != nil {
 		return err
 	}
 	return s.serve(r.Context(), deadline)
 }
 
-// endModel tells the caller how the session ended.
-func (g *Gateway) endModel(w http.ResponseWriter, r *http.Request, s *session, err error) {
-	log := g.opts.Log.With("request", s.c.id, "team", s.c.team.Name, "model", s.asked.Model, "tokens", s.tokens,
+// finishModel completes the answer to the caller after the session ended with err.
+func (g *Gateway) finishModel(w http.ResponseWriter, r *http.Request, s *session, err error) {
+	log := g.opts.Log.With("request", s.c.requestID, "team", s.c.team.Name, "model", s.modelCall.Model, "tokens", s.tokens,
 		"duration", time.Since(s.started))
 	if err == nil {
-		answersWhole.Inc()
+		answersComplete.Inc()
 		log.Info("answered")
 		return
 	}
@@ -103,42 +105,43 @@
 		g.refuse(w, r, s.c, err)
 		return
 	}
-	// The status has gone out: an error event, then an aborted body, so that no
-	// client can take what came for the whole answer.
+	// The status line was already sent. An error event and an aborted body keep clients from
+	// taking the partial answer for a complete one.
 	answersAborted.Inc()
-	e := typed(err)
+	e := normalizeError(err)
 	countRefusal(e)
 	log.Error("answer aborted", "code", e.Code, "run", e.Run, "err", err.Error())
-	s.exchange.Abort(g.opts.Protocol.Error(e, s.c.id))
+	s.exchange.Abort(g.opts.Protocol.Error(e, s.c.requestID))
 	panic(http.ErrAbortHandler)
 }
 
-// outcome is what the session's end means for its claim.
-func (s *session) outcome(err error) claimOutcome {
+// claimOutcome returns how to settle the session's claim after the session ended with err.
+func (s *session) claimOutcome(err error) claimOutcome {
 	switch {
 	case s.run == fennelerr.NotRun:
-		return claimOutcome{kind: claimNotRun}
+		return claimOutcome{kind: claimNotExecuted}
 	case err != nil:
 		return claimOutcome{kind: claimUnknown}
 	}
 	answer := claims.Answer{Status: http.StatusOK, ContentType: "application/json"}
 	answer.Body = s.exchange.ResponseDocument()
 	answer.BodyOmitted = answer.Body == nil
-	return claimOutcome{kind: claimRan, answer: answer}
+	return claimOutcome{kind: claimExecuted, answer: answer}
 }
 
-// needsClaim reports whether a call on the route is claimed before dispatch.
-func needsClaim(rt *rules.Route, method, key string) bool {
-	if rt.Once == rules.OnceNo || isSafe(method) {
+// needsClaim reports whether a call on the route must be claimed before dispatch.
+func needsClaim(route *rules.Route, method, key string) bool {
+	if route.Once == rules.OnceNo || isSafe(method) {
 		return false
 	}
-	if rt.Group != "" {
-		return rt.Once == rules.OnceRequired
+	if route.Group != "" {
+		return route.Once == rules.OnceRequired
 	}
-	return rt.Once == rules.OnceRequired || key != ""
+	return route.Once == rules.OnceRequired || key != ""
 }
 
-// isSafe reports whether the method only reads (RFC 9110 section 9.2.1).
+// isSafe reports whether the method is safe as defined by RFC 9110, section 9.2.1: a read
+// without side effects.
 func isSafe(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -17,8 +17,9 @@
 	standinengine "github.com/fennelcourse/fennelcourse/internal/standin/engine"
 )
 
-// realChoice gives the bench the daemon's router and admitter instead of its fakes.
-func realChoice(b *bench, policy routing.Policy, admit bool, batch int) {
+// useRealRouterAndAdmitter replaces the fixture's fake router, and its admitter if admit is set,
+// by those of the daemon.
+func useRealRouterAndAdmitter(b *fixture, policy routing.Policy, admit bool, batch int) {
 	table := routing.NewTable(routing.Options{Policy: policy})
 	var entries []routing.Entry
 	for i, c := range b.router.choices {
@@ -37,26 +38,27 @@
 	}
 }
 
-func numbered(i int) string {
+// numberedChat returns the body of the i-th of a series of different chat requests.
+func numberedChat(i int) string {
 	return fmt.Sprintf(`{"model":"assistente-fit","messages":[{"role":"user","content":"boot %d"}],"max_tokens":20,"stream":true}`, i)
 }
 
-// Far more callers come at once than the replicas can serve in time. Everyone is
-// either answered whole or refused with the time to come back, and what was
-// refused as not run did run nowhere.
-func TestBurstIsAnsweredWholeOrRefusedHonestly(t *testing.T) {
+// Far more callers send requests at once than the replicas can serve in time. Each must receive a
+// complete answer or an error with Retry-After, and requests refused as not run must not have
+// run.
+func TestBurstIsAnsweredCompletelyOrRefusedTruthfully(t *testing.T) {
 	const callers, batch = 120, 2
-	b := newBench(t, 3, standinengine.Options{MaxRunning: batch, TokenInterval: 2 * time.Millisecond}, func(b *bench) {
-		realChoice(b, nil, true, batch)
+	b := newFixture(t, 3, standinengine.Options{MaxRunning: batch, TokenInterval: 2 * time.Millisecond}, func(b *fixture) {
+		useRealRouterAndAdmitter(b, nil, true, batch)
 		b.opts.FirstTokenTimeout = 400 * time.Millisecond
 	})
-	for i := range 6 { // so that hold times are known
-		requireWhole(t, b.chat(numbered(i)), numbered(i))
+	for i := range 6 { // so that the admitter has measured hold times
+		requireCompleteStream(t, b.chat(numberedChat(i)), numberedChat(i))
 	}
 	replies := make([]reply, callers)
 	var wg sync.WaitGroup
 	for i := range callers {
-		wg.Go(func() { replies[i] = b.chat(numbered(i)) })
+		wg.Go(func() { replies[i] = b.chat(numberedChat(i)) })
 	}
 	wg.Wait()
 	runs := map[string]int{}
@@ -65,11 +67,11 @@
 			runs[id] += n
 		}
 	}
-	whole := 0
+	complete := 0
 	for i, r := range replies {
 		if r.status == http.StatusOK {
-			requireWhole(t, r, numbered(i))
-			whole++
+			requireCompleteStream(t, r, numberedChat(i))
+			complete++
 			continue
 		}
 		if r.header.Get(HeaderRun) == string(fennelerr.NotRun) {
@@ -77,56 +79,57 @@
 			require.NotEmpty(t, r.header.Get("Retry-After"), r.body)
 		}
 	}
-	require.Positive(t, whole)
-	require.Less(t, whole, callers, "this was meant to be too much")
+	require.Positive(t, complete)
+	require.Less(t, complete, callers, "the burst must exceed the capacity")
 }
 
-// BenchmarkOverloadHTTP offers requests at a multiple of the capacity for five
-// seconds through real connections to four engines of batch 4 (20 tokens, 5 ms
-// each: 160 requests a second). Good answers are whole and their first token
-// came within the 500 ms that callers wait.
+// BenchmarkOverloadHTTP sends requests at a multiple of the capacity for five seconds over real
+// connections to four engines with batch size 4 (20 tokens of 5 ms each, 160 requests/s in
+// total). Good answers are complete and their first token arrives within the 500 ms that
+// callers wait.
 func BenchmarkOverloadHTTP(b *testing.B) {
 	const batch, seconds, capacity = 4, 5, 160
 	for _, times := range []int{1, 2} {
 		for _, naive := range []bool{false, true} {
 			b.Run(fmt.Sprintf("naive=%v/load=%dx", naive, times), func(b *testing.B) {
-				var got tally
+				var got replyCounts
 				for range b.N {
-					overloadOnce(b, naive, batch, times*capacity*seconds, time.Second/time.Duration(times*capacity), &got)
+					runOverload(b, naive, batch, times*capacity*seconds, time.Second/time.Duration(times*capacity), &got)
 				}
 				b.ReportMetric(float64(got.good.Load())/float64(b.N)/seconds, "good/s")
 				b.ReportMetric(float64(got.notRun.Load())/float64(b.N)/seconds, "not-run/s")
 				if n := got.failed.Load(); n > 0 {
-					b.ReportMetric(time.Duration(got.failedFor.Load()/n).Seconds()*1000, "ms-to-failure")
+					b.ReportMetric(time.Duration(got.failureTime.Load()/n).Seconds()*1000, "ms-to-failure")
 				}
 			})
 		}
 	}
 }
 
-// tally counts what callers saw; failedFor is the sum of their waits, in nanoseconds.
-type tally struct{ good, failed, notRun, failedFor atomic.Int64 }
+// replyCounts counts the results that callers received. failureTime is the total time to the
+// failed ones, in nanoseconds.
+type replyCounts struct{ good, failed, notRun, failureTime atomic.Int64 }
 
-func (t *tally) note(r reply, took time.Duration) {
-	if _, whole := streamText(r.body); r.status == http.StatusOK && whole && r.err == nil {
+func (t *replyCounts) add(r reply, took time.Duration) {
+	if _, complete := streamText(r.body); r.status == http.StatusOK && complete && r.err == nil {
 		t.good.Add(1)
 		return
 	}
 	t.failed.Add(1)
-	t.failedFor.Add(int64(took))
+	t.failureTime.Add(int64(took))
 	if r.header.Get(HeaderRun) == string(fennelerr.NotRun) {
 		t.notRun.Add(1)
 	}
 }
 
-func overloadOnce(tb *testing.B, naive bool, batch, requests int, gap time.Duration, got *tally) {
+func runOverload(tb *testing.B, naive bool, batch, requests int, gap time.Duration, got *replyCounts) {
 	engines := standinengine.Options{MaxRunning: batch, MaxWaiting: 1 << 20, TokenInterval: 5 * time.Millisecond}
-	b := newBench(tb, 4, engines, func(b *bench) {
+	b := newFixture(tb, 4, engines, func(b *fixture) {
 		var policy routing.Policy
 		if naive {
 			policy = routing.Naive{}
 		}
-		realChoice(b, policy, !naive, batch)
+		useRealRouterAndAdmitter(b, policy, !naive, batch)
 		b.opts.FirstTokenTimeout = 500 * time.Millisecond
 	})
 	b.server.Client().Transport.(*http.Transport).MaxIdleConnsPerHost = 1 << 10
@@ -137,7 +140,7 @@
 		<-tick.C
 		wg.Go(func() {
 			began := time.Now()
-			got.note(b.chat(numbered(i)), time.Since(began))
+			got.add(b.chat(numberedChat(i)), time.Since(began))
 		})
 	}
 	wg.Wait()
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -12,11 +12,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// servePlain passes a call to a plain service.
+// servePlain handles a call to a plain service.
 func (g *Gateway) servePlain(w http.ResponseWriter, r *http.Request, c caller) {
-	rt, err := g.route(c, r.URL.Path, "")
-	if err == nil && rt.Service == "" {
-		err = fennelerr.New(fennelerr.NotFound, "path %s is not one that model engines serve", r.URL.Path).
+	route, err := g.route(c, r.URL.Path, "")
+	if err == nil && route.Service == "" {
+		err = fennelerr.New(fennelerr.NotFound, "path %s is routed to a model, but is not a path of the model API", r.URL.Path).
 			WithField("path").WithRun(fennelerr.NotRun)
 	}
 	if err != nil {
@@ -28,84 +28,85 @@
 		g.refuse(w, r, c, err)
 		return
 	}
-	right, recorded, err := g.claimFor(r, c, rt, body)
+	claim, recorded, err := g.acquireClaim(r, c, route, body)
 	switch {
 	case err != nil:
 		g.refuse(w, r, c, err)
 	case recorded != nil:
 		g.replay(w, c, recorded)
 	default:
-		g.callPlain(w, r, c, rt, body, right)
+		g.callPlain(w, r, c, route, body, claim)
 	}
 }
 
-// callPlain dispatches the call and answers the caller.
-func (g *Gateway) callPlain(w http.ResponseWriter, r *http.Request, c caller, rt *rules.Route, body []byte, right Claim) {
-	call := &plainCall{g: g, c: c, route: rt, in: r, body: body, right: right, run: fennelerr.NotRun, repeatable: isRepeatable(rt, r.Method)}
-	ctx, cancel := g.callContext(r, right)
+// callPlain dispatches the call and writes the answer.
+func (g *Gateway) callPlain(w http.ResponseWriter, r *http.Request, c caller, route *rules.Route, body []byte, claim Claim) {
+	call := &plainCall{g: g, c: c, route: route, request: r, body: body, claim: claim, run: fennelerr.NotRun, repeatable: isRepeatable(route, r.Method)}
+	ctx, cancel := g.callContext(r, claim)
 	defer cancel()
-	resp, err := call.do(ctx)
+	resp, err := call.execute(ctx)
 	if err != nil {
-		g.settle(right, call.failed())
+		g.settleClaim(claim, call.failureOutcome())
 		if r.Context().Err() != nil {
 			callersGone.Inc()
-			g.opts.Log.Info("caller gone", "request", c.id, "team", c.team.Name, "run", call.run)
+			g.opts.Log.Info("caller gone", "request", c.requestID, "team", c.team.Name, "run", call.run)
 			return
 		}
 		g.refuse(w, r, c, err)
 		return
 	}
 	defer resp.body.Close()
-	g.settle(right, claimOutcome{kind: claimRan, answer: resp.record()})
+	g.settleClaim(claim, claimOutcome{kind: claimExecuted, answer: resp.claimAnswer()})
 	g.writePlain(w, c, resp)
 }
 
-// callContext bounds a call. A claimed call goes on when its caller hangs up:
-// cutting it would only make its outcome unknown.
-func (g *Gateway) callContext(r *http.Request, right Claim) (context.Context, context.CancelFunc) {
+// callContext returns the context of a call, with the call timeout. A claimed call continues if
+// its caller disconnects, because cancelling it would make its outcome unknown.
+func (g *Gateway) callContext(r *http.Request, claim Claim) (context.Context, context.CancelFunc) {
 	ctx := r.Context()
-	if right != nil {
+	if claim != nil {
 		ctx = context.WithoutCancel(ctx)
 	}
 	return context.WithTimeout(ctx, g.opts.CallTimeout)
 }
 
-// isRepeatable reports whether a call may be sent to a second backend server
-// after bytes of it went to a first one.
-func isRepeatable(rt *rules.Route, method string) bool {
-	return rt.Once == rules.OnceNo || isSafe(method)
+// isRepeatable reports whether a call may be sent to another backend server after part of it
+// was sent to one.
+func isRepeatable(route *rules.Route, method string) bool {
+	return route.Once == rules.OnceNo || isSafe(method)
 }
 
-// failed is what a failed call means for its claim.
-func (p *plainCall) failed() claimOutcome {
+// failureOutcome returns how to settle the claim of a failed call.
+func (p *plainCall) failureOutcome() claimOutcome {
 	if p.run == fennelerr.NotRun {
-		return claimOutcome{kind: claimNotRun}
+		return claimOutcome{kind: claimNotExecuted}
 	}
 	return claimOutcome{kind: claimUnknown}
 }
 
-// record is the answer as kept with the claim.
-func (a *plainAnswer) record() claims.Answer {
-	rec := claims.Answer{Status: a.status, ContentType: a.header.Get("Content-Type")}
-	if !a.whole || len(a.head) > claims.MaxAnswerBody {
-		rec.BodyOmitted = true
-		return rec
+// claimAnswer returns the answer as it is recorded with the claim.
+func (a *plainAnswer) claimAnswer() claims.Answer {
+	answer := claims.Answer{Status: a.status, ContentType: a.header.Get("Content-Type")}
+	if !a.complete || len(a.buffered) > claims.MaxAnswerBody {
+		answer.BodyOmitted = true
+		return answer
 	}
-	rec.Body = a.head
-	return rec
+	answer.Body = a.buffered
+	return answer
 }
 
-// writePlain passes the answer on; one that breaks off is aborted.
+// writePlain forwards the answer to the caller. It aborts the response if the backend server's
+// answer ends early.
 func (g *Gateway) writePlain(w http.ResponseWriter, c caller, a *plainAnswer) {
 	rc := http.NewResponseController(w)
 	copyAnswerHeader(w.Header(), a.header)
 	w.Header().Set(HeaderRun, string(fennelerr.Ran))
 	w.WriteHeader(a.status)
-	_ = rc.SetWriteDeadline(time.Now().Add(g.opts.WriteTimeout)) // not supported by test recorders
+	_ = rc.SetWriteDeadline(time.Now().Add(g.opts.WriteTimeout)) // not supported by httptest.ResponseRecorder
 	err := a.copyTo(w, func() { _ = rc.SetWriteDeadline(time.Now().Add(g.opts.WriteTimeout)) })
 	if err == nil {
-		answersWhole.Inc()
-		g.opts.Log.Info("answered", "request", c.id, "team", c.team.Name, "status", a.status)
+		answersComplete.Inc()
+		g.opts.Log.Info("answered", "request", c.requestID, "team", c.team.Name, "status", a.status)
 		return
 	}
 	if _, gone := errors.Into[*callerGoneError](err); gone {
@@ -113,6 +114,6 @@
 		return
 	}
 	answersAborted.Inc()
-	g.opts.Log.Error("answer aborted", "request", c.id, "team", c.team.Name, "run", fennelerr.Ran, "err", err.Error())
+	g.opts.Log.Error("answer aborted", "request", c.requestID, "team", c.team.Name, "run", fennelerr.Ran, "err", err.Error())
 	panic(http.ErrAbortHandler)
 }
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -13,13 +13,12 @@
 	"github.com/fennelcourse/fennelcourse/internal/suspect"
 )
 
-// One caller's request crashes every engine that runs it, and the caller sends it
-// again and again. Retried as any other, it would take down the whole group
-// within one send; all callers of the model would be refused.
-func TestPoisonRequestTakesTwoReplicas(t *testing.T) {
+// A caller repeatedly sends a request that crashes every engine that runs it. With the usual
+// retries, a single such request would crash all replicas of the group.
+func TestPoisonRequestCrashesTwoReplicas(t *testing.T) {
 	const engines, sends = 5, 4
 	poison := `{"model":"assistente-fit","stream":true,"messages":[{"role":"user","content":"poison"}]}`
-	b := newBench(t, engines, standinengine.Options{CrashMarker: "poison"}, func(b *bench) {
+	b := newFixture(t, engines, standinengine.Options{CrashMarker: "poison"}, func(b *fixture) {
 		b.opts.Quarantine = suspect.New(suspect.Options{Node: "node-a", Log: slog.New(slog.DiscardHandler)})
 	})
 	crashed := func() (total int) {
@@ -42,6 +41,6 @@
 	require.Equal(t, 2, crashed())
 	for i := range 3 {
 		body := fmt.Sprintf(`{"model":"assistente-fit","stream":true,"messages":[{"role":"user","content":"hello %d"}]}`, i)
-		requireWhole(t, b.send(http.MethodPost, "/v1/chat/completions", body), body)
+		requireCompleteStream(t, b.send(http.MethodPost, "/v1/chat/completions", body), body)
 	}
 }
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -13,78 +13,82 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// verdict is what a failed attempt tells of its replica.
-type verdict struct {
-	// crashed: the replica does not answer, or no longer is what it was.
+// replicaFailure describes the state of a replica after a failed attempt.
+type replicaFailure struct {
+	// crashed: the replica does not answer or its assignment changed.
 	crashed bool
-	// unreachable: the request did not get there.
+	// unreachable: the request did not reach the replica.
 	unreachable bool
-	// forgot: the replica does not know the request that was to be resumed.
-	forgot bool
+	// resumeRejected: the replica rejected a resume or a continuation, usually because it does
+	// not know the request.
+	resumeRejected bool
 }
 
-// Classify implements recovery.Call. It asks the replica over a new connection where that
-// matters.
+// Classify implements recovery.Call. After an interruption, it queries the replica's state over
+// a new connection.
 func (s *session) Classify(ctx context.Context, err error) recovery.Failure {
 	f := recovery.Failure{
 		Outcome: recovery.Interrupted, MayHaveRun: s.run != fennelerr.NotRun, Repeatable: s.route.Once != rules.OnceRequired,
 		ResponseStarted: s.exchange.ResponseStarted(), CanContinue: s.info.CanContinue && s.exchange.CanContinue(),
-		Attempts: s.fruitless, MaxAttempts: s.g.opts.MaxAttempts,
+		Attempts: s.attemptsWithoutProgress, MaxAttempts: s.g.opts.MaxAttempts,
 		TakeRetry: func() bool { return s.g.opts.Admitter.AllowRetry(s.c.team.Name) },
 	}
-	s.verdict = verdict{}
+	s.failure = replicaFailure{}
 	_, notStarted := errors.Into[*engine.NotStartedError](err)
 	_, rejected := errors.Into[*engine.RejectedError](err)
 	switch {
 	case notStarted:
 		f.Outcome = recovery.NotRun
-		s.verdict.unreachable = true
-		s.verdict.crashed = s.resume // it had the request and cannot be reached any more
-	case rejected && (s.resume || s.carryOn):
-		s.verdict.forgot = true
+		s.failure.unreachable = true
+		s.failure.crashed = s.resume // it had received the request and has become unreachable
+	case rejected && (s.resume || s.continuation):
+		s.failure.resumeRejected = true
 	case rejected:
 		f.Outcome = recovery.Rejected
 	default:
 		countInterruption(err)
 		f.CanResume = s.probe(ctx)
-		s.verdict.crashed = !f.CanResume
+		s.failure.crashed = !f.CanResume
 	}
 	return f
 }
 
 // Apply implements recovery.Call.
 func (s *session) Apply(_ context.Context, d recovery.Decision, err error) error {
-	t := s.target.choice
-	s.g.opts.Log.Warn("attempt failed", "request", s.c.id, "replica", t.Replica.ID, "addr", t.Addr,
+	choice := s.target.choice
+	s.g.opts.Log.Warn("attempt failed", "request", s.c.requestID, "replica", choice.Replica.ID, "addr", choice.Addr,
 		"after_event", s.exchange.LastEventID(), "next", d.Step, "reason", d.Reason, "err", err.Error())
 	if d.Step == recovery.Resume {
 		resumesSame.Inc()
 		s.resume = true
 		return nil
 	}
-	s.noteReplicaFailure(err)
-	// A replica that does not know the request may get it again at once: a cancel
-	// on its way there would end the new attempt, which has the same request id.
-	if !s.verdict.crashed && !s.verdict.forgot {
+	s.reportReplicaFailure(err)
+	// A replica that rejected a resume may be sent the request again immediately. A cancel in
+	// flight would then end the new attempt, which has the same request ID.
+	if !s.failure.crashed && !s.failure.resumeRejected {
 		s.cancelAtReplica()
 	}
-	s.leave(routing.Result{}, s.verdict.crashed)
+	s.endTarget(routing.Result{}, s.failure.crashed)
 	if d.Step == recovery.GiveUp {
 		return s.giveUp(d.Reason, err)
 	}
-	if !s.verdict.forgot {
-		s.exclude = append(s.exclude, t.Replica.ID)
+	if !s.failure.resumeRejected {
+		s.excluded = append(s.excluded, choice.Replica.ID)
 	}
-	s.moveOn(d.Step)
+	s.prepareNextReplica(d.Step)
 	return nil
 }
 
-// retryBudgetWait is when a caller without retry budget may come back.
-const retryBudgetWait = 2 * time.Second
+// retryLaterDelay is the Retry-After of errors after which an immediate retry would probably fail
+// too: no retry budget, no live or working backend server, an expired claim.
+const retryLaterDelay = 2 * time.Second
 
-func (s *session) moveOn(step recovery.Step) {
-	s.carryOn = step == recovery.Continue
-	if s.carryOn {
+// prepareNextReplica prepares the session for an attempt at another replica: it continues the
+// answer or restarts it.
+func (s *session) prepareNextReplica(step recovery.Step) {
+	s.continuation = step == recovery.Continue
+	if s.continuation {
 		resumesOther.Inc()
 		return
 	}
@@ -101,8 +105,9 @@
 	}
 }
 
-// probe asks the target over a new connection whether it is still what it was.
-func (s *session) probe(ctx context.Context) (alive bool) {
+// probe queries the target over a new connection and reports whether it still has the same
+// assignment.
+func (s *session) probe(ctx context.Context) (unchanged bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.g.opts.ProbeTimeout)
 	defer cancel()
 	state, err := s.g.opts.Prober.State(ctx, s.target.choice.Addr)
@@ -110,16 +115,16 @@
 	return err == nil && state.Assignment.Replica == replica.ID && state.Assignment.Generation == replica.Generation
 }
 
-func (s *session) noteReplicaFailure(err error) {
-	if s.verdict.crashed {
+func (s *session) reportReplicaFailure(err error) {
+	if s.failure.crashed {
 		replicaCrashes.Inc()
 	}
-	if s.verdict.crashed || s.verdict.unreachable {
+	if s.failure.crashed || s.failure.unreachable {
 		s.g.opts.OnReplicaFailed(s.target.choice.Replica, err.Error())
 	}
 }
 
-// giveUpCodes are the codes of a request that is given up, by reason.
+// giveUpCodes maps the reason for giving up a request to its error code.
 var giveUpCodes = map[recovery.Reason]fennelerr.Code{
 	recovery.RejectedByServer:  fennelerr.InvalidRequest,
 	recovery.AttemptsExhausted: fennelerr.BackendFailed,
@@ -128,20 +133,20 @@
 	recovery.BudgetExhausted:   fennelerr.Overloaded,
 }
 
-// giveUp turns the last failure into the caller's final answer.
+// giveUp converts the last failure into the error that the caller receives.
 func (s *session) giveUp(reason recovery.Reason, err error) error {
 	if r, ok := errors.Into[*engine.RejectedError](err); ok && reason == recovery.RejectedByServer {
-		return s.rejected(r)
+		return s.rejectionError(r)
 	}
 	wait := time.Second
 	if reason == recovery.BudgetExhausted {
-		wait = retryBudgetWait
+		wait = retryLaterDelay
 	}
 	return fennelerr.Wrap(err, giveUpCodes[reason], "%s", reason).WithRun(s.run).WithRetryAfter(wait)
 }
 
-// rejected passes on an engine's word about the request itself.
-func (s *session) rejected(r *engine.RejectedError) error {
+// rejectionError returns the error for a request that an engine rejected as invalid.
+func (s *session) rejectionError(r *engine.RejectedError) error {
 	message, field := s.g.opts.Protocol.ParseRejection(r.Body)
 	if message == "" {
 		message = "the model engine rejected the request"
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -14,19 +14,19 @@
 	"github.com/fennelcourse/fennelcourse/internal/suspect"
 )
 
-// readBody reads a whole request body of at most limit bytes.
+// readBody reads a request body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if _, tooLarge := errors.Into[*http.MaxBytesError](err); tooLarge {
 		return nil, fennelerr.New(fennelerr.TooLarge, "the body is larger than %d bytes", limit).WithRun(fennelerr.NotRun)
 	}
 	if err != nil {
-		return nil, fennelerr.Wrap(err, fennelerr.InvalidRequest, "the body could not be read").WithRun(fennelerr.NotRun)
+		return nil, fennelerr.Wrap(err, fennelerr.InvalidRequest, "reading the request body failed").WithRun(fennelerr.NotRun)
 	}
 	return body, nil
 }
 
-// fingerprintOf identifies a request by team, path and body.
+// fingerprintOf returns a hash of the team, path and body that identifies a request.
 func fingerprintOf(team cluster.TeamID, path string, body []byte) suspect.Fingerprint {
 	h := sha256.New()
 	h.Write([]byte(team))
@@ -39,8 +39,9 @@
 	return fp
 }
 
-// deadlineOf is when the caller stops waiting for the first byte.
-func deadlineOf(r *http.Request, now time.Time, fallback time.Duration) (time.Time, error) {
+// firstTokenDeadline returns when the caller stops waiting for the first token. fallback is
+// the time from now if the caller sets no limit.
+func firstTokenDeadline(r *http.Request, now time.Time, fallback time.Duration) (time.Time, error) {
 	text := r.Header.Get(HeaderTimeoutMs)
 	if text == "" {
 		return now.Add(fallback), nil
--- a/internal/gateway/rerun_test.go
+++ b/internal/gateway/rerun_test.go
@@ -17,37 +17,36 @@
 	standinengine "github.com/fennelcourse/fennelcourse/internal/standin/engine"
 )
 
-// lastWords is a Prober whose answer is the last that anybody gets from the replica.
-type lastWords struct {
+// lastProbe is a Prober that calls end after each query of a replica's state.
+type lastProbe struct {
 	Prober
 	end func()
 }
 
-func (l lastWords) State(ctx context.Context, addr string) (engine.State, error) {
+func (l lastProbe) State(ctx context.Context, addr string) (engine.State, error) {
 	defer l.end()
 	return l.Prober.State(ctx, addr)
 }
 
-// A reservation made through a model runs on a replica when its connection goes
-// silent. The replica still answers the probe and dies before the resume reaches
-// it. That dial fails, but the request did start there: on a second replica it
-// would be made twice.
-func TestClaimedSessionNeverMovesOnceItMayHaveRun(t *testing.T) {
-	set := testSet(t)
+// The connection of a claimed request stops passing data. The replica answers the probe and
+// becomes unreachable before the resume. The resume's dial fails, but the request did start
+// there, so on a second replica it would run twice.
+func TestClaimedSessionDoesNotMoveOnceItMayHaveRun(t *testing.T) {
+	set := testRuleSet(t)
 	set.Routes[0].Once = rules.OnceRequired
-	var rel *relay
-	b := newBench(t, 2, standinengine.Options{MaxGap: 20 * time.Millisecond, TokenInterval: time.Hour}, func(b *bench) {
-		rel = newRelay(b.t, b.addrs[0])
-		b.router.choices[0].Addr = rel.addr()
-		b.opts.Rules = fixedRules{set}
-		b.opts.Prober = lastWords{b.opts.Prober, func() { rel.ln.Close() }}
+	var proxy *tcpProxy
+	b := newFixture(t, 2, standinengine.Options{MaxGap: 20 * time.Millisecond, TokenInterval: time.Hour}, func(b *fixture) {
+		proxy = newTCPProxy(b.t, b.addrs[0])
+		b.router.choices[0].Addr = proxy.addr()
+		b.opts.Rules = fakeRules{set}
+		b.opts.Prober = lastProbe{b.opts.Prober, func() { proxy.ln.Close() }}
 		b.opts.FirstTokenTimeout = 5 * time.Second
 	})
 	go func() {
 		for b.runs() == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		rel.mute()
+		proxy.mute()
 	}()
 	r := b.send(http.MethodPost, engine.ChatPath, chatBody, HeaderIdempotencyKey, "k1")
 	require.Equal(t, 1, b.runs())
@@ -55,15 +54,15 @@
 	require.Contains(t, r.body, string(fennelerr.OutcomeUnknown))
 }
 
-// A replica crashes under a request, and the next one rejects it unstarted. The
-// rejection speaks for the second replica only: the first one did run it.
-func TestRejectionElsewhereDoesNotUndoARun(t *testing.T) {
+// A replica crashes on a request, and the next one rejects it without starting it. The rejection
+// is only valid for the second replica: the first one did run the request.
+func TestRejectionDoesNotHideEarlierRun(t *testing.T) {
 	rejecting := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(engine.HeaderStarted, engine.StartedNo)
 		w.WriteHeader(http.StatusBadRequest)
 	}))
 	defer rejecting.Close()
-	b := newBench(t, 1, standinengine.Options{}, func(b *bench) {
+	b := newFixture(t, 1, standinengine.Options{}, func(b *fixture) {
 		second := routing.Choice{Addr: strings.TrimPrefix(rejecting.URL, "http://")}
 		second.Replica.ID = "rejecting"
 		b.router.choices = append(b.router.choices, second)
@@ -71,5 +70,5 @@
 	b.engines[0].SetFaults(standinengine.Faults{CrashMarker: "cold"})
 	r := b.chat(chatBody)
 	require.Equal(t, http.StatusBadRequest, r.status)
-	b.checkHonest(r, b.runs())
+	b.requireTruthfulRunState(r, b.runs())
 }
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -12,44 +12,45 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// Headers of answers to callers.
+// Headers of requests and answers.
 const (
 	// HeaderRun is call.HeaderRun.
 	HeaderRun = call.HeaderRun
-	// HeaderReplayed is "true" on the recorded answer of an earlier run.
+	// HeaderReplayed is "true" if the answer is the recorded one of an earlier run.
 	HeaderReplayed = "Fennel-Replayed"
-	// HeaderTimeoutMs is set by a caller: how long it waits for the first token, in milliseconds.
+	// HeaderTimeoutMs is set by callers to the time that they wait for the first token, in
+	// milliseconds.
 	HeaderTimeoutMs = "Fennel-Timeout-Ms"
-	// HeaderIdempotencyKey names a call that may be sent again but must not run again.
+	// HeaderIdempotencyKey identifies a call that may be sent repeatedly but must run at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// defaultRetryAfter is told where a refusal for lack of capacity names no time.
-const defaultRetryAfter = time.Second
+// overloadRetryAfter is the Retry-After of overload errors that set none.
+const overloadRetryAfter = time.Second
 
-// typed returns err as an *Error with a run state and, where it makes sense to
-// come back, a time to do so.
-func typed(err error) *fennelerr.Error {
-	found, ok := errors.Into[*fennelerr.Error](err)
+// normalizeError returns err as a *fennelerr.Error with a run state and, for status codes 429
+// and 503, with RetryAfter.
+func normalizeError(err error) *fennelerr.Error {
+	original, ok := errors.Into[*fennelerr.Error](err)
 	if !ok {
-		found = fennelerr.Wrap(err, fennelerr.Internal, "unexpected failure")
+		original = fennelerr.Wrap(err, fennelerr.Internal, "unexpected error")
 	}
-	e := *found
+	e := *original
 	if e.Run == "" {
 		e.Run = fennelerr.Unknown
 	}
 	switch e.Code.HTTPStatus() {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if e.RetryAfter == 0 {
-			e.RetryAfter = defaultRetryAfter
+			e.RetryAfter = overloadRetryAfter
 		}
 	}
 	return &e
 }
 
-// refuse answers with err as a whole HTTP response. Nothing may have been written before.
+// refuse writes err as a complete HTTP response. Nothing may have been written before.
 func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, c caller, err error) {
-	e := typed(err)
+	e := normalizeError(err)
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderRun, string(e.Run))
@@ -57,10 +58,10 @@
 		h.Set("Retry-After", retryAfterSeconds(e))
 	}
 	w.WriteHeader(e.Code.HTTPStatus())
-	_, _ = w.Write(g.opts.Protocol.Error(e, c.id)) // the caller may be gone: nothing left to tell
+	_, _ = w.Write(g.opts.Protocol.Error(e, c.requestID)) // if the caller disconnected, there is no one to report to
 	countRefusal(e)
-	g.noteRefused(c)
-	g.opts.Log.Info("refuse", "request", c.id, "team", c.teamName(), "path", r.URL.Path,
+	g.countTeamRefusal(c)
+	g.opts.Log.Info("refuse", "request", c.requestID, "team", c.teamName(), "path", r.URL.Path,
 		"code", e.Code, "run", e.Run, "retry_after", e.RetryAfter, "err", e.Error())
 }
 
--- a/internal/gateway/honest_test.go
+++ b/internal/gateway/runstate_test.go
@@ -16,49 +16,49 @@
 	standinservice "github.com/fennelcourse/fennelcourse/internal/standin/service"
 )
 
-// The caller of a failed request decides by our word whether to send it again.
-// If "not-run" is said of a request that an engine did execute, work is done
-// twice; so the executions at the engines are counted over all faults.
-func TestNotRunIsNeverSaidOfARunAtAnEngine(t *testing.T) {
-	cases := map[string]func(b *bench){
-		"refused before starting":   func(b *bench) { b.engines[0].SetFaults(standinengine.Faults{Refuse: true}) },
-		"not dialled":               func(b *bench) { b.router.choices[0].Addr = closedAddr(b.t) },
-		"wrong generation":          func(b *bench) { b.router.choices[0].Replica.Generation = 99 },
-		"another's answer for ever": func(b *bench) { b.engines[0].SetFaults(standinengine.Faults{SwapEcho: true}) },
-		"truncated for ever":        func(b *bench) { b.engines[0].SetFaults(standinengine.Faults{TruncateAfter: 1}) },
-		"silent for ever":           func(b *bench) { b.engines[0].SetFaults(standinengine.Faults{StallAfter: 1}) },
-		"crash on the request":      func(b *bench) { b.engines[0].SetFaults(standinengine.Faults{CrashMarker: "cold"}) },
-		"frozen":                    func(b *bench) { b.engines[0].SetFaults(standinengine.Faults{Freeze: true}) },
-		"dead":                      func(b *bench) { b.engines[0].Crash() },
-		"no replica":                func(b *bench) { b.router.choices = nil },
+// A caller that is told "not-run" may send its request again. If an engine did execute the
+// request, the work is done twice.
+func TestExecutedRequestIsNeverReportedNotRun(t *testing.T) {
+	cases := map[string]func(b *fixture){
+		"refused before starting": func(b *fixture) { b.engines[0].SetFaults(standinengine.Faults{Refuse: true}) },
+		"connection refused":      func(b *fixture) { b.router.choices[0].Addr = unusedAddr(b.t) },
+		"wrong generation":        func(b *fixture) { b.router.choices[0].Replica.Generation = 99 },
+		"always another's answer": func(b *fixture) { b.engines[0].SetFaults(standinengine.Faults{SwapEcho: true}) },
+		"always truncated":        func(b *fixture) { b.engines[0].SetFaults(standinengine.Faults{TruncateAfter: 1}) },
+		"always silent":           func(b *fixture) { b.engines[0].SetFaults(standinengine.Faults{StallAfter: 1}) },
+		"crash on the request":    func(b *fixture) { b.engines[0].SetFaults(standinengine.Faults{CrashMarker: "cold"}) },
+		"frozen":                  func(b *fixture) { b.engines[0].SetFaults(standinengine.Faults{Freeze: true}) },
+		"dead":                    func(b *fixture) { b.engines[0].Crash() },
+		"no replica":              func(b *fixture) { b.router.choices = nil },
 	}
 	for name, fault := range cases {
-		for _, body := range []string{chatStrm, chatBody} {
+		for _, body := range []string{chatStreamBody, chatBody} {
 			t.Run(name, func(t *testing.T) {
-				b := newBench(t, 1, standinengine.Options{MaxGap: 10 * time.Millisecond}, func(b *bench) {
+				b := newFixture(t, 1, standinengine.Options{MaxGap: 10 * time.Millisecond}, func(b *fixture) {
 					b.opts.MaxAttempts = 2
 					b.opts.Streamer = engine.NewStreamer(b.opts.Pools, 100*time.Millisecond)
 					b.opts.ProbeTimeout = 100 * time.Millisecond
 				})
 				fault(b)
-				b.checkHonest(b.chat(body), b.runs())
+				b.requireTruthfulRunState(b.chat(body), b.runs())
 			})
 		}
 	}
 }
 
-// checkHonest holds a failed reply against the executions at the back end.
-func (b *bench) checkHonest(r reply, runs int) {
+// requireTruthfulRunState compares the run state of a failed reply with the number of executions
+// at the backend servers.
+func (b *fixture) requireTruthfulRunState(r reply, runs int) {
 	b.t.Helper()
 	run := fennelerr.RunState(r.header.Get(HeaderRun))
 	if r.status == http.StatusOK {
-		require.Error(b.t, r.err, "a fault must not look like a clean end: %s", r.body)
+		require.Error(b.t, r.err, "the body must not end cleanly after a fault: %s", r.body)
 		require.NotContains(b.t, r.body, engine.DoneMarker)
 		return
 	}
 	require.Contains(b.t, []fennelerr.RunState{fennelerr.NotRun, fennelerr.Ran, fennelerr.Unknown}, run)
 	if run == fennelerr.NotRun {
-		require.Zero(b.t, runs, "said not-run, ran %d times", runs)
+		require.Zero(b.t, runs, "reported not-run, but ran %d times", runs)
 		require.NotEmpty(b.t, r.header.Get("Retry-After"))
 	}
 	if run == fennelerr.Ran {
@@ -66,15 +66,15 @@
 	}
 }
 
-func closedAddr(t testing.TB) string {
+func unusedAddr(t testing.TB) string {
 	t.Helper()
 	srv := httptest.NewServer(http.NotFoundHandler())
 	defer srv.Close()
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-// plainBench is a bench with one plain service.
-func plainBench(t *testing.T, change func(*bench)) (*bench, *standinservice.Server) {
+// newServiceFixture returns a fixture with one plain service and no engines.
+func newServiceFixture(t *testing.T, change func(*fixture)) (*fixture, *standinservice.Server) {
 	t.Helper()
 	svc := standinservice.New(nil)
 	srv := httptest.NewServer(svc.Handler())
@@ -82,8 +82,8 @@
 		srv.CloseClientConnections()
 		srv.Close()
 	})
-	b := newBench(t, 0, standinengine.Options{}, func(b *bench) {
-		b.services = fixedServices{strings.TrimPrefix(srv.URL, "http://")}
+	b := newFixture(t, 0, standinengine.Options{}, func(b *fixture) {
+		b.services = fakeServices{strings.TrimPrefix(srv.URL, "http://")}
 		b.opts.CallTimeout = 300 * time.Millisecond
 		if change != nil {
 			change(b)
@@ -92,10 +92,10 @@
 	return b, svc
 }
 
-// A deposit is taken while the back end refuses, loses its answer, crashes, hangs
-// or answers for somebody else. The front desk sends it again with the same key;
-// the skier must be charged once at most, and "not-run" must be true.
-func TestDepositUnderFaultsRunsAtMostOnce(t *testing.T) {
+// A keyed call is sent twice, the first time to a service that refuses it, loses its answer,
+// crashes, hangs or returns the answer of another request. It must run at most once, and must
+// not have run if the caller was told "not-run".
+func TestKeyedCallUnderFaultsRunsAtMostOnce(t *testing.T) {
 	cases := map[string]standinservice.Faults{
 		"no fault":         {},
 		"refused":          {Refuse: true},
@@ -107,14 +107,14 @@
 	}
 	for name, f := range cases {
 		t.Run(name, func(t *testing.T) {
-			b, svc := plainBench(t, nil)
+			b, svc := newServiceFixture(t, nil)
 			svc.SetFaults(f)
 			first := b.send(http.MethodPost, "/deposits/7", `{"amount":40}`, HeaderIdempotencyKey, "k1")
 			if first.status >= http.StatusInternalServerError {
-				b.checkHonest(first, svc.Runs().ByKey["k1"])
+				b.requireTruthfulRunState(first, svc.Runs().ByKey["k1"])
 			}
 			if f.SwapEcho {
-				require.Equal(t, string(fennelerr.Unknown), first.header.Get(HeaderRun), "another's receipt must not be handed on")
+				require.Equal(t, string(fennelerr.Unknown), first.header.Get(HeaderRun), "the answer of another request must not be forwarded")
 			}
 			svc.SetFaults(standinservice.Faults{})
 			again := b.send(http.MethodPost, "/deposits/7", `{"amount":40}`, HeaderIdempotencyKey, "k1")
@@ -130,48 +130,46 @@
 	}
 }
 
-// The process is paused between claiming a key and sending the call, for so long
-// that the key may have been claimed and the deposit taken through another node.
-// Sending it now could charge the skier twice.
-func TestLapsedClaimIsNotDispatched(t *testing.T) {
-	b, svc := plainBench(t, nil)
-	b.claims.lapsed.Store(true)
+// A claim can expire if the process is paused between claiming a key and dispatching the call.
+// The call may then already have run through another node and must not be dispatched.
+func TestExpiredClaimIsNotDispatched(t *testing.T) {
+	b, svc := newServiceFixture(t, nil)
+	b.claims.expired.Store(true)
 	r := b.send(http.MethodPost, "/deposits/7", `{}`, HeaderIdempotencyKey, "k3")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
-	b.checkHonest(r, svc.Runs().Total)
+	b.requireTruthfulRunState(r, svc.Runs().Total)
 
-	set := testSet(t)
+	set := testRuleSet(t)
 	set.Routes[0].Once = rules.OnceRequired
-	m := newBench(t, 1, standinengine.Options{}, func(b *bench) { b.opts.Rules = fixedRules{set} })
-	m.claims.lapsed.Store(true)
+	m := newFixture(t, 1, standinengine.Options{}, func(b *fixture) { b.opts.Rules = fakeRules{set} })
+	m.claims.expired.Store(true)
 	r = m.send(http.MethodPost, engine.ChatPath, chatBody, HeaderIdempotencyKey, "k4")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
-	m.checkHonest(r, m.runs())
+	m.requireTruthfulRunState(r, m.runs())
 
-	b.claims.lapsed.Store(false)
+	b.claims.expired.Store(false)
 	require.Equal(t, http.StatusCreated, b.send(http.MethodPost, "/deposits/7", `{}`, HeaderIdempotencyKey, "k3").status)
 }
 
-// A note is posted without a key on a route that demands none. The back end runs
-// it and loses the answer: sending it to a second server would book it twice.
-func TestUnkeyedCallIsNotRepeatedOnceSent(t *testing.T) {
-	b, svc := plainBench(t, func(b *bench) { b.services = append(b.services, b.services[0]) })
+// A service runs a call without an idempotency key and loses the answer. Sending the call to a
+// second server would run it twice.
+func TestUnkeyedCallIsNotRepeatedAfterSending(t *testing.T) {
+	b, svc := newServiceFixture(t, func(b *fixture) { b.services = append(b.services, b.services[0]) })
 	svc.SetFaults(standinservice.Faults{LoseAnswer: true})
 	r := b.send(http.MethodPost, "/notes/1", `{"text":"wide toe box"}`)
 	require.Equal(t, http.StatusBadGateway, r.status)
 	require.Equal(t, string(fennelerr.Unknown), r.header.Get(HeaderRun))
 	require.Equal(t, 1, svc.Runs().Total)
 
-	// Reading may be repeated: the second server answers.
+	// A safe method may be repeated, so the second server answers.
 	svc.SetFaults(standinservice.Faults{LoseAnswer: true, Calls: 1})
 	require.Equal(t, http.StatusOK, b.send(http.MethodGet, "/notes/1", "").status)
 }
 
-// An idle connection to the back end was closed just as the call goes out.
-// net/http would send a request that has an Idempotency-Key again by itself, and
-// nobody here would know that it went out twice.
-func TestClaimedCallTakesAFreshConnection(t *testing.T) {
-	b, svc := plainBench(t, nil)
+// The service breaks a pooled connection while a keyed call is sent. net/http itself would resend
+// a request with an Idempotency-Key, and the gateway would not know that it was sent twice.
+func TestClaimedCallUsesNewConnection(t *testing.T) {
+	b, svc := newServiceFixture(t, nil)
 	require.Equal(t, http.StatusOK, b.send(http.MethodGet, "/notes/1", "").status) // leaves an idle connection
 	svc.SetFaults(standinservice.Faults{LoseAnswer: true})
 	r := b.send(http.MethodPost, "/deposits/7", `{}`, HeaderIdempotencyKey, "k2")
@@ -179,15 +177,15 @@
 	require.Equal(t, 1, svc.Runs().ByKey["k2"])
 }
 
-// The first token comes just as the caller's time is up, and the request is being
-// cancelled. A caller shown that token would then see its answer cut off; it must
-// get the refusal alone, with the time to come back.
-func TestTokenAtTheDeadlineIsNotShown(t *testing.T) {
+// The first token arrives at the deadline, while the request is being cancelled. If it were
+// forwarded, the caller would receive an aborted answer. It must receive only the error, with
+// RetryAfter.
+func TestTokenAtDeadlineIsNotForwarded(t *testing.T) {
 	seen := httptest.NewRecorder()
 	s := testSession(t, seen)
-	s.first.Store(firstLate)
-	took := s.take(engine.Event{ID: 1, Data: []byte(`{"id":"chatcmpl-r","choices":[{"index":0,"delta":{"content":"a"}}]}`)})
-	refused := typed(s.gone(t.Context(), took))
+	s.firstTokenState.Store(firstTokenTimedOut)
+	err := s.handleEvent(engine.Event{ID: 1, Data: []byte(`{"id":"chatcmpl-r","choices":[{"index":0,"delta":{"content":"a"}}]}`)})
+	refused := normalizeError(s.cancelError(t.Context(), err))
 	require.Equal(t, fennelerr.Timeout, refused.Code)
 	require.Equal(t, fennelerr.Ran, refused.Run)
 	require.NotZero(t, refused.RetryAfter)
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -17,10 +17,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/suspect"
 )
 
-// errFirstTokenLate cancels a request whose first token missed its deadline.
-var errFirstTokenLate = fennelerr.New(fennelerr.Timeout, "no token came before the deadline")
+// errFirstTokenTimeout cancels a request whose first token did not arrive before the deadline.
+var errFirstTokenTimeout = fennelerr.New(fennelerr.Timeout, "no token was received before the deadline")
 
-// callerGoneError says that the caller left or takes no bytes any more.
+// callerGoneError means that the caller disconnected or that writing to it failed.
 type callerGoneError struct{ err error }
 
 // Error implements error.
@@ -29,153 +29,152 @@
 // Unwrap returns the cause.
 func (e *callerGoneError) Unwrap() error { return e.err }
 
-// session sees one request to a model through to its end, over as many attempts as
-// it takes. It is a recovery.Call.
+// session handles one request to a model over all its attempts. It implements recovery.Call.
 type session struct {
-	g     *Gateway
-	c     caller
-	asked *call.ModelCall
-	path  string
-	body  []byte // as the caller sent it
-	route *rules.Route
-	fp    suspect.Fingerprint
-	run   fennelerr.RunState
-	// exchange makes the caller's answer of the engines' events.
+	g         *Gateway
+	c         caller
+	modelCall *call.ModelCall
+	path      string
+	body      []byte // unchanged from the caller
+	route     *rules.Route
+	fp        suspect.Fingerprint
+	run       fennelerr.RunState
+	// exchange translates the engines' events into the caller's answer.
 	exchange call.Exchange
 	info     engine.StreamInfo
 	target   *target
-	// resume is set when the next attempt goes to the same replica again.
+	// resume is set if the next attempt resumes the request at the same replica.
 	resume bool
-	// carryOn is set when the next attempt goes on at another replica.
-	carryOn bool
-	// verdict is what the last failed attempt told of its replica.
-	verdict   verdict
-	exclude   []cluster.ReplicaID
-	fruitless int
-	tokens    int
-	slot      Slot
-	// right is the claim of a call with an idempotency key, else nil.
-	right     Claim
-	started   time.Time
-	firstSeen time.Time
-	// first settles whether the first token or its deadline came first. Without
-	// it a token at the very deadline reached the caller, whose stream was then cut.
-	first atomic.Int32
+	// continuation is set if the next attempt continues the answer at another replica.
+	continuation bool
+	// failure describes the replica of the last failed attempt.
+	failure                 replicaFailure
+	excluded                []cluster.ReplicaID
+	attemptsWithoutProgress int
+	tokens                  int
+	slot                    Slot
+	// claim is nil for a call that needs none.
+	claim        Claim
+	started      time.Time
+	firstTokenAt time.Time
+	// firstTokenState decides the race between the first token and its deadline. Without it, a
+	// token that arrived at the deadline was sent to the caller and the stream then aborted.
+	firstTokenState atomic.Int32
 }
 
-// States of session.first.
+// Values of session.firstTokenState.
 const (
-	firstAwaited int32 = iota
-	firstCame
-	firstLate
+	firstTokenPending int32 = iota
+	firstTokenReceived
+	firstTokenTimedOut
 )
 
-// target is the replica that a session runs on, with what must be undone after.
+// target is the replica that a session runs on and the state to release afterwards.
 type target struct {
-	choice  routing.Choice
-	endMark func(suspect.Outcome)
-	began   time.Time
-	first   time.Time
-	tokens  int
+	choice       routing.Choice
+	endRun       func(suspect.Outcome)
+	startedAt    time.Time
+	firstTokenAt time.Time
+	tokens       int
 }
 
-// serve runs the request. It returns nil once the caller has its whole answer.
+// serve runs the request. It returns nil once the caller has received the complete answer.
 func (s *session) serve(ctx context.Context, deadline time.Time) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	clock := time.AfterFunc(time.Until(deadline), func() {
-		if s.first.CompareAndSwap(firstAwaited, firstLate) {
-			cancel(errFirstTokenLate)
+	timer := time.AfterFunc(time.Until(deadline), func() {
+		if s.firstTokenState.CompareAndSwap(firstTokenPending, firstTokenTimedOut) {
+			cancel(errFirstTokenTimeout)
 		}
 	})
-	defer clock.Stop()
+	defer timer.Stop()
 
 	if err := recovery.Run(ctx, s); err != nil {
 		return err
 	}
-	s.leave(routing.Result{OK: true}, false)
+	s.endTarget(routing.Result{OK: true}, false)
 	return s.exchange.Finish()
 }
 
-// Choose implements recovery.Call: it takes the next replica.
+// Choose implements recovery.Call. It chooses the replica for the next attempt.
 func (s *session) Choose(ctx context.Context) error {
 	alone, err := s.g.opts.Quarantine.Admit(ctx, s.fp)
 	if err != nil {
-		if gone := s.gone(ctx, err); gone != nil {
-			return gone
+		if canceled := s.cancelError(ctx, err); canceled != nil {
+			return canceled
 		}
-		return s.withRun(err)
+		return s.withRunState(err)
 	}
 	choice, err := s.chooseReplica(ctx, alone)
 	if err != nil {
-		if gone := s.gone(ctx, err); gone != nil {
-			return gone
+		if canceled := s.cancelError(ctx, err); canceled != nil {
+			return canceled
 		}
-		return s.withRun(err)
+		return s.withRunState(err)
 	}
-	end := s.g.opts.Quarantine.Begin(s.fp, choice.Replica.ID, choice.Replica.Generation, alone)
-	s.target = &target{choice: choice, endMark: end, began: time.Now()}
+	endRun := s.g.opts.Quarantine.Begin(s.fp, choice.Replica.ID, choice.Replica.Generation, alone)
+	s.target = &target{choice: choice, endRun: endRun, startedAt: time.Now()}
 	s.resume = false
-	s.g.opts.Log.Info("route", "request", s.c.id, "team", s.c.team.Name, "group", s.route.Group, "rule_line", s.route.Line,
+	s.g.opts.Log.Info("route", "request", s.c.requestID, "team", s.c.team.Name, "group", s.route.Group, "rule_line", s.route.Line,
 		"replica", choice.Replica.ID, "generation", choice.Replica.Generation, "addr", choice.Addr, "reason", choice.Reason,
 		"considered", choice.Considered, "alone", alone, "after_event", s.exchange.LastEventID())
 	return nil
 }
 
 const (
-	// retryTurnPoll is how often a suspect looks for a replica to run on alone.
-	retryTurnPoll = 50 * time.Millisecond
-	// maxRetryTurnWait bounds that wait.
-	maxRetryTurnWait = 10 * time.Second
+	// retryPollInterval is how often a suspect tries to get a replica for its retry alone.
+	retryPollInterval = 50 * time.Millisecond
+	// maxRetryWait limits the wait for such a replica.
+	maxRetryWait = 10 * time.Second
 )
 
-// chooseReplica asks the router. A suspect waits for a replica that no other
-// suspect runs on and that is this node's to take.
+// chooseReplica gets a replica from the router. A suspect waits for a replica on which no other
+// suspect runs and which it is this node's turn to use.
 func (s *session) chooseReplica(ctx context.Context, alone bool) (routing.Choice, error) {
 	req := routing.Request{
-		Group: s.route.Group, Prefer: s.route.Prefer, PrefixHashes: s.asked.PrefixHashes, Exclude: s.exclude,
+		Group: s.route.Group, Prefer: s.route.Prefer, PrefixHashes: s.modelCall.PrefixHashes, Exclude: s.excluded,
 		Isolated: alone, MayRetryOn: s.g.opts.Quarantine.MayRetryOn,
 	}
-	giveUp := time.Now().Add(maxRetryTurnWait)
+	waitEnd := time.Now().Add(maxRetryWait)
 	for {
 		choice, err := s.g.opts.Router.Choose(req)
-		if err == nil || !alone || !fennelerr.Is(err, fennelerr.NoReplica) || time.Now().After(giveUp) {
+		if err == nil || !alone || !fennelerr.Is(err, fennelerr.NoReplica) || time.Now().After(waitEnd) {
 			return choice, err
 		}
 		select {
 		case <-ctx.Done():
 			return choice, err
-		case <-time.After(retryTurnPoll):
+		case <-time.After(retryPollInterval):
 		}
 	}
 }
 
-// Attempt implements recovery.Call: it runs one exchange with the target.
+// Attempt implements recovery.Call. It sends the request to the target and forwards the events.
 func (s *session) Attempt(ctx context.Context) error {
-	goOn := s.carryOn && !s.resume // a replica that is asked again has the beginning already
-	body, err := s.exchange.RequestBody(goOn)
+	continuation := s.continuation && !s.resume // a resumed replica already has the first part
+	body, err := s.exchange.RequestBody(continuation)
 	if err != nil {
 		return err
 	}
 	replica := s.target.choice.Replica
-	before := s.exchange.LastEventID()
+	lastEventID := s.exchange.LastEventID()
 	err = s.g.opts.Streamer.Stream(ctx, engine.StreamRequest{
-		Addr: s.target.choice.Addr, Path: s.path, RequestID: s.c.id, Replica: replica.ID, Generation: replica.Generation,
-		Priority: s.c.team.Priority, Body: body, ResumeAfter: before, Resume: s.resume, Continue: goOn,
-	}, func(info engine.StreamInfo) { s.info = info }, s.take)
+		Addr: s.target.choice.Addr, Path: s.path, RequestID: s.c.requestID, Replica: replica.ID, Generation: replica.Generation,
+		Priority: s.c.team.Priority, Body: body, ResumeAfter: lastEventID, Resume: s.resume, Continue: continuation,
+	}, func(info engine.StreamInfo) { s.info = info }, s.handleEvent)
 	if s.run == fennelerr.NotRun && !provesNotStarted(err) {
 		s.run = fennelerr.Unknown
 	}
-	if s.exchange.LastEventID() > before {
-		s.fruitless = 0
+	if s.exchange.LastEventID() > lastEventID {
+		s.attemptsWithoutProgress = 0
 	} else {
-		s.fruitless++
+		s.attemptsWithoutProgress++
 	}
 	return err
 }
 
-// provesNotStarted reports whether the attempt that ended with err certainly did
-// not start the request. It says nothing about earlier attempts.
+// provesNotStarted reports whether err proves that this attempt did not start the request.
+// Earlier attempts may have started it.
 func provesNotStarted(err error) bool {
 	if r, ok := errors.Into[*engine.RejectedError](err); ok {
 		return r.NotStarted
@@ -184,51 +183,52 @@
 	return ok
 }
 
-// take checks one event and passes it on.
-func (s *session) take(ev engine.Event) error {
+// handleEvent validates one event and forwards it to the caller.
+func (s *session) handleEvent(ev engine.Event) error {
 	if err := s.exchange.Check(s.target.choice.Addr, ev); err != nil || ev.Done {
 		return err
 	}
 	s.run = fennelerr.Ran
-	if s.first.Load() != firstCame && !s.first.CompareAndSwap(firstAwaited, firstCame) {
-		return errFirstTokenLate
+	if s.firstTokenState.Load() != firstTokenReceived && !s.firstTokenState.CompareAndSwap(firstTokenPending, firstTokenReceived) {
+		return errFirstTokenTimeout
 	}
-	s.noteToken()
+	s.recordToken()
 	if err := s.exchange.Forward(ev); err != nil {
 		return &callerGoneError{err}
 	}
 	return nil
 }
 
-func (s *session) noteToken() {
+func (s *session) recordToken() {
 	s.tokens++
 	s.target.tokens++
-	if s.target.first.IsZero() {
-		s.target.first = time.Now()
+	if s.target.firstTokenAt.IsZero() {
+		s.target.firstTokenAt = time.Now()
 	}
-	if s.firstSeen.IsZero() {
-		s.firstSeen = s.target.first
+	if s.firstTokenAt.IsZero() {
+		s.firstTokenAt = s.target.firstTokenAt
 		s.slot.FirstToken()
-		firstByteSeconds.Update(s.firstSeen.Sub(s.started).Seconds())
+		firstTokenSeconds.Update(s.firstTokenAt.Sub(s.started).Seconds())
 	}
 }
 
 // Abandoned implements recovery.Call.
 func (s *session) Abandoned(ctx context.Context, err error) error {
-	gone := s.gone(ctx, err)
-	if gone != nil {
+	canceled := s.cancelError(ctx, err)
+	if canceled != nil {
 		s.cancelAtReplica()
-		s.leave(routing.Result{Canceled: true}, false)
+		s.endTarget(routing.Result{Canceled: true}, false)
 	}
-	return gone
+	return canceled
 }
 
-// gone returns an error when the caller left or the first token is too late.
-func (s *session) gone(ctx context.Context, err error) error {
+// cancelError returns an error if the caller disconnected or the first token is late, else
+// nil.
+func (s *session) cancelError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
-	if errors.Is(cause, errFirstTokenLate) || errors.Is(err, errFirstTokenLate) {
-		late := *errFirstTokenLate
-		return late.WithRun(s.run).WithRetryAfter(time.Second)
+	if errors.Is(cause, errFirstTokenTimeout) || errors.Is(err, errFirstTokenTimeout) {
+		timeout := *errFirstTokenTimeout
+		return timeout.WithRun(s.run).WithRetryAfter(time.Second)
 	}
 	if cause != nil {
 		return &callerGoneError{cause}
@@ -239,7 +239,8 @@
 	return nil
 }
 
-func ending(res routing.Result, crashed bool) suspect.Outcome {
+// suspectOutcome returns the outcome that is reported to the quarantine.
+func suspectOutcome(res routing.Result, crashed bool) suspect.Outcome {
 	switch {
 	case crashed:
 		return suspect.Crashed
@@ -250,30 +251,31 @@
 	}
 }
 
-// leave ends the session's stay on its target.
-func (s *session) leave(res routing.Result, crashed bool) {
+// endTarget ends the use of the current target and reports the result to the router and the
+// quarantine.
+func (s *session) endTarget(res routing.Result, crashed bool) {
 	t := s.target
 	if t == nil {
 		return
 	}
 	s.target = nil
 	res.Tokens = t.tokens
-	res.Duration = time.Since(t.began)
-	if !t.first.IsZero() {
-		res.FirstToken = t.first.Sub(t.began)
+	res.Duration = time.Since(t.startedAt)
+	if !t.firstTokenAt.IsZero() {
+		res.FirstToken = t.firstTokenAt.Sub(t.startedAt)
 	}
-	t.endMark(ending(res, crashed))
+	t.endRun(suspectOutcome(res, crashed))
 	s.g.opts.Router.End(t.choice, res)
 }
 
-// cancelAtReplica tells the engine to stop, in the background.
+// cancelAtReplica cancels the request at the engine, in the background.
 func (s *session) cancelAtReplica() {
 	if s.target == nil {
 		return
 	}
-	addr, id := s.target.choice.Addr, s.c.id
+	addr, id := s.target.choice.Addr, s.c.requestID
 	s.g.background.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), engineCancelTimeout)
 		defer cancel()
 		if err := s.g.opts.Prober.Cancel(ctx, addr, id); err != nil {
 			s.g.opts.Log.Warn("cancel not delivered", "request", id, "addr", addr, "err", err.Error())
@@ -281,8 +283,8 @@
 	})
 }
 
-// withRun puts the session's run state on a refusal by a neighbour: a refusal to
-// go on does not undo that an earlier attempt may have run.
-func (s *session) withRun(err error) error {
-	return typed(err).WithRun(s.run)
+// withRunState sets the session's run state on an error of the admitter, the router or the
+// quarantine. Such an error does not change that an earlier attempt may have run.
+func (s *session) withRunState(err error) error {
+	return normalizeError(err).WithRun(s.run)
 }
--- a/internal/gateway/whole_test.go
+++ b/internal/gateway/stream_test.go
@@ -17,8 +17,8 @@
 )
 
 func TestAnswersWithoutFaults(t *testing.T) {
-	b := newBench(t, 1, standinengine.Options{}, nil)
-	requireWhole(t, b.chat(chatStrm), chatStrm)
+	b := newFixture(t, 1, standinengine.Options{}, nil)
+	requireCompleteStream(t, b.chat(chatStreamBody), chatStreamBody)
 
 	r := b.chat(chatBody)
 	require.Equal(t, http.StatusOK, r.status, r.body)
@@ -38,11 +38,10 @@
 	require.Zero(t, b.admitter.held.Load())
 }
 
-// Streams of engines break in many ways: an answer for somebody else arrives,
-// events are repeated, skipped or out of order, the connection ends early with
-// or without an error, or goes silent. The user at the bench would read another
-// skier's liner note, or one that stops in the middle and looks finished.
-func TestStreamFaultsGiveTheWholeAnswer(t *testing.T) {
+// A stream can contain another request's events, repeat, skip or reorder events, end early with
+// or without an error, or stop passing data. The caller must still receive the complete answer to
+// its own request.
+func TestAnswerIsCompleteDespiteStreamFaults(t *testing.T) {
 	faults := map[string]standinengine.Faults{
 		"answer of another request":          {SwapEcho: true},
 		"another's events in the middle":     {SwapFrom: 4},
@@ -55,15 +54,15 @@
 		"connection silent":                  {StallAfter: 4},
 	}
 	for name, f := range faults {
-		for _, body := range []string{chatStrm, chatBody} {
+		for _, body := range []string{chatStreamBody, chatBody} {
 			t.Run(name, func(t *testing.T) {
-				b := newBench(t, 1, standinengine.Options{MaxGap: 20 * time.Millisecond}, nil)
+				b := newFixture(t, 1, standinengine.Options{MaxGap: 20 * time.Millisecond}, nil)
 				f.Streams = 1
 				b.engines[0].SetFaults(f)
 				r := b.chat(body)
 				require.Equal(t, 1, b.runs(), "a resume is not a second run")
-				if body == chatStrm {
-					requireWhole(t, r, body)
+				if body == chatStreamBody {
+					requireCompleteStream(t, r, body)
 					return
 				}
 				require.Equal(t, http.StatusOK, r.status, r.body)
@@ -73,49 +72,50 @@
 	}
 }
 
-// The only replica dies while it streams and no other can take over. The fitter
-// must see that the advice broke off, and must not take half of it for all.
-func TestReplicaLostWithoutSuccessorAbortsTheAnswer(t *testing.T) {
-	b := newBench(t, 1, standinengine.Options{TokenInterval: 5 * time.Millisecond}, nil)
-	r := b.chatWhile(chatStrm, func() { b.engines[0].Crash() })
+// The only replica crashes in the middle of a streamed answer. The response must be aborted so
+// that the caller can't take it for complete.
+func TestAnswerIsAbortedIfNoReplicaIsLeft(t *testing.T) {
+	b := newFixture(t, 1, standinengine.Options{TokenInterval: 5 * time.Millisecond}, nil)
+	r := b.chatDuring(chatStreamBody, func() { b.engines[0].Crash() })
 	require.Error(t, r.err, "the body must not end cleanly")
-	text, whole := streamText(r.body)
-	require.False(t, whole)
-	require.True(t, strings.HasPrefix(standinengine.Text([]byte(chatStrm)), text))
+	text, complete := streamText(r.body)
+	require.False(t, complete)
+	require.True(t, strings.HasPrefix(standinengine.Text([]byte(chatStreamBody)), text))
 	require.Contains(t, r.body, `"fennel_run":"ran"`)
 	require.EqualValues(t, 1, b.quarantine.crashes.Load())
 	require.Zero(t, b.admitter.held.Load())
 }
 
-// One machine of the replica dies in the middle of an answer, and another
-// replica's engine can go on from the text so far. The fitter sees one answer.
+// A replica crashes in the middle of an answer, and the engine of another replica continues after
+// the text sent so far. The caller must receive one complete answer.
 func TestAnotherReplicaContinuesTheAnswer(t *testing.T) {
-	b := newBench(t, 2, standinengine.Options{TokenInterval: 5 * time.Millisecond, CanContinue: true}, nil)
-	requireWhole(t, b.chatWhile(chatStrm, func() { b.engines[0].Crash() }), chatStrm)
+	b := newFixture(t, 2, standinengine.Options{TokenInterval: 5 * time.Millisecond, CanContinue: true}, nil)
+	requireCompleteStream(t, b.chatDuring(chatStreamBody, func() { b.engines[0].Crash() }), chatStreamBody)
 	require.Len(t, b.router.ended, 2)
 }
 
-// A second fault hits the answer that another replica continues: its connection
-// breaks too. The answer is resumed there, and still comes whole.
+// The connection also breaks at the replica that continues the answer. The answer must be resumed
+// there and be complete.
 func TestContinuedAnswerIsResumed(t *testing.T) {
-	b := newBench(t, 2, standinengine.Options{TokenInterval: 5 * time.Millisecond, CanContinue: true}, nil)
+	b := newFixture(t, 2, standinengine.Options{TokenInterval: 5 * time.Millisecond, CanContinue: true}, nil)
 	b.engines[1].SetFaults(standinengine.Faults{AbortAfter: 8, Streams: 1})
-	requireWhole(t, b.chatWhile(chatStrm, func() { b.engines[0].Crash() }), chatStrm)
+	requireCompleteStream(t, b.chatDuring(chatStreamBody, func() { b.engines[0].Crash() }), chatStreamBody)
 	require.Len(t, b.router.ended, 2)
 }
 
-// The replica dies, the next one cannot continue, and the caller waits for the
-// answer in one piece, of which it has nothing yet: it is made anew, once, whole.
-func TestUnsentAnswerRestartsElsewhere(t *testing.T) {
-	b := newBench(t, 2, standinengine.Options{}, func(b *bench) { b.opts.Prober = deadProbes{b.opts.Prober, b.addrs[0]} })
+// The replica fails and the next one can't continue the answer, but the caller waits for an
+// unstreamed answer and has received no part of it. The request must be restarted and answered
+// completely, without text of the first attempt.
+func TestUnsentAnswerRestartsAtAnotherReplica(t *testing.T) {
+	b := newFixture(t, 2, standinengine.Options{}, func(b *fixture) { b.opts.Prober = unreachableProber{b.opts.Prober, b.addrs[0]} })
 	b.engines[0].SetFaults(standinengine.Faults{AbortAfter: 5})
 	r := b.chat(chatBody)
 	require.Equal(t, http.StatusOK, r.status, r.body)
 	require.Contains(t, r.body, `"`+standinengine.Text([]byte(chatBody))+`"`)
 }
 
-// chatWhile streams and calls event once the first token has come.
-func (b *bench) chatWhile(body string, event func()) reply {
+// chatDuring sends a streamed request and calls event after the first token.
+func (b *fixture) chatDuring(body string, event func()) reply {
 	b.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, b.server.URL+engine.ChatPath, strings.NewReader(body))
 	require.NoError(b.t, err)
@@ -144,12 +144,12 @@
 	return r
 }
 
-// The caller hangs up in the middle of a long answer. Without a cancel the
-// engine would go on generating for nobody while others queue at the counter.
-func TestCallerGoneCancelsAtTheEngine(t *testing.T) {
-	b := newBench(t, 1, standinengine.Options{TokenInterval: 5 * time.Millisecond, MaxRunning: 1}, nil)
-	ctx, hangUp := context.WithCancel(context.Background())
-	long := strings.Replace(chatStrm, `"max_tokens":12`, `"max_tokens":100000`, 1)
+// A caller disconnects in the middle of a long answer. Without a cancel, the engine would go on
+// generating while other requests wait.
+func TestDisconnectCancelsRequestAtEngine(t *testing.T) {
+	b := newFixture(t, 1, standinengine.Options{TokenInterval: 5 * time.Millisecond, MaxRunning: 1}, nil)
+	ctx, disconnect := context.WithCancel(context.Background())
+	long := strings.Replace(chatStreamBody, `"max_tokens":12`, `"max_tokens":100000`, 1)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, b.server.URL+engine.ChatPath, strings.NewReader(long))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer "+testToken)
@@ -157,20 +157,21 @@
 	require.NoError(t, err)
 	_, err = bufio.NewReader(resp.Body).ReadString('\n')
 	require.NoError(t, err)
-	hangUp()
+	disconnect()
 	resp.Body.Close()
-	// The engine runs one request at a time, so this answer comes only after the cancel.
-	requireWhole(t, b.chat(chatStrm), chatStrm)
+	// The engine runs one request at a time, so this one only runs after the cancel.
+	requireCompleteStream(t, b.chat(chatStreamBody), chatStreamBody)
 }
 
-// A caller reads nothing for a while, as on a phone in a lift. The engine has not
-// gone silent, so nothing may be resumed or cut, and the answer must come whole.
-func TestSlowReaderGetsTheWholeAnswer(t *testing.T) {
-	b := newBench(t, 1, standinengine.Options{MaxGap: 10 * time.Millisecond, TokenInterval: 50 * time.Microsecond}, nil)
-	long := strings.Replace(chatStrm, `"max_tokens":12`, `"max_tokens":3000`, 1)
+// A caller stops reading for a while. The engine's connection is not silent, so the answer must
+// not be resumed or aborted, and must be complete.
+func TestSlowReaderReceivesCompleteAnswer(t *testing.T) {
+	b := newFixture(t, 1, standinengine.Options{MaxGap: 10 * time.Millisecond, TokenInterval: 50 * time.Microsecond}, nil)
+	long := strings.Replace(chatStreamBody, `"max_tokens":12`, `"max_tokens":3000`, 1)
 	silentBefore := silentStreams.Get()
-	r := b.chatWhile(long, func() {
-		// The caller pauses until the engine has made the whole answer, seconds later.
+	r := b.chatDuring(long, func() {
+		// The caller pauses until the engine has generated the complete answer, which takes
+		// seconds.
 		ran := false
 		require.Eventually(t, func() bool {
 			state, err := b.opts.Prober.State(context.Background(), b.addrs[0])
@@ -178,50 +179,49 @@
 			return err == nil && ran && state.Load.Running == 0
 		}, time.Minute, 10*time.Millisecond)
 	})
-	requireWhole(t, r, long)
+	requireCompleteStream(t, r, long)
 	require.Equal(t, silentBefore, silentStreams.Get())
 }
 
-// A middlebox loses track of the connections that are open: they stay open and
-// pass nothing, while new ones work. Unnoticed, every fitter whose answer runs,
-// and everyone given an idle connection, waits for ever.
-func TestSilentConnectionsAreLeftAndResumed(t *testing.T) {
-	var rel *relay
-	b := newBench(t, 1, standinengine.Options{MaxGap: 50 * time.Millisecond, TokenInterval: 5 * time.Millisecond}, func(b *bench) {
-		rel = newRelay(b.t, b.addrs[0])
-		b.router.choices[0].Addr = rel.addr()
+// A middlebox loses its state: open connections stay open but pass no data, and new ones work.
+// Requests on the open connections, including those on pooled idle ones, must not wait for ever.
+func TestAnswerResumesAfterSilentConnection(t *testing.T) {
+	var proxy *tcpProxy
+	b := newFixture(t, 1, standinengine.Options{MaxGap: 50 * time.Millisecond, TokenInterval: 5 * time.Millisecond}, func(b *fixture) {
+		proxy = newTCPProxy(b.t, b.addrs[0])
+		b.router.choices[0].Addr = proxy.addr()
 	})
-	// Two answers at once leave two idle connections behind.
-	requireWhole(t, b.chatWhile(chatStrm, func() { requireWhole(t, b.chat(chatStrm), chatStrm) }), chatStrm)
-	require.Equal(t, 2, rel.connections())
+	// Two concurrent answers leave two idle connections.
+	requireCompleteStream(t, b.chatDuring(chatStreamBody, func() { requireCompleteStream(t, b.chat(chatStreamBody), chatStreamBody) }), chatStreamBody)
+	require.Equal(t, 2, proxy.connections())
 	silentBefore := silentStreams.Get()
-	requireWhole(t, b.chatWhile(chatStrm, rel.mute), chatStrm)
+	requireCompleteStream(t, b.chatDuring(chatStreamBody, proxy.mute), chatStreamBody)
 	require.Equal(t, silentBefore+1, silentStreams.Get())
-	before := rel.connections()
-	requireWhole(t, b.chat(chatStrm), chatStrm)
-	require.LessOrEqual(t, rel.connections(), before+1, "no dead connection was tried again")
-	require.Equal(t, silentBefore+1, silentStreams.Get(), "a later request must not join a dead connection")
+	before := proxy.connections()
+	requireCompleteStream(t, b.chat(chatStreamBody), chatStreamBody)
+	require.LessOrEqual(t, proxy.connections(), before+1, "at most one new connection: no dead connection is retried")
+	require.Equal(t, silentBefore+1, silentStreams.Get(), "a later request must not use a dead connection")
 	require.Equal(t, 4, b.runs())
 }
 
-// A request goes out on an idle connection that has gone silent and never reaches
-// the engine, which then knows nothing to resume. The replica is sound, and here
-// the only one: leaving it aside would refuse the fitter for no reason.
-func TestRequestLostOnADeadConnectionIsSentAgain(t *testing.T) {
-	var rel *relay
-	b := newBench(t, 1, standinengine.Options{}, func(b *bench) {
-		rel = newRelay(b.t, b.addrs[0])
-		b.router.choices[0].Addr = rel.addr()
+// A request is sent on an idle connection that passes no data and never reaches the engine, which
+// then can't resume it. The replica is healthy and the only one, so excluding it would make the
+// request fail.
+func TestRequestLostOnDeadConnectionIsResent(t *testing.T) {
+	var proxy *tcpProxy
+	b := newFixture(t, 1, standinengine.Options{}, func(b *fixture) {
+		proxy = newTCPProxy(b.t, b.addrs[0])
+		b.router.choices[0].Addr = proxy.addr()
 		b.opts.Streamer = engine.NewStreamer(b.opts.Pools, 200*time.Millisecond)
 	})
-	requireWhole(t, b.chat(chatStrm), chatStrm) // leaves an idle connection behind
-	rel.mute()
-	requireWhole(t, b.chat(chatStrm), chatStrm)
+	requireCompleteStream(t, b.chat(chatStreamBody), chatStreamBody) // leaves an idle connection
+	proxy.mute()
+	requireCompleteStream(t, b.chat(chatStreamBody), chatStreamBody)
 	require.Equal(t, 2, b.runs())
 }
 
-func TestBadInputIsRefusedAndNothingDispatched(t *testing.T) {
-	b := newBench(t, 1, standinengine.Options{}, func(b *bench) { b.opts.MaxBody = 1 << 10 })
+func TestInvalidRequestsAreRefusedBeforeDispatch(t *testing.T) {
+	b := newFixture(t, 1, standinengine.Options{}, func(b *fixture) { b.opts.MaxBody = 1 << 10 })
 	cases := []struct {
 		name, method, path, body string
 		header                   []string
