--- a/deploy/quickstart.sh
+++ b/deploy/quickstart.sh
@@ -11,8 +11,8 @@
 build
 
 step "start the platform with its backend servers"
-start platform "$BIN/fennel-standin" managed --listen 127.0.0.1:0
-STORE=$(logged platform addr)
+start_process platform "$BIN/fennel-standin" managed --listen 127.0.0.1:0
+STORE=$(wait_for_addr platform addr)
 
 step "start two nodes"
 CALLERS=()
@@ -29,9 +29,9 @@
 drain: {notice: 300ms}
 YAML
   "$BIN/fenneld" --settings "$WORK/node-$i.yaml" --check-settings
-  start "node-$i" "$BIN/fenneld" --settings "$WORK/node-$i.yaml"
-  CALLERS+=("http://$(logged "node-$i" callers)")
-  INSIDE+=("http://$(logged "node-$i" inside)")
+  start_process "node-$i" "$BIN/fenneld" --settings "$WORK/node-$i.yaml"
+  CALLERS+=("http://$(wait_for_addr "node-$i" callers)")
+  INSIDE+=("http://$(wait_for_addr "node-$i" inside)")
 done
 
 call() { # URL ID [curl's arguments]: one caller's request
@@ -42,7 +42,7 @@
 
 step "replicas form; a stream through each node"
 for i in 0 1; do
-  until_ok stream "${CALLERS[$i]}" "try-$i-$RANDOM"
+  wait_until stream "${CALLERS[$i]}" "try-$i-$RANDOM"
   stream "${CALLERS[$i]}" "stream-$i"
 done
 
@@ -60,7 +60,7 @@
 stream "${CALLERS[0]}" last >"$WORK/stream" &
 STREAM=$!
 PIDS+=("$STREAM")
-until_ok grep -q id: "$WORK/stream"
+wait_until grep -q id: "$WORK/stream"
 kill -TERM "$PID_node_0"
 wait "$STREAM"
 wait "$PID_node_0" && echo "node 0 ended with status 0"
--- a/examples/quickstart/lib.sh
+++ b/examples/quickstart/lib.sh
@@ -19,15 +19,15 @@
 
 step() { printf '\n== %s\n' "$1"; }
 
-# until_ok runs a command until it succeeds, for at most 30 s.
-until_ok() {
+# wait_until runs a command until it succeeds, for at most 30 s.
+wait_until() {
   for _ in $(seq 300); do "$@" >/dev/null 2>&1 && return 0; sleep 0.1; done
   echo "gave up waiting for: $*" >&2
   return 1
 }
 
 # start NAME COMMAND... runs a process with its output in a log.
-start() {
+start_process() {
   local name=$1; shift
   "$@" >"$WORK/$name.log" 2>&1 &
   PIDS+=($!)
@@ -35,8 +35,8 @@
 }
 
 # logged NAME KEY prints the address that a process's log gives under a key.
-logged() {
-  until_ok grep -q " $2=[0-9]" "$WORK/$1.log" || return 1
+wait_for_addr() {
+  wait_until grep -q " $2=[0-9]" "$WORK/$1.log" || return 1
   grep -o " $2=[0-9.:]*" "$WORK/$1.log" | head -n 1 | cut -d= -f2
 }
 
--- a/quickstart.sh
+++ b/quickstart.sh
@@ -11,16 +11,16 @@
 build
 
 step "start the platform, six engine VMs and one plain service"
-start platform "$BIN/fennel-standin" platform --listen 127.0.0.1:0
-PLATFORM=http://$(logged platform addr)
+start_process platform "$BIN/fennel-standin" platform --listen 127.0.0.1:0
+PLATFORM=http://$(wait_for_addr platform addr)
 VMS=""
 for i in 1 2 3 4 5 6; do
-  start "vm-$i" "$BIN/fennel-standin" engine --vm "vm-$i" --listen 127.0.0.1:0 --token-interval 20ms --can-continue --checks-fence
-  addr=$(logged "vm-$i" addr)
+  start_process "vm-$i" "$BIN/fennel-standin" engine --vm "vm-$i" --listen 127.0.0.1:0 --token-interval 20ms --can-continue --checks-fence
+  addr=$(wait_for_addr "vm-$i" addr)
   VMS="$VMS{\"id\":\"vm-$i\",\"zone\":\"serra-a\",\"domain\":\"rack-$(((i + 2) / 3))\",\"addr\":\"$addr\",\"state\":\"live\"},"
 done
-start caixa "$BIN/fennel-standin" service --listen 127.0.0.1:0
-CAIXA=$(logged caixa addr)
+start_process caixa "$BIN/fennel-standin" service --listen 127.0.0.1:0
+CAIXA=$(wait_for_addr caixa addr)
 VMS="$VMS{\"id\":\"svc-1\",\"zone\":\"serra-a\",\"domain\":\"rack-1\",\"addr\":\"$CAIXA\",\"service\":\"caixa\",\"state\":\"live\"}"
 curl -sf -X PUT "$PLATFORM/vms" -d "[$VMS]" >/dev/null
 
@@ -43,22 +43,22 @@
 drain: {notice: 1s}
 YAML
   "$BIN/fenneld" --settings "$WORK/node-$i.yaml" --check-settings
-  start "node-$i" "$BIN/fenneld" --settings "$WORK/node-$i.yaml"
-  SEEDS="\"$(logged "node-$i" datagrams)\""
-  SERVERS="$SERVERS,http://$(logged "node-$i" control)"
-  CALLERS+=("http://$(logged "node-$i" callers)")
+  start_process "node-$i" "$BIN/fenneld" --settings "$WORK/node-$i.yaml"
+  SEEDS="\"$(wait_for_addr "node-$i" datagrams)\""
+  SERVERS="$SERVERS,http://$(wait_for_addr "node-$i" control)"
+  CALLERS+=("http://$(wait_for_addr "node-$i" callers)")
 done
 export FENNELCTL_SERVER=$SERVERS
 
 step "accept the rules file; it is in force on both nodes"
-until_ok "$BIN/fennelctl" status
+wait_until "$BIN/fennelctl" status
 "$BIN/fennelctl" rules check examples/quickstart/rules
 "$BIN/fennelctl" rules apply --author quickstart --wait examples/quickstart/rules
-for node in "${CALLERS[@]}"; do until_ok curl -sf "$node/readyz"; done
+for node in "${CALLERS[@]}"; do wait_until curl -sf "$node/readyz"; done
 
 step "the VMs form two replicas"
 both_whole() { [ "$("$BIN/fennelctl" status --json | grep -c '"whole": *true')" -ge 2 ]; }
-until_ok both_whole
+wait_until both_whole
 "$BIN/fennelctl" status
 
 step "a streamed chat completion through node 1"
@@ -76,7 +76,7 @@
     -H 'Idempotency-Key: booking-42' -d '{"amount":40}' >"$WORK/deposit"
 }
 for node in "${CALLERS[@]}"; do
-  until_ok deposit "$node"
+  wait_until deposit "$node"
   grep -Ei '^(HTTP|fennel-run|fennel-replayed|\{)' "$WORK/deposit"
   echo
 done
@@ -88,7 +88,7 @@
   -d '{"model":"assistente-fit","stream":true,"max_tokens":150,"messages":[{"role":"user","content":"a long one"}]}' >"$WORK/stream" &
 STREAM=$!
 PIDS+=("$STREAM")
-until_ok grep -q data: "$WORK/stream"
+wait_until grep -q data: "$WORK/stream"
 kill -TERM "$PID_node_1"
 wait "$STREAM"
 wait "$PID_node_1" && echo "node 1 ended with status 0"
