--- a/examples/quickstart/lib.sh
+++ b/examples/quickstart/lib.sh
@@ -1,5 +1,5 @@
-# What the quick starts share: a directory, processes that end with the script, and waiting.
-# Sourced from the repository's root.
+# Shared by the quick-start scripts: a temporary directory, background processes that are stopped
+# when the script exits, and functions that wait. Must be sourced from the repository's root.
 WORK=$(mktemp -d)
 PIDS=()
 
@@ -8,25 +8,26 @@
   for pid in "${PIDS[@]}"; do kill "$pid" 2>/dev/null || true; done
   wait 2>/dev/null || true
   if [ "$status" -ne 0 ] && [ "$status" -ne "$INTERRUPTED" ]; then
-    echo "quickstart failed; the last lines of each log:" >&2
+    echo "quickstart failed; the last lines of each log file:" >&2
     tail -n 5 "$WORK"/*.log >&2 || true
   fi
   rm -rf "$WORK"
 }
 INTERRUPTED=130
 trap cleanup EXIT
-trap 'echo "interrupted: stopping what was started" >&2; exit "$INTERRUPTED"' INT TERM
+trap 'echo "interrupted: stopping all processes" >&2; exit "$INTERRUPTED"' INT TERM
 
 step() { printf '\n== %s\n' "$1"; }
 
-# wait_until runs a command until it succeeds, for at most 30 s.
+# wait_until COMMAND... repeats a command until it succeeds, for at most 30 s.
 wait_until() {
   for _ in $(seq 300); do "$@" >/dev/null 2>&1 && return 0; sleep 0.1; done
-  echo "gave up waiting for: $*" >&2
+  echo "timed out waiting for: $*" >&2
   return 1
 }
 
-# start NAME COMMAND... runs a process with its output in a log.
+# start_process NAME COMMAND... starts a background process, with its output in NAME.log and its
+# process ID in PID_NAME.
 start_process() {
   local name=$1; shift
   "$@" >"$WORK/$name.log" 2>&1 &
@@ -34,13 +35,14 @@
   eval "PID_${name//-/_}=$!"
 }
 
-# logged NAME KEY prints the address that a process's log gives under a key.
+# wait_for_addr NAME KEY waits until the log of process NAME has an address under KEY and prints
+# it.
 wait_for_addr() {
   wait_until grep -q " $2=[0-9]" "$WORK/$1.log" || return 1
   grep -o " $2=[0-9.:]*" "$WORK/$1.log" | head -n 1 | cut -d= -f2
 }
 
-# build compiles all commands; BIN is where they are.
+# build compiles all commands into BIN.
 BIN=$WORK/bin
 build() {
   step "build"
