--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -58,7 +58,7 @@
 func (n *Node) findDuplicateNode(ctx context.Context, addrs []string) membership.Sighting {
 	sighting := membership.Unanswered
 	for _, addr := range addrs {
-		heard, err := n.peers.Hears(ctx, addr, n.cfg.Node)
+		heard, err := n.peers.ReceivesHeartbeatsFrom(ctx, addr, n.cfg.Node)
 		switch {
 		case err != nil:
 			n.log.Warn("duplicate node check failed", "peer", addr, "err", err.Error())
--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -70,7 +70,7 @@
 			return err
 		}
 	}
-	if n.peers, err = peer.NewClient(peer.ClientOptions{TLS: n.tls, Plain: n.cfg.TLS.Off}); err != nil {
+	if n.peers, err = peer.NewClient(peer.ClientOptions{TLS: n.tls, Plaintext: n.cfg.TLS.Off}); err != nil {
 		return err
 	}
 	n.members = membership.New(membership.Options{
@@ -125,11 +125,11 @@
 	n.suspects = suspect.New(suspect.Options{Node: n.cfg.Node, Log: n.log, TriggerHeartbeat: n.members.Nudge, Peers: n.livePeerCount, Rank: n.members.Rank})
 	n.pools = engine.NewPools(engine.PoolOptions{})
 	n.gateway = gateway.New(gateway.Options{
-		Node: n.cfg.Node, Front: openai.Front{}, Rules: n.rules, Router: confirmingRouter{n.routing, n.health}, Services: n.vms, Admitter: n.admission, Claimer: gateway.StoreClaimer{Manager: n.claims},
+		Node: n.cfg.Node, Protocol: openai.Front{}, Rules: n.rules, Router: confirmingRouter{n.routing, n.health}, Services: n.vms, Admitter: n.admission, Claimer: gateway.StoreClaimer{Manager: n.claims},
 		Quarantine: n.suspects, Pools: n.pools, Streamer: engine.NewStreamer(n.pools, 0), Prober: n.prober, Log: n.log,
 		OnReplicaFailed: func(r cluster.Replica, _ string) { n.health.Doubt(r.ID) },
-		NewID:           newRequestID,
-		MaxBody:         req.MaxBody, Deadline: req.Deadline, CallTimeout: req.CallTimeout,
+		NewRequestID:    newRequestID,
+		MaxBody:         req.MaxBody, FirstTokenTimeout: req.Deadline, CallTimeout: req.CallTimeout,
 	})
 	return nil
 }
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -210,7 +210,7 @@
 // Serve relays a call until it ends. It also records that the node has seen a request.
 func (n *Core) Serve(ctx context.Context, c *call.Call, sink call.Sink) {
 	n.requestSeen.Store(true)
-	c.Work = n.estimateWork(c)
+	c.EstimatedWork = n.estimateWork(c)
 	n.relay.Serve(ctx, c, sink)
 }
 
@@ -225,7 +225,7 @@
 	if g == nil || !g.Engine.Known() {
 		return 0
 	}
-	return g.Engine.Work(c.PromptTokens, c.ExpectedAnswer())
+	return g.Engine.Work(c.PromptTokens, c.ExpectedOutputTokens())
 }
 
 // maxConfigAge is how long the configuration counts as the newest after the store's last
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -31,9 +31,9 @@
 	return x
 }
 
-// Body implements call.Exchange.
-func (x *exchange) Body(goOn bool) ([]byte, error) {
-	if !goOn {
+// RequestBody implements call.Exchange.
+func (x *exchange) RequestBody(continuation bool) ([]byte, error) {
+	if !continuation {
 		return x.req.engineBody("")
 	}
 	return x.req.engineBody(x.prog.text.String())
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// Pass implements call.Exchange.
-func (x *exchange) Pass(ev engine.Event) error {
+// Forward implements call.Exchange.
+func (x *exchange) Forward(ev engine.Event) error {
 	if x.checked == nil {
 		return nil
 	}
@@ -71,17 +71,17 @@
 	return nil
 }
 
-// LastID implements call.Exchange.
-func (x *exchange) LastID() int64 { return x.prog.lastID }
+// LastEventID implements call.Exchange.
+func (x *exchange) LastEventID() int64 { return x.prog.lastID }
 
-// CanGoOn implements call.Exchange: text of a single choice can be continued.
-func (x *exchange) CanGoOn() bool { return x.req.choices == 1 && x.prog.plain }
+// CanContinue implements call.Exchange: text of a single choice can be continued.
+func (x *exchange) CanContinue() bool { return x.req.choices == 1 && x.prog.plain }
 
-// Begun implements call.Exchange.
-func (x *exchange) Begun() bool { return x.sink.committed() }
+// ResponseStarted implements call.Exchange.
+func (x *exchange) ResponseStarted() bool { return x.sink.committed() }
 
-// Restart implements call.Exchange.
-func (x *exchange) Restart() {
+// Reset implements call.Exchange.
+func (x *exchange) Reset() {
 	x.sink.restart()
 	x.prog = newProgress()
 }
@@ -89,8 +89,8 @@
 // Finish implements call.Exchange.
 func (x *exchange) Finish() error { return x.sink.finish() }
 
-// Document implements call.Exchange.
-func (x *exchange) Document() []byte {
+// ResponseDocument implements call.Exchange.
+func (x *exchange) ResponseDocument() []byte {
 	if whole, ok := x.sink.(*wholeSink); ok {
 		return whole.sent
 	}
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -24,7 +24,7 @@
 	asked, err := Front{}.Parse(engine.ChatPath, []byte(body))
 	require.NoError(t, err)
 	seen := httptest.NewRecorder()
-	x := asked.Begin(call.Caller{W: seen, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
+	x := asked.NewExchange(call.Caller{W: seen, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
 	t.Cleanup(x.Close)
 	return x, seen
 }
@@ -35,7 +35,7 @@
 	if err := x.Check("engine-1", ev); err != nil {
 		return err
 	}
-	return x.Pass(ev)
+	return x.Forward(ev)
 }
 
 const (
@@ -53,7 +53,7 @@
 	require.True(t, broken, "%v", err)
 	require.NoError(t, feed(x, 2, lastChunk))
 	require.NoError(t, x.Check("engine-1", engine.Event{Done: true}))
-	require.NoError(t, x.Pass(engine.Event{Done: true}))
+	require.NoError(t, x.Forward(engine.Event{Done: true}))
 }
 
 // A connection brings the answer to another caller's request. Passed on, one skier
@@ -66,7 +66,7 @@
 			mismatch, ok := errors.Into[*engine.MismatchError](err)
 			require.True(t, ok, "%v", err)
 			require.Equal(t, "chatcmpl-r", mismatch.Want)
-			require.Zero(t, x.LastID())
+			require.Zero(t, x.LastEventID())
 			require.Empty(t, seen.Body.String())
 		})
 	}
@@ -77,13 +77,13 @@
 func TestRestartDropsWhatCame(t *testing.T) {
 	x, seen := begin(t, wholeBody)
 	require.NoError(t, feed(x, 1, firstChunk))
-	require.False(t, x.Begun())
-	x.Restart()
-	require.Zero(t, x.LastID())
+	require.False(t, x.ResponseStarted())
+	x.Reset()
+	require.Zero(t, x.LastEventID())
 	require.NoError(t, feed(x, 1, lastChunk))
 	require.NoError(t, x.Finish())
-	require.Contains(t, string(x.Document()), `"content":"shell"`)
-	require.Equal(t, string(x.Document()), seen.Body.String())
+	require.Contains(t, string(x.ResponseDocument()), `"content":"shell"`)
+	require.Equal(t, string(x.ResponseDocument()), seen.Body.String())
 	require.Equal(t, string(fennelerr.Ran), seen.Header().Get(call.HeaderRun))
 }
 
@@ -92,26 +92,26 @@
 func TestOnlyPlainTextGoesOnElsewhere(t *testing.T) {
 	x, seen := begin(t, streamBody)
 	require.NoError(t, feed(x, 1, firstChunk))
-	require.True(t, x.Begun())
-	require.True(t, x.CanGoOn())
-	require.Nil(t, x.Document())
-	body, err := x.Body(true)
+	require.True(t, x.ResponseStarted())
+	require.True(t, x.CanContinue())
+	require.Nil(t, x.ResponseDocument())
+	body, err := x.RequestBody(true)
 	require.NoError(t, err)
 	require.Contains(t, string(body), `"warm "`)
 	require.Contains(t, seen.Body.String(), "warm ")
 	require.NoError(t, feed(x, 2, `{"id":"chatcmpl-r","choices":[{"index":0,"delta":{"tool_calls":[{"index":0}]}}]}`))
-	require.False(t, x.CanGoOn(), "a tool call")
+	require.False(t, x.CanContinue(), "a tool call")
 
 	two, _ := begin(t, twoChoices)
-	require.False(t, two.CanGoOn(), "two choices")
+	require.False(t, two.CanContinue(), "two choices")
 }
 
 // A rejection without a document still has to become an answer.
 func TestRejection(t *testing.T) {
 	refusal := fennelerr.Invalid("max_tokens", "too many")
-	message, field := Front{}.Rejection(Front{}.Error(refusal, "r"))
+	message, field := Front{}.ParseRejection(Front{}.Error(refusal, "r"))
 	require.Equal(t, "too many", message)
 	require.Equal(t, "max_tokens", field)
-	message, field = Front{}.Rejection([]byte("<html>"))
+	message, field = Front{}.ParseRejection([]byte("<html>"))
 	require.Empty(t, message+field)
 }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -22,7 +22,7 @@
 	}
 	return &call.ModelCall{
 		Model: req.model, Cost: req.cost(), PrefixHashes: req.prefixHashes,
-		Begin: func(to call.Caller) call.Exchange { return newExchange(req, to) },
+		NewExchange: func(to call.Caller) call.Exchange { return newExchange(req, to) },
 	}, nil
 }
 
@@ -71,9 +71,9 @@
 	}})
 }
 
-// Rejection reads an engine's rejection of a request; both results are empty where it
+// ParseRejection reads an engine's rejection of a request; both results are empty where it
 // gives no reason.
-func (Front) Rejection(body []byte) (message, field string) {
+func (Front) ParseRejection(body []byte) (message, field string) {
 	var doc errorBody
 	if json.Unmarshal(body, &doc) != nil {
 		return "", ""
--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -166,8 +166,8 @@
 	route := c.routes[k.Name]
 	c.mu.Unlock()
 	now := time.Now()
-	n.serve(ctx, &call.Call{ID: id, Route: route, RulesRevision: 1, Model: k.Model, PromptTokens: prompt, AnswerTokens: int(k.Answer.Most), HintTokens: hint,
-		Urgency: k.Priority, ReceivedAt: now, Deadline: sent.Add(k.Deadline), ResumeAfter: resume}, s)
+	n.serve(ctx, &call.Call{ID: id, Route: route, RulesRevision: 1, Model: k.Model, PromptTokens: prompt, MaxOutputTokens: int(k.Answer.Most), OutputTokensHint: hint,
+		Priority: k.Priority, ReceivedAt: now, Deadline: sent.Add(k.Deadline), ResumeAfter: resume}, s)
 	return s
 }
 
@@ -190,14 +190,14 @@
 	refused     *fennelerr.Error
 }
 
-// Whole implements call.Sink.
-func (s *sink) Whole(call.Head, []byte) error { s.ended = true; return nil }
+// Respond implements call.Sink.
+func (s *sink) Respond(call.Head, []byte) error { s.ended = true; return nil }
 
 // Start implements call.Sink.
 func (s *sink) Start(call.Head) error { return nil }
 
-// Piece implements call.Sink.
-func (s *sink) Piece([]byte) error {
+// WritePiece implements call.Sink.
+func (s *sink) WritePiece([]byte) error {
 	now := time.Now()
 	if s.pieces == 0 {
 		s.first = now
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -59,7 +59,7 @@
 // Serve handles the call until it is answered or given up. ctx ends when the caller
 // disconnects.
 func (r *Relay) Serve(ctx context.Context, c *call.Call, sink call.Sink) {
-	s := &session{r: r, call: c, sink: sink, end: c.End(), lastID: c.ResumeAfter}
+	s := &session{r: r, call: c, sink: sink, end: c.EffectiveDeadline(), lastID: c.ResumeAfter}
 	s.service = c.Route.Terms.Pick(xxhash.Sum64String(c.ID))
 	s.group = GroupOf(s.service, c.Model)
 	r.opts.Budget.RecordCall(s.service, c.ReceivedAt)
@@ -146,7 +146,7 @@
 // allowedExtra returns how many requests beyond its slots a replica may hold, this one
 // included.
 func (s *session) allowedExtra() float64 {
-	if s.attempts == 1 && s.call.Returning() {
+	if s.attempts == 1 && s.call.LikelyRetry() {
 		return extraForReturning
 	}
 	return extraRequests
@@ -208,7 +208,7 @@
 	case s.started:
 		s.sink.Abort(s.failure(cause))
 	case s.failedAnswer != nil:
-		_ = s.sink.Whole(s.failedAnswer.head, s.failedAnswer.body) // the caller may have disconnected
+		_ = s.sink.Respond(s.failedAnswer.head, s.failedAnswer.body) // the caller may have disconnected
 	case s.mayHaveRun:
 		s.sink.Refuse(s.failure(cause))
 	default:
@@ -267,7 +267,7 @@
 		"reason", choice.Reason, "considered", choice.Considered, "waited", a.started.Sub(s.call.ReceivedAt),
 		"first", result.FirstToken, "target", terms.Target, "took", result.Duration}
 	if s.streams() {
-		fields = append(fields, "prompt", s.call.PromptTokens, "expected", s.call.ExpectedAnswer(), "work", s.call.Work, "pieces", result.Tokens, "pause", s.maxGap, "pause_target", terms.TargetGap)
+		fields = append(fields, "prompt", s.call.PromptTokens, "expected", s.call.ExpectedOutputTokens(), "work", s.call.EstimatedWork, "pieces", result.Tokens, "pause", s.maxGap, "pause_target", terms.TargetGap)
 	}
 	if a.load != nil {
 		fields = append(fields, "running", a.load.Running, "waiting", a.load.Waiting, "slots", a.load.Slots)
