--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -27,7 +27,7 @@
 	cmdDelta   = "go test -v -run Bytes ./internal/rulestore"
 	cmdNodes   = goBench + "Nodes -benchtime 1x ./internal/capacity"
 	cmdServing = goBench + "'Serving|HeldStreams' -benchtime 1x ./internal/capacity"
-	cmdGateway = goBench + "'AddedTime|Requests|Take' -benchtime 300x ./internal/gateway"
+	cmdGateway = goBench + "'AddedTime|Requests|HandleEvent' -benchtime 300x ./internal/gateway"
 	cmdWire    = goBench + "'Seal|Open' -benchtime 100000x ./internal/wire"
 	cmdRouting = goBench + "Choose -benchtime 2000x ./internal/routing"
 	cmdTable   = goBench + "TableMemory -benchtime 3x ./internal/routing"
