--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -268,7 +268,7 @@
 		s.serve(s.a, "warm-up", "body", endsAnswered)
 		waitForSettlements()
 		var late store.Txn
-		s.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Verdict {
+		s.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Action {
 			if late.Then != nil {
 				return memstore.Refuse // the store is down at the second attempt
 			}
--- a/internal/formation/holder_test.go
+++ b/internal/formation/holder_test.go
@@ -118,7 +118,7 @@
 		defer mem.Close()
 		c, lease := newHolder(t, 8, &cpuBoundClient{cpu: make(singleCPU, 1)}, mem, DefaultLeaseTTL)
 		calls := 0
-		mem.SetHook(func(kind memstore.Kind, _ *store.Txn) memstore.Verdict {
+		mem.SetHook(func(kind memstore.Kind, _ *store.Txn) memstore.Action {
 			if kind == memstore.KindKeepAlive {
 				if calls++; calls%3 != 0 {
 					return memstore.Refuse
--- a/internal/grouping/fencing_test.go
+++ b/internal/grouping/fencing_test.go
@@ -162,7 +162,7 @@
 		cutOff.partitioned.Store(true)
 		n2 := tb.start("n2", nil)
 		var lastOld, acquired, firstNew time.Time
-		tb.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Verdict {
+		tb.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Action {
 			if txn != nil && acquiresLease(*txn) {
 				acquired = time.Now()
 			}
@@ -197,13 +197,13 @@
 // Assuming either outcome would put VMs into two replicas or send orders that were never
 // committed.
 func TestCommitWithLostAnswer(t *testing.T) {
-	verdicts := map[string]memstore.Verdict{"applied": memstore.Lose, "not applied": memstore.Drop}
+	verdicts := map[string]memstore.Action{"applied": memstore.Lose, "not applied": memstore.Drop}
 	for name, verdict := range verdicts {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tb := newTestbed(t, 4, pairGroup)
 				lost := 0
-				tb.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Verdict {
+				tb.store.SetHook(func(_ memstore.Kind, txn *store.Txn) memstore.Action {
 					if txn != nil && changesReplicas(*txn) && lost < 2 {
 						lost++
 						return verdict
--- a/internal/rulestore/apply_test.go
+++ b/internal/rulestore/apply_test.go
@@ -90,7 +90,7 @@
 		s := memstore.New(memstore.Options{})
 		h := New(Options{Store: s, Peers: newFleet(t, s)})
 		base := mustApply(t, h, 0, text("caixa"))
-		s.SetHook(func(kind memstore.Kind, _ *store.Txn) memstore.Verdict {
+		s.SetHook(func(kind memstore.Kind, _ *store.Txn) memstore.Action {
 			if kind == memstore.KindTxn {
 				return memstore.Lose
 			}
--- a/internal/store/memstore/faults.go
+++ b/internal/store/memstore/faults.go
@@ -43,13 +43,13 @@
 	DropWrites int `json:"drop_writes,omitempty"`
 }
 
-// Verdict is what a Hook does to one call.
-type Verdict int
+// Action is what a Hook does to one call.
+type Action int
 
 // Verdicts. Refuse and Drop leave the store as it is; Lose lets the call take
 // effect and loses the answer.
 const (
-	Proceed Verdict = iota
+	Proceed Action = iota
 	Refuse
 	Drop
 	Lose
@@ -57,7 +57,7 @@
 
 // Hook decides the fate of each call in place of the switches; txn is nil for
 // calls other than transactions. It may block.
-type Hook func(kind Kind, txn *store.Txn) Verdict
+type Hook func(kind Kind, txn *store.Txn) Action
 
 // errInjected is the cause of all injected failures.
 var errInjected = errors.New("injected fault")
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (s *Store) verdict(f Faults, kind Kind) Verdict {
+func (s *Store) verdict(f Faults, kind Kind) Action {
 	switch {
 	case f.Down && f.DownUnknown && isWrite(kind):
 		return Drop
