--- a/internal/rulestore/apply_test.go
+++ b/internal/rulestore/apply_test.go
@@ -92,7 +92,7 @@
 		base := mustApply(t, h, 0, text("caixa"))
 		s.SetHook(func(kind memstore.Kind, _ *store.Txn) memstore.Action {
 			if kind == memstore.KindTxn {
-				return memstore.Lose
+				return memstore.LoseAnswer
 			}
 			return memstore.Refuse
 		})
--- a/internal/store/memstore/faults.go
+++ b/internal/store/memstore/faults.go
@@ -46,13 +46,13 @@
 // Action is what a Hook does to one call.
 type Action int
 
-// Verdicts. Refuse and Drop leave the store as it is; Lose lets the call take
+// Verdicts. Refuse and Drop leave the store as it is; LoseAnswer lets the call take
 // effect and loses the answer.
 const (
 	Proceed Action = iota
 	Refuse
 	Drop
-	Lose
+	LoseAnswer
 )
 
 // Hook decides the fate of each call in place of the switches; txn is nil for
@@ -113,7 +113,7 @@
 		return nil, unavailable(kind, store.Refused, errInjected)
 	case Drop:
 		return nil, unavailable(kind, store.Unknown, errInjected)
-	case Lose:
+	case LoseAnswer:
 		return unavailable(kind, store.Unknown, errInjected), nil
 	}
 	return nil, nil
@@ -146,7 +146,7 @@
 	}
 	if s.faults.faults.LoseAnswers > 0 {
 		s.faults.faults.LoseAnswers--
-		return Lose
+		return LoseAnswer
 	}
 	return Proceed
 }
