--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -273,7 +273,7 @@
 				return memstore.Refuse // the store is down at the second attempt
 			}
 			late = *txn
-			return memstore.Drop
+			return memstore.DropWrite
 		})
 		require.Equal(t, storeDown, s.serve(s.a, "k", "body", endsAnswered))
 		s.store.SetHook(nil)
--- a/internal/grouping/fencing_test.go
+++ b/internal/grouping/fencing_test.go
@@ -197,7 +197,7 @@
 // Assuming either outcome would put VMs into two replicas or send orders that were never
 // committed.
 func TestCommitWithLostAnswer(t *testing.T) {
-	verdicts := map[string]memstore.Action{"applied": memstore.LoseAnswer, "not applied": memstore.Drop}
+	verdicts := map[string]memstore.Action{"applied": memstore.LoseAnswer, "not applied": memstore.DropWrite}
 	for name, verdict := range verdicts {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/store/memstore/faults.go
+++ b/internal/store/memstore/faults.go
@@ -46,12 +46,12 @@
 // Action is what a Hook does to one call.
 type Action int
 
-// Verdicts. Refuse and Drop leave the store as it is; LoseAnswer lets the call take
+// Verdicts. Refuse and DropWrite leave the store as it is; LoseAnswer lets the call take
 // effect and loses the answer.
 const (
 	Proceed Action = iota
 	Refuse
-	Drop
+	DropWrite
 	LoseAnswer
 )
 
@@ -111,7 +111,7 @@
 	switch verdict {
 	case Refuse:
 		return nil, unavailable(kind, store.Refused, errInjected)
-	case Drop:
+	case DropWrite:
 		return nil, unavailable(kind, store.Unknown, errInjected)
 	case LoseAnswer:
 		return unavailable(kind, store.Unknown, errInjected), nil
@@ -132,7 +132,7 @@
 func (s *Store) verdict(f Faults, kind Kind) Action {
 	switch {
 	case f.Down && f.DownUnknown && isWrite(kind):
-		return Drop
+		return DropWrite
 	case f.Down:
 		return Refuse
 	case !isWrite(kind):
@@ -142,7 +142,7 @@
 	defer s.faults.mu.Unlock()
 	if s.faults.faults.DropWrites > 0 {
 		s.faults.faults.DropWrites--
-		return Drop
+		return DropWrite
 	}
 	if s.faults.faults.LoseAnswers > 0 {
 		s.faults.faults.LoseAnswers--
