--- a/internal/store/etcdgw/etcdgw.go
+++ b/internal/store/etcdgw/etcdgw.go
@@ -49,9 +49,9 @@
 	Timeout time.Duration
 	// DialTimeout bounds the connection set-up within an attempt.
 	DialTimeout time.Duration
-	// WatchIdle is how long a watch may bring nothing before it is opened anew,
+	// WatchIdleTimeout is how long a watch may bring nothing before it is opened anew,
 	// since its connection may have gone silent; zero is DefaultWatchIdle.
-	WatchIdle time.Duration
+	WatchIdleTimeout time.Duration
 	// TLS is used for https endpoints; nil takes the system's roots.
 	TLS *tls.Config
 	// Token is sent as a bearer token when set.
@@ -86,7 +86,7 @@
 	}
 	c := &Client{
 		timeout:   orDefault(opts.Timeout, DefaultTimeout),
-		watchIdle: orDefault(opts.WatchIdle, DefaultWatchIdle),
+		watchIdle: orDefault(opts.WatchIdleTimeout, DefaultWatchIdle),
 		token:     opts.Token,
 		transport: transport,
 		http:      &http.Client{Transport: transport},
--- a/internal/store/etcdgw/etcdgw_test.go
+++ b/internal/store/etcdgw/etcdgw_test.go
@@ -163,7 +163,7 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(front.Close)
-	client := open(t, etcdgw.Options{Endpoints: []string{front.URL}, WatchIdle: shortTimeout})
+	client := open(t, etcdgw.Options{Endpoints: []string{front.URL}, WatchIdleTimeout: shortTimeout})
 	ch, err := client.Watch(t.Context(), "/", 0)
 	require.NoError(t, err)
 	storetest.Put(t, open(t, etcdgw.Options{Endpoints: []string{url}}), "/k", "1")
