--- a/internal/store/etcdgw/etcdgw.go
+++ b/internal/store/etcdgw/etcdgw.go
@@ -32,7 +32,7 @@
 const (
 	DefaultTimeout     = 2 * time.Second
 	DefaultDialTimeout = 500 * time.Millisecond
-	DefaultWatchIdle   = 30 * time.Second
+	DefaultWatchIdleTimeout   = 30 * time.Second
 )
 
 // maxAnswer bounds one answer, so that a broken peer can't fill the memory.
@@ -86,7 +86,7 @@
 	}
 	c := &Client{
 		timeout:   orDefault(opts.Timeout, DefaultTimeout),
-		watchIdle: orDefault(opts.WatchIdleTimeout, DefaultWatchIdle),
+		watchIdle: orDefault(opts.WatchIdleTimeout, DefaultWatchIdleTimeout),
 		token:     opts.Token,
 		transport: transport,
 		http:      &http.Client{Transport: transport},
