--- a/internal/store/etcdgw/calls.go
+++ b/internal/store/etcdgw/calls.go
@@ -13,7 +13,7 @@
 // Get implements store.Store.
 func (c *Client) Get(ctx context.Context, key string) (*store.KV, int64, error) {
 	var res etcdjson.RangeResponse
-	if err := c.do(ctx, callGet, etcdjson.RangeRequest{Key: []byte(key)}, &res); err != nil {
+	if err := c.do(ctx, opGet, etcdjson.RangeRequest{Key: []byte(key)}, &res); err != nil {
 		return nil, 0, err
 	}
 	return firstKey(&res), int64(res.Header.Revision), nil
@@ -32,7 +32,7 @@
 		req.Key = append([]byte(opts.StartAfter), 0)
 	}
 	var res etcdjson.RangeResponse
-	if err := c.do(ctx, callRange, req, &res); err != nil {
+	if err := c.do(ctx, opRange, req, &res); err != nil {
 		return store.RangeResult{}, err
 	}
 	out := store.RangeResult{Revision: int64(res.Header.Revision), More: res.More}
@@ -42,7 +42,7 @@
 	return out, nil
 }
 
-// rangeStart is the first key of a prefix; the gateway takes no empty key.
+// rangeStart returns the first key of a prefix; the gateway rejects an empty key.
 func rangeStart(prefix string) []byte {
 	if prefix == "" {
 		return []byte{0}
@@ -57,7 +57,7 @@
 		req.Compare = append(req.Compare, compare(g))
 	}
 	var res etcdjson.TxnResponse
-	if err := c.do(ctx, callTxn, req, &res); err != nil {
+	if err := c.do(ctx, opTxn, req, &res); err != nil {
 		return store.TxnResult{}, err
 	}
 	out := store.TxnResult{Succeeded: res.Succeeded, Revision: int64(res.Header.Revision)}
@@ -104,7 +104,7 @@
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 	seconds := max(1, (ttl+time.Second-1)/time.Second)
 	var res etcdjson.LeaseResponse
-	if err := c.do(ctx, callGrant, etcdjson.LeaseGrantRequest{TTL: etcdjson.Int64(seconds)}, &res); err != nil {
+	if err := c.do(ctx, opGrant, etcdjson.LeaseGrantRequest{TTL: etcdjson.Int64(seconds)}, &res); err != nil {
 		return 0, err
 	}
 	return store.LeaseID(res.ID), nil
@@ -113,14 +113,14 @@
 // KeepAlive implements store.Store.
 func (c *Client) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
 	var res etcdjson.KeepAliveResult
-	if err := c.do(ctx, callKeepAlive, etcdjson.LeaseRequest{ID: etcdjson.Int64(id)}, &res); err != nil {
+	if err := c.do(ctx, opKeepAlive, etcdjson.LeaseRequest{ID: etcdjson.Int64(id)}, &res); err != nil {
 		return 0, err
 	}
 	if res.Error != nil {
-		return 0, failure(callKeepAlive, store.Unavailable, store.Refused, errors.New(res.Error.Message))
+		return 0, newError(opKeepAlive, store.Unavailable, store.Refused, errors.New(res.Error.Message))
 	}
 	if res.Result.TTL <= 0 {
-		return 0, failure(callKeepAlive, store.LeaseNotFound, store.Refused, errors.Errorf("lease %d not found", id))
+		return 0, newError(opKeepAlive, store.LeaseNotFound, store.Refused, errors.Errorf("lease %d not found", id))
 	}
 	return time.Duration(res.Result.TTL) * time.Second, nil
 }
@@ -128,7 +128,7 @@
 // Revoke implements store.Store.
 func (c *Client) Revoke(ctx context.Context, id store.LeaseID) error {
 	var res etcdjson.LeaseResponse
-	return c.do(ctx, callRevoke, etcdjson.LeaseRequest{ID: etcdjson.Int64(id)}, &res)
+	return c.do(ctx, opRevoke, etcdjson.LeaseRequest{ID: etcdjson.Int64(id)}, &res)
 }
 
 func firstKey(res *etcdjson.RangeResponse) *store.KV {
--- a/internal/store/etcdgw/etcdgw.go
+++ b/internal/store/etcdgw/etcdgw.go
@@ -1,10 +1,11 @@
-// Package etcdgw is the store driver for the platform's key-value service: the
-// published etcd v3 JSON gateway over net/http.
+// Package etcdgw is the store driver for the platform's key-value service. It uses
+// the etcd v3 JSON gateway over net/http.
 //
-// It tells the three outcomes of a write apart as package store asks. A request
-// that never got a connection is refused. Once it had one, bytes may have gone
-// out, and only an answer from the service makes the outcome known. Another
-// endpoint is tried for reads, and for writes that certainly had no effect.
+// It reports the three outcomes of a write that package store defines. A request
+// that never got a connection is refused. Once it had a connection, bytes may have
+// been sent, and only a response from the service makes the outcome known. The
+// client fails over to another endpoint for reads, and for writes that certainly
+// had no effect.
 package etcdgw
 
 import (
@@ -30,35 +31,36 @@
 
 // Defaults of Options.
 const (
-	DefaultTimeout     = 2 * time.Second
-	DefaultDialTimeout = 500 * time.Millisecond
-	DefaultWatchIdleTimeout   = 30 * time.Second
+	DefaultTimeout          = 2 * time.Second
+	DefaultDialTimeout      = 500 * time.Millisecond
+	DefaultWatchIdleTimeout = 30 * time.Second
 )
 
-// maxAnswer bounds one answer, so that a broken peer can't fill the memory.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits the size of a response, so that a faulty server cannot exhaust memory.
+const maxResponseBytes = 64 << 20
 
-// idlePerEndpoint is how many idle connections are kept for reuse.
-const idlePerEndpoint = 8
+// maxIdleConnsPerEndpoint is the number of idle connections kept for reuse.
+const maxIdleConnsPerEndpoint = 8
 
 // Options configures a Client.
 type Options struct {
 	// Endpoints are base URLs such as "https://10.0.0.5:2379"; at least one.
 	Endpoints []string
-	// Timeout bounds one attempt of one call; zero is DefaultTimeout.
+	// Timeout limits one attempt of a call; zero means DefaultTimeout.
 	Timeout time.Duration
-	// DialTimeout bounds the connection set-up within an attempt.
+	// DialTimeout limits connection establishment within an attempt; zero means
+	// DefaultDialTimeout.
 	DialTimeout time.Duration
-	// WatchIdleTimeout is how long a watch may bring nothing before it is opened anew,
-	// since its connection may have gone silent; zero is DefaultWatchIdle.
+	// WatchIdleTimeout is how long a watch may receive nothing before it is reopened,
+	// since its connection may be dead; zero means DefaultWatchIdleTimeout.
 	WatchIdleTimeout time.Duration
-	// TLS is used for https endpoints; nil takes the system's roots.
+	// TLS is used for https endpoints; nil uses the system's root certificates.
 	TLS *tls.Config
 	// Token is sent as a bearer token when set.
 	Token string
 }
 
-// Client is a store.Store. It is safe for concurrent use.
+// Client implements store.Store. It is safe for concurrent use.
 type Client struct {
 	endpoints []string
 	timeout   time.Duration
@@ -66,22 +68,22 @@
 	token     string
 	transport *http.Transport
 	http      *http.Client
-	// preferred indexes the endpoint that answered last.
+	// preferred is the index of the endpoint to try first.
 	preferred atomic.Int64
 }
 
 var _ store.Store = (*Client)(nil)
 
-// New returns a client; it makes no call.
+// New returns a client without connecting to the service.
 func New(opts Options) *Client {
 	dialer := &net.Dialer{Timeout: orDefault(opts.DialTimeout, DefaultDialTimeout)}
-	// One HTTP/1.1 connection per call in flight: a silent connection then
-	// holds up one call and not all of them.
+	// HTTP/1.1 with one connection per call in flight, so that an unresponsive
+	// connection blocks one call and not all of them.
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
 		TLSClientConfig:     opts.TLS,
 		TLSNextProto:        map[string]func(string, *tls.Conn) http.RoundTripper{},
-		MaxIdleConnsPerHost: idlePerEndpoint,
+		MaxIdleConnsPerHost: maxIdleConnsPerEndpoint,
 		IdleConnTimeout:     time.Minute,
 	}
 	c := &Client{
@@ -91,68 +93,68 @@
 		transport: transport,
 		http:      &http.Client{Transport: transport},
 	}
-	for _, e := range opts.Endpoints {
-		c.endpoints = append(c.endpoints, strings.TrimRight(e, "/"))
+	for _, endpoint := range opts.Endpoints {
+		c.endpoints = append(c.endpoints, strings.TrimRight(endpoint, "/"))
 	}
 	return c
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-func orDefault(d, otherwise time.Duration) time.Duration {
+func orDefault(d, fallback time.Duration) time.Duration {
 	if d == 0 {
-		return otherwise
+		return fallback
 	}
 	return d
 }
 
-// call describes one call of the gateway.
-type call struct {
-	op   string
+// operation describes one method of the gateway.
+type operation struct {
+	name string
 	path string
-	// write is set when the call may change the store.
+	// write is set if the call may change the store.
 	write bool
 }
 
 var (
-	callGet       = call{op: "get", path: etcdjson.PathRange}
-	callRange     = call{op: "range", path: etcdjson.PathRange}
-	callTxn       = call{op: "txn", path: etcdjson.PathTxn, write: true}
-	callGrant     = call{op: "grant", path: etcdjson.PathGrant, write: true}
-	callKeepAlive = call{op: "keepalive", path: etcdjson.PathKeepAlive}
-	callRevoke    = call{op: "revoke", path: etcdjson.PathRevoke, write: true}
-	callWatch     = call{op: "watch", path: etcdjson.PathWatch}
+	opGet       = operation{name: "get", path: etcdjson.PathRange}
+	opRange     = operation{name: "range", path: etcdjson.PathRange}
+	opTxn       = operation{name: "txn", path: etcdjson.PathTxn, write: true}
+	opGrant     = operation{name: "grant", path: etcdjson.PathGrant, write: true}
+	opKeepAlive = operation{name: "keepalive", path: etcdjson.PathKeepAlive}
+	opRevoke    = operation{name: "revoke", path: etcdjson.PathRevoke, write: true}
+	opWatch     = operation{name: "watch", path: etcdjson.PathWatch}
 )
 
-// do makes the call on the endpoints in turn, starting with the one that
-// answered last, until one answers or a further try could repeat a write.
-func (c *Client) do(ctx context.Context, k call, req, res any) error {
+// do tries the endpoints in turn, starting with the preferred one, until one
+// responds or a retry could repeat a write.
+func (c *Client) do(ctx context.Context, op operation, req, res any) error {
 	body, err := json.Marshal(req)
 	if err != nil {
-		return failure(k, store.Invalid, store.Refused, err)
+		return newError(op, store.Invalid, store.Refused, err)
 	}
 	if len(c.endpoints) == 0 {
-		return failure(k, store.Invalid, store.Refused, errors.New("no endpoints"))
+		return newError(op, store.Invalid, store.Refused, errors.New("no endpoints"))
 	}
-	first := c.preferred.Load()
-	var last *store.Error
+	start := c.preferred.Load()
+	var lastErr *store.Error
 	for i := range int64(len(c.endpoints)) {
-		at := (first + i) % int64(len(c.endpoints))
-		last = c.attempt(ctx, k, c.endpoints[at], body, res)
-		if last == nil || last.Kind != store.Unavailable {
-			c.preferred.Store(at)
-			return asError(last)
+		index := (start + i) % int64(len(c.endpoints))
+		lastErr = c.attempt(ctx, op, c.endpoints[index], body, res)
+		if lastErr == nil || lastErr.Kind != store.Unavailable {
+			c.preferred.Store(index)
+			return asError(lastErr)
 		}
-		c.preferred.Store((at + 1) % int64(len(c.endpoints)))
-		if last.Outcome == store.Unknown || ctx.Err() != nil {
-			return last
+		c.preferred.Store((index + 1) % int64(len(c.endpoints)))
+		if lastErr.Outcome == store.Unknown || ctx.Err() != nil {
+			return lastErr
 		}
 	}
-	return last
+	return lastErr
 }
 
-// asError keeps a nil *store.Error from becoming a non-nil error.
+// asError converts err without turning a nil *store.Error into a non-nil error.
 func asError(err *store.Error) error {
 	if err == nil {
 		return nil
@@ -160,83 +162,83 @@
 	return err
 }
 
-func (c *Client) attempt(ctx context.Context, k call, endpoint string, body []byte, res any) *store.Error {
+func (c *Client) attempt(ctx context.Context, op operation, endpoint string, body []byte, res any) *store.Error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	answer, sent, err := c.post(ctx, k, endpoint, body)
+	resp, maybeSent, err := c.post(ctx, op, endpoint, body)
 	if err != nil {
-		return c.unanswered(k, sent, err)
+		return c.noResponseError(op, maybeSent, err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	defer func() { _ = resp.Body.Close() }()
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return c.unanswered(k, true, err)
+		return c.noResponseError(op, true, err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return refusal(k, answer.StatusCode, raw)
+	if resp.StatusCode != http.StatusOK {
+		return responseError(op, resp.StatusCode, raw)
 	}
 	if err := json.Unmarshal(raw, res); err != nil {
-		return c.unanswered(k, true, errors.Wrap(err, "unreadable answer"))
+		return c.noResponseError(op, true, errors.Wrap(err, "decode response"))
 	}
 	return nil
 }
 
-// post sends the request; sent reports whether it got a connection, after which
-// bytes may have gone out.
-func (c *Client) post(ctx context.Context, k call, endpoint string, body []byte) (answer *http.Response, sent bool, err error) {
+// post sends the request. maybeSent reports whether it got a connection, after which
+// bytes may have been sent.
+func (c *Client) post(ctx context.Context, op operation, endpoint string, body []byte) (resp *http.Response, maybeSent bool, err error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, endpoint+k.path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, endpoint+op.path, bytes.NewReader(body))
 	if err != nil {
 		return nil, false, err
 	}
 	req.Header.Set("Content-Type", etcdjson.ContentType)
-	metrics.GetOrCreateCounter(fmt.Sprintf(`fennel_etcdgw_calls_total{op=%q}`, k.op)).Inc()
+	metrics.GetOrCreateCounter(fmt.Sprintf(`fennel_etcdgw_calls_total{op=%q}`, op.name)).Inc()
 	if c.token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.token)
 	}
-	answer, err = c.http.Do(req)
-	return answer, connected.Load(), err
+	resp, err = c.http.Do(req)
+	return resp, connected.Load(), err
 }
 
-// unanswered is the failure of a call that the service didn't answer. Idle
-// connections are dropped: when one of them has gone silent, the others may
-// have too, and the next call would wait on one of those.
-func (c *Client) unanswered(k call, sent bool, err error) *store.Error {
+// noResponseError returns the error of a call that the service did not answer. It
+// closes the idle connections if the request may have been sent: when one connection
+// is dead the others may be too, and the next call would wait on one of them.
+func (c *Client) noResponseError(op operation, maybeSent bool, err error) *store.Error {
 	outcome := store.Refused
-	if sent {
+	if maybeSent {
 		c.transport.CloseIdleConnections()
-		if k.write {
+		if op.write {
 			outcome = store.Unknown
 		}
 	}
-	return failure(k, store.Unavailable, outcome, err)
+	return newError(op, store.Unavailable, outcome, err)
 }
 
-// refusal reads the gateway's error. Only codes that the service gives before it
-// takes a write in prove that the write had no effect.
-func refusal(k call, status int, raw []byte) *store.Error {
-	var e etcdjson.Error
-	_ = json.Unmarshal(raw, &e) // a body that isn't the gateway's leaves code 0
-	cause := errors.Errorf("status %d code %d: %s", status, e.Code, e.Message)
-	switch e.Code {
+// responseError converts an error response of the gateway. Only the codes that the
+// service returns before it processes a write prove that the write had no effect.
+func responseError(op operation, status int, raw []byte) *store.Error {
+	var apiErr etcdjson.Error
+	_ = json.Unmarshal(raw, &apiErr) // code stays 0 if the body is not the gateway's
+	cause := errors.Errorf("status %d code %d: %s", status, apiErr.Code, apiErr.Message)
+	switch apiErr.Code {
 	case etcdjson.CodeNotFound:
-		return failure(k, store.LeaseNotFound, store.Refused, cause)
+		return newError(op, store.LeaseNotFound, store.Refused, cause)
 	case etcdjson.CodeOutOfRange:
-		return failure(k, store.Compacted, store.Refused, cause)
+		return newError(op, store.Compacted, store.Refused, cause)
 	case etcdjson.CodeInvalidArgument, etcdjson.CodePermissionDenied, etcdjson.CodeFailedPrecond,
 		etcdjson.CodeUnimplemented, etcdjson.CodeUnauthenticated:
-		return failure(k, store.Invalid, store.Refused, cause)
+		return newError(op, store.Invalid, store.Refused, cause)
 	case etcdjson.CodeResourceExhausted:
-		return failure(k, store.Unavailable, store.Refused, cause)
+		return newError(op, store.Unavailable, store.Refused, cause)
 	}
 	outcome := store.Refused
-	if k.write {
+	if op.write {
 		outcome = store.Unknown
 	}
-	return failure(k, store.Unavailable, outcome, cause)
+	return newError(op, store.Unavailable, outcome, cause)
 }
 
-func failure(k call, kind store.ErrorKind, outcome store.Outcome, err error) *store.Error {
-	return &store.Error{Kind: kind, Outcome: outcome, Op: k.op, Err: err}
+func newError(op operation, kind store.ErrorKind, outcome store.Outcome, err error) *store.Error {
+	return &store.Error{Kind: kind, Outcome: outcome, Op: op.name, Err: err}
 }
--- a/internal/store/etcdgw/etcdgw_test.go
+++ b/internal/store/etcdgw/etcdgw_test.go
@@ -22,7 +22,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/storetest"
 )
 
-// shortTimeout is for calls that are meant to time out.
+// shortTimeout is for calls that are expected to time out.
 const shortTimeout = 50 * time.Millisecond
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -36,15 +36,15 @@
 	return p, srv.URL
 }
 
-func open(t *testing.T, opts etcdgw.Options) *etcdgw.Client {
+func newClient(t *testing.T, opts etcdgw.Options) *etcdgw.Client {
 	t.Helper()
 	c := etcdgw.New(opts)
 	t.Cleanup(c.Close)
 	return c
 }
 
-// deadEndpoint is an address that nobody listens on.
-func deadEndpoint(t *testing.T) string {
+// unreachableEndpoint returns the URL of a port without a listener.
+func unreachableEndpoint(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -55,7 +55,7 @@
 func TestConformance(t *testing.T) {
 	storetest.Run(t, func(t *testing.T) store.Store {
 		_, url := startPlatform(t)
-		return open(t, etcdgw.Options{Endpoints: []string{url}})
+		return newClient(t, etcdgw.Options{Endpoints: []string{url}})
 	})
 }
 
@@ -65,23 +65,23 @@
 
 func requireOutcome(t *testing.T, err error, want store.Outcome) {
 	t.Helper()
-	failure, ok := errors.Into[*store.Error](err)
+	storeErr, ok := errors.Into[*store.Error](err)
 	require.True(t, ok, "%v", err)
-	require.Equal(t, store.Unavailable, failure.Kind, "%v", err)
-	require.Equal(t, want, failure.Outcome, "%v", err)
+	require.Equal(t, store.Unavailable, storeErr.Kind, "%v", err)
+	require.Equal(t, want, storeErr.Outcome, "%v", err)
 }
 
-// The platform's service fails in several ways, and a write's caller must learn
-// whether it may have taken effect. A driver that called a lost answer
-// "refused" would let a deposit be charged twice.
-func TestOutcomeOfAFailedWrite(t *testing.T) {
+// Whichever way the service fails, the caller of a write must learn whether the
+// write may have taken effect. If a driver reported a lost response as Refused, the
+// caller would repeat the write, and a deposit could be charged twice.
+func TestFailedWriteOutcome(t *testing.T) {
 	cases := []struct {
 		name    string
 		faults  platform.Faults
 		outcome store.Outcome
 		applied bool
 	}{
-		{"answer lost", platform.Faults{Store: memstore.Faults{LoseAnswers: 1}}, store.Unknown, true},
+		{"response lost", platform.Faults{Store: memstore.Faults{LoseAnswers: 1}}, store.Unknown, true},
 		{"write lost", platform.Faults{Store: memstore.Faults{DropWrites: 1}}, store.Unknown, false},
 		{"unavailable", platform.Faults{Store: memstore.Faults{Down: true}}, store.Unknown, false},
 		{"silent", platform.Faults{Silent: true}, store.Unknown, false},
@@ -91,7 +91,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p, url := startPlatform(t)
 			p.SetFaults(c.faults)
-			client := open(t, etcdgw.Options{Endpoints: []string{url}, Timeout: shortTimeout})
+			client := newClient(t, etcdgw.Options{Endpoints: []string{url}, Timeout: shortTimeout})
 			_, err := client.Txn(t.Context(), putTxn())
 			requireOutcome(t, err, c.outcome)
 			p.SetFaults(platform.Faults{})
@@ -100,59 +100,59 @@
 			require.Equal(t, c.applied, kv != nil)
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
-		client := open(t, etcdgw.Options{Endpoints: []string{deadEndpoint(t)}})
+	t.Run("connection refused", func(t *testing.T) {
+		client := newClient(t, etcdgw.Options{Endpoints: []string{unreachableEndpoint(t)}})
 		_, err := client.Txn(t.Context(), putTxn())
 		requireOutcome(t, err, store.Refused)
 	})
-	t.Run("unreadable answer", func(t *testing.T) {
+	t.Run("truncated response body", func(t *testing.T) {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, `{"succeeded":`)
 		}))
 		t.Cleanup(srv.Close)
-		client := open(t, etcdgw.Options{Endpoints: []string{srv.URL}})
+		client := newClient(t, etcdgw.Options{Endpoints: []string{srv.URL}})
 		_, err := client.Txn(t.Context(), putTxn())
 		requireOutcome(t, err, store.Unknown)
 	})
 }
 
-// One endpoint of the service is lost. Calls that certainly had no effect go to
-// another endpoint, and callers notice nothing; a write that may have taken
-// effect must not be sent again.
-func TestOtherEndpoints(t *testing.T) {
-	t.Run("a write goes on where nobody listened", func(t *testing.T) {
+// When one endpoint fails, calls that certainly had no effect are retried on another
+// endpoint without an error to the caller. A write that may have taken effect must
+// not be retried.
+func TestEndpointFailover(t *testing.T) {
+	t.Run("a write fails over from an unreachable endpoint", func(t *testing.T) {
 		_, url := startPlatform(t)
-		client := open(t, etcdgw.Options{Endpoints: []string{deadEndpoint(t), url}})
+		client := newClient(t, etcdgw.Options{Endpoints: []string{unreachableEndpoint(t), url}})
 		storetest.Put(t, client, "/k", "1")
 	})
-	t.Run("a lost write is not sent again", func(t *testing.T) {
+	t.Run("a write with unknown outcome is not retried", func(t *testing.T) {
 		first, firstURL := startPlatform(t)
 		second, secondURL := startPlatform(t)
 		first.SetFaults(platform.Faults{Store: memstore.Faults{DropWrites: 1}})
-		client := open(t, etcdgw.Options{Endpoints: []string{firstURL, secondURL}})
+		client := newClient(t, etcdgw.Options{Endpoints: []string{firstURL, secondURL}})
 		_, err := client.Txn(t.Context(), putTxn())
 		requireOutcome(t, err, store.Unknown)
 		require.Zero(t, second.Calls()[string(memstore.KindTxn)])
 	})
-	t.Run("a read goes on after silence", func(t *testing.T) {
+	t.Run("a read fails over from a silent endpoint", func(t *testing.T) {
 		silent, silentURL := startPlatform(t)
 		silent.SetFaults(platform.Faults{Silent: true})
 		good, goodURL := startPlatform(t)
 		storetest.Put(t, good.Store(), "/k", "1")
-		client := open(t, etcdgw.Options{Endpoints: []string{silentURL, goodURL}, Timeout: 10 * shortTimeout})
+		client := newClient(t, etcdgw.Options{Endpoints: []string{silentURL, goodURL}, Timeout: 10 * shortTimeout})
 		kv, _, err := client.Get(t.Context(), "/k")
 		require.NoError(t, err)
 		require.Equal(t, "1", string(kv.Value))
 	})
 }
 
-// A middlebox forgets the connection of a watch: it stays open and brings
-// nothing. Without the idle bound the node would keep its old rules for good
-// while the operators see their change accepted.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+// A middlebox drops the state of a watch's connection, which stays open but delivers
+// nothing. Without the idle timeout the node would keep outdated rules indefinitely
+// although the operators' change was accepted.
+func TestIdleWatchIsReopened(t *testing.T) {
 	p, url := startPlatform(t)
 	var opened atomic.Int64
-	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	proxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if opened.Add(1) > 1 {
 			p.Handler().ServeHTTP(w, r)
 			return
@@ -162,19 +162,19 @@
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	}))
-	t.Cleanup(front.Close)
-	client := open(t, etcdgw.Options{Endpoints: []string{front.URL}, WatchIdleTimeout: shortTimeout})
+	t.Cleanup(proxy.Close)
+	client := newClient(t, etcdgw.Options{Endpoints: []string{proxy.URL}, WatchIdleTimeout: shortTimeout})
 	ch, err := client.Watch(t.Context(), "/", 0)
 	require.NoError(t, err)
-	storetest.Put(t, open(t, etcdgw.Options{Endpoints: []string{url}}), "/k", "1")
+	storetest.Put(t, newClient(t, etcdgw.Options{Endpoints: []string{url}}), "/k", "1")
 	batch := <-ch
 	require.NoError(t, batch.Err)
 	require.Equal(t, "/k", batch.Events[0].KV.Key)
 }
 
-func TestWatchFailures(t *testing.T) {
+func TestWatchErrors(t *testing.T) {
 	p, url := startPlatform(t)
-	client := open(t, etcdgw.Options{Endpoints: []string{url}})
+	client := newClient(t, etcdgw.Options{Endpoints: []string{url}})
 	first := storetest.Put(t, client, "/k", "1")
 
 	ch, err := client.Watch(t.Context(), "/", 0)
@@ -188,9 +188,9 @@
 	p.Store().Compact(storetest.Put(t, client, "/k", "2"))
 	ch, err = client.Watch(t.Context(), "/", first)
 	require.NoError(t, err)
-	failure, ok := errors.Into[*store.Error]((<-ch).Err)
+	storeErr, ok := errors.Into[*store.Error]((<-ch).Err)
 	require.True(t, ok)
-	require.Equal(t, store.Compacted, failure.Kind)
+	require.Equal(t, store.Compacted, storeErr.Kind)
 }
 
 func TestTLSAndToken(t *testing.T) {
@@ -207,14 +207,14 @@
 	roots := x509.NewCertPool()
 	roots.AddCert(srv.Certificate())
 	good := etcdgw.Options{Endpoints: []string{srv.URL}, TLS: &tls.Config{RootCAs: roots}, Token: "secret"}
-	storetest.Put(t, open(t, good), "/k", "1")
+	storetest.Put(t, newClient(t, good), "/k", "1")
 
 	bad := good
 	bad.TLS = good.TLS.Clone()
 	bad.Token = "wrong"
-	_, err := open(t, bad).Txn(t.Context(), putTxn())
-	failure, ok := errors.Into[*store.Error](err)
+	_, err := newClient(t, bad).Txn(t.Context(), putTxn())
+	storeErr, ok := errors.Into[*store.Error](err)
 	require.True(t, ok)
-	require.Equal(t, store.Invalid, failure.Kind)
-	require.Equal(t, store.Refused, failure.Outcome)
+	require.Equal(t, store.Invalid, storeErr.Kind)
+	require.Equal(t, store.Refused, storeErr.Outcome)
 }
--- a/internal/store/etcdgw/watch.go
+++ b/internal/store/etcdgw/watch.go
@@ -12,16 +12,16 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/etcdjson"
 )
 
-// errIdle ends a stream that brought nothing for too long.
-var errIdle = errors.New("watch brought nothing for too long")
+// errWatchIdle ends a stream that received nothing within the idle timeout.
+var errWatchIdle = errors.New("watch idle timeout exceeded")
 
 // Watch implements store.Store. It returns once the service has confirmed the
-// watch, so that every later change is seen.
+// watch, so that no later change is missed.
 //
-// A watch whose connection has gone silent looks like one on which nothing
-// happens, and its node would keep old rules for good. So after Options.WatchIdle
-// without a byte the watch is opened anew, from the next revision, on a fresh
-// connection.
+// A watch on a dead connection cannot be told from one without changes, and its
+// node would keep outdated rules indefinitely. The watch is therefore reopened at
+// the next revision, on a new connection, if no message arrives for
+// Options.WatchIdleTimeout.
 func (c *Client) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
 	w := &watcher{client: c, prefix: prefix, next: from, out: make(chan store.WatchBatch)}
 	stream, err := w.open(ctx)
@@ -41,7 +41,7 @@
 
 // stream is one open watch request.
 type stream struct {
-	answer *http.Response
+	resp   *http.Response
 	dec    *json.Decoder
 	cancel context.CancelFunc
 	idle   *time.Timer
@@ -50,18 +50,18 @@
 func (s *stream) close() {
 	s.idle.Stop()
 	s.cancel()
-	_ = s.answer.Body.Close()
+	_ = s.resp.Body.Close()
 }
 
 func (w *watcher) run(ctx context.Context, s *stream) {
 	defer close(w.out)
 	for {
-		err := w.follow(ctx, s)
+		err := w.receive(ctx, s)
 		s.close()
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errIdle) {
+		if errors.Is(err, errWatchIdle) {
 			s, err = w.open(ctx)
 		}
 		if err != nil {
@@ -78,15 +78,15 @@
 	}
 }
 
-// open tries the endpoints in turn; a watch changes nothing, so that is safe.
+// open tries the endpoints in turn, which is safe because a watch does not modify the store.
 func (w *watcher) open(ctx context.Context) (*stream, error) {
 	c := w.client
-	first := c.preferred.Load()
-	err := failure(callWatch, store.Invalid, store.Refused, errors.New("no endpoints"))
+	start := c.preferred.Load()
+	err := newError(opWatch, store.Invalid, store.Refused, errors.New("no endpoints"))
 	for i := range int64(len(c.endpoints)) {
-		at := (first + i) % int64(len(c.endpoints))
+		index := (start + i) % int64(len(c.endpoints))
 		var s *stream
-		s, err = w.openAt(ctx, c.endpoints[at])
+		s, err = w.openAt(ctx, c.endpoints[index])
 		if err == nil {
 			return s, nil
 		}
@@ -105,37 +105,37 @@
 		ProgressNotify: true,
 	}})
 	if err != nil {
-		return nil, failure(callWatch, store.Invalid, store.Refused, err)
+		return nil, newError(opWatch, store.Invalid, store.Refused, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	idle := time.AfterFunc(w.client.timeout, cancel)
-	answer, sent, err := w.client.post(ctx, callWatch, endpoint, body)
+	resp, maybeSent, err := w.client.post(ctx, opWatch, endpoint, body)
 	if err != nil {
 		idle.Stop()
 		cancel()
-		return nil, w.client.unanswered(callWatch, sent, err)
+		return nil, w.client.noResponseError(opWatch, maybeSent, err)
 	}
-	s := &stream{answer: answer, dec: json.NewDecoder(answer.Body), cancel: cancel, idle: idle}
-	if failed := w.confirm(s); failed != nil {
+	s := &stream{resp: resp, dec: json.NewDecoder(resp.Body), cancel: cancel, idle: idle}
+	if createErr := w.awaitCreated(s); createErr != nil {
 		s.close()
-		return nil, failed
+		return nil, createErr
 	}
 	return s, nil
 }
 
-// confirm reads the first message of a watch, which says that it was created.
-func (w *watcher) confirm(s *stream) *store.Error {
-	if s.answer.StatusCode != http.StatusOK {
+// awaitCreated reads the first message of a watch, which reports that it was created.
+func (w *watcher) awaitCreated(s *stream) *store.Error {
+	if s.resp.StatusCode != http.StatusOK {
 		var raw json.RawMessage
 		_ = s.dec.Decode(&raw)
-		return refusal(callWatch, s.answer.StatusCode, raw)
+		return responseError(opWatch, s.resp.StatusCode, raw)
 	}
 	var msg etcdjson.WatchResult
 	if err := s.dec.Decode(&msg); err != nil {
-		return w.client.unanswered(callWatch, true, err)
+		return w.client.noResponseError(opWatch, true, err)
 	}
 	if !msg.Result.Created || msg.Result.Canceled {
-		return watchEnd(&msg)
+		return watchEndError(&msg)
 	}
 	if w.next == 0 {
 		w.next = int64(msg.Result.Header.Revision) + 1
@@ -143,23 +143,23 @@
 	return nil
 }
 
-// follow passes on the stream's events until it fails.
-func (w *watcher) follow(ctx context.Context, s *stream) error {
+// receive forwards the stream's events until the stream fails.
+func (w *watcher) receive(ctx context.Context, s *stream) error {
 	for {
 		s.idle.Reset(w.client.watchIdle)
 		var msg etcdjson.WatchResult
 		if err := s.dec.Decode(&msg); err != nil {
 			if !s.idle.Stop() {
-				return errIdle
+				return errWatchIdle
 			}
-			return w.client.unanswered(callWatch, true, err)
+			return w.client.noResponseError(opWatch, true, err)
 		}
-		// A consumer may be slow; that isn't the connection's silence.
+		// The timer stops here so that a slow consumer does not count as an idle connection.
 		if !s.idle.Stop() {
-			return errIdle
+			return errWatchIdle
 		}
 		if msg.Error != nil || msg.Result.Canceled {
-			return watchEnd(&msg)
+			return watchEndError(&msg)
 		}
 		batch := toBatch(&msg.Result)
 		w.next = max(w.next, batch.Revision+1)
@@ -169,9 +169,9 @@
 	}
 }
 
-// toBatch converts a message. The header's revision may be ahead of events that
-// a watch that is catching up has yet to bring, so a batch with events brings
-// the watcher only to the last of these.
+// toBatch converts a message. While a watch is catching up, the header's revision
+// may be ahead of events still to come, so the revision of a batch with events is
+// that of its last event.
 func toBatch(res *etcdjson.WatchResponse) store.WatchBatch {
 	batch := store.WatchBatch{Revision: int64(res.Header.Revision)}
 	if n := len(res.Events); n > 0 {
@@ -187,14 +187,14 @@
 	return batch
 }
 
-// watchEnd is the failure with which the service ended a watch.
-func watchEnd(msg *etcdjson.WatchResult) *store.Error {
+// watchEndError returns the error with which the service ended a watch.
+func watchEndError(msg *etcdjson.WatchResult) *store.Error {
 	if msg.Result.CompactRevision > 0 {
-		return failure(callWatch, store.Compacted, store.Refused, errors.New(msg.Result.CancelReason))
+		return newError(opWatch, store.Compacted, store.Refused, errors.New(msg.Result.CancelReason))
 	}
 	reason := msg.Result.CancelReason
 	if msg.Error != nil {
 		reason = msg.Error.Message
 	}
-	return failure(callWatch, store.Unavailable, store.Refused, errors.New("watch ended: "+reason))
+	return newError(opWatch, store.Unavailable, store.Refused, errors.New("watch ended: "+reason))
 }
--- a/internal/store/etcdjson/etcdjson.go
+++ b/internal/store/etcdjson/etcdjson.go
@@ -1,6 +1,6 @@
-// Package etcdjson holds the messages of the published etcd v3 JSON gateway as
-// far as the project uses them. Keys and values are base64, 64-bit integers are
-// strings, and zero values are left out.
+// Package etcdjson defines the messages of the etcd v3 JSON gateway that the project
+// uses. Keys and values are base64, 64-bit integers are strings, and zero values
+// are omitted.
 package etcdjson
 
 import (
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Paths of the gateway.
+// Paths and other fixed strings of the gateway.
 const (
 	PathRange      = "/v3/kv/range"
 	PathPut        = "/v3/kv/put"
@@ -28,7 +28,7 @@
 	MessageNoLease = "etcdserver: requested lease not found"
 )
 
-// gRPC status codes that the gateway puts in Error.Code.
+// gRPC status codes that the gateway returns in Error.Code.
 const (
 	CodeInvalidArgument   = 3
 	CodeNotFound          = 5
@@ -41,7 +41,7 @@
 	CodeUnauthenticated   = 16
 )
 
-// Int64 is written as a string and read from a string or a number.
+// Int64 is marshaled as a string and unmarshaled from a string or a number.
 type Int64 int64
 
 // MarshalJSON implements json.Marshaler.
@@ -59,12 +59,12 @@
 	return nil
 }
 
-// Header comes with every answer.
+// Header is part of every response.
 type Header struct {
 	Revision Int64 `json:"revision,omitempty"`
 }
 
-// KV is one key as stored.
+// KV is a stored key with its value and metadata.
 type KV struct {
 	Key            []byte `json:"key,omitempty"`
 	CreateRevision Int64  `json:"create_revision,omitempty"`
@@ -74,7 +74,7 @@
 	Lease          Int64  `json:"lease,omitempty"`
 }
 
-// RangeRequest reads one key, or with RangeEnd the keys from Key up to it.
+// RangeRequest reads one key or, if RangeEnd is set, the keys in [Key, RangeEnd).
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
@@ -83,7 +83,7 @@
 	KeysOnly bool   `json:"keys_only,omitempty"`
 }
 
-// RangeResponse answers RangeRequest.
+// RangeResponse is the response to RangeRequest.
 type RangeResponse struct {
 	Header Header `json:"header"`
 	KVs    []KV   `json:"kvs,omitempty"`
@@ -98,17 +98,17 @@
 	Lease Int64  `json:"lease,omitempty"`
 }
 
-// PutResponse answers PutRequest.
+// PutResponse is the response to PutRequest.
 type PutResponse struct {
 	Header Header `json:"header"`
 }
 
-// DeleteRequest removes one key.
+// DeleteRequest deletes one key.
 type DeleteRequest struct {
 	Key []byte `json:"key"`
 }
 
-// DeleteResponse answers DeleteRequest.
+// DeleteResponse is the response to DeleteRequest.
 type DeleteResponse struct {
 	Header  Header `json:"header"`
 	Deleted Int64  `json:"deleted,omitempty"`
@@ -131,7 +131,7 @@
 	Delete *DeleteRequest `json:"request_delete_range,omitempty"`
 }
 
-// ResponseOp answers one RequestOp.
+// ResponseOp is the response to one RequestOp.
 type ResponseOp struct {
 	Range  *RangeResponse  `json:"response_range,omitempty"`
 	Put    *PutResponse    `json:"response_put,omitempty"`
@@ -145,42 +145,43 @@
 	Failure []RequestOp `json:"failure,omitempty"`
 }
 
-// TxnResponse answers TxnRequest.
+// TxnResponse is the response to TxnRequest.
 type TxnResponse struct {
 	Header    Header       `json:"header"`
 	Succeeded bool         `json:"succeeded,omitempty"`
 	Responses []ResponseOp `json:"responses,omitempty"`
 }
 
-// LeaseGrantRequest makes a lease of TTL seconds; the service picks the id.
+// LeaseGrantRequest creates a lease of TTL seconds; the service chooses its ID.
 type LeaseGrantRequest struct {
 	TTL Int64 `json:"TTL"`
 }
 
-// LeaseRequest names a lease, for keepalive and revoke.
+// LeaseRequest identifies the lease to keep alive or revoke.
 type LeaseRequest struct {
 	ID Int64 `json:"ID"`
 }
 
-// LeaseResponse answers the lease calls; a TTL of zero means that the lease is gone.
+// LeaseResponse is the response to the lease requests; a TTL of zero means that the lease
+// no longer exists.
 type LeaseResponse struct {
 	Header Header `json:"header"`
 	ID     Int64  `json:"ID,omitempty"`
 	TTL    Int64  `json:"TTL,omitempty"`
 }
 
-// KeepAliveResult wraps the answer to a keepalive, which is a stream of one.
+// KeepAliveResult wraps the response to a keepalive, which is a stream of one message.
 type KeepAliveResult struct {
 	Result LeaseResponse `json:"result"`
 	Error  *Error        `json:"error,omitempty"`
 }
 
-// WatchRequest opens a watch.
+// WatchRequest creates a watch.
 type WatchRequest struct {
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate says what to watch and from where.
+// WatchCreate is the key range to watch and the revision to start from.
 type WatchCreate struct {
 	Key            []byte `json:"key"`
 	RangeEnd       []byte `json:"range_end,omitempty"`
@@ -188,13 +189,13 @@
 	ProgressNotify bool   `json:"progress_notify,omitempty"`
 }
 
-// WatchResult is one message of a watch's stream.
+// WatchResult is one message of a watch stream.
 type WatchResult struct {
 	Result WatchResponse `json:"result"`
 	Error  *Error        `json:"error,omitempty"`
 }
 
-// WatchResponse carries events, or says that the watch was created or canceled.
+// WatchResponse carries events, or reports that the watch was created or canceled.
 type WatchResponse struct {
 	Header          Header  `json:"header"`
 	Created         bool    `json:"created,omitempty"`
@@ -210,14 +211,14 @@
 	KV   KV     `json:"kv"`
 }
 
-// Error is the body of every failed call. Inside a stream only some of the
-// fields are set.
+// Error is the body of every failed response. In a stream, only some of the fields
+// are set.
 type Error struct {
 	Code    int    `json:"code,omitempty"`
 	Message string `json:"message,omitempty"`
 }
 
-// PrefixEnd returns the range_end that covers all keys with the prefix.
+// PrefixEnd returns the range_end of the range that contains all keys with the prefix.
 func PrefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/internal/store/memstore/faults.go
+++ b/internal/store/memstore/faults.go
@@ -12,7 +12,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Kind names a kind of call, as counted by Calls.
+// Kind is a kind of store call, as counted by Calls.
 type Kind string
 
 // Kinds of calls.
@@ -26,28 +26,28 @@
 	KindWatch     Kind = "watch"
 )
 
-// Faults are the switches of the store. The zero value is a healthy store.
+// Faults selects the faults to inject. The zero value injects none.
 type Faults struct {
-	// Down refuses every call, without effect, and ends the watches.
+	// Down fails every call without effect and ends all watches.
 	Down bool `json:"down,omitempty"`
-	// DownUnknown makes the writes refused by Down look unknown, as a
-	// connection that is cut before the answer does.
+	// DownUnknown reports the outcome of writes that Down fails as Unknown, as
+	// happens when the connection breaks before the response.
 	DownUnknown bool `json:"down_unknown,omitempty"`
-	// Delay holds every call back before it takes effect.
+	// Delay is how long every call waits before it takes effect.
 	Delay time.Duration `json:"delay,omitempty"`
-	// LoseAnswers is how many of the next writes take effect while their
-	// answer is lost.
+	// LoseAnswers is how many of the next writes take effect although their
+	// response is lost.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// DropWrites is how many of the next writes take no effect while the
-	// caller can't tell.
+	// DropWrites is how many of the next writes have no effect and fail with
+	// Outcome Unknown.
 	DropWrites int `json:"drop_writes,omitempty"`
 }
 
-// Action is what a Hook does to one call.
+// Action is the decision of a Hook about one call.
 type Action int
 
-// Verdicts. Refuse and DropWrite leave the store as it is; LoseAnswer lets the call take
-// effect and loses the answer.
+// Actions of a Hook. Refuse and DropWrite leave the store unchanged and return Outcome
+// Refused and Unknown; LoseAnswer applies the call and then returns Outcome Unknown.
 const (
 	Proceed Action = iota
 	Refuse
@@ -55,11 +55,11 @@
 	LoseAnswer
 )
 
-// Hook decides the fate of each call in place of the switches; txn is nil for
-// calls other than transactions. It may block.
+// Hook selects a fault for each call that Faults lets proceed; txn is nil for calls
+// other than transactions. It may block.
 type Hook func(kind Kind, txn *store.Txn) Action
 
-// errInjected is the cause of all injected failures.
+// errInjected is the cause of all injected errors.
 var errInjected = errors.New("injected fault")
 
 type faultState struct {
@@ -69,46 +69,46 @@
 	calls  map[Kind]int64
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f Faults) {
 	s.faults.mu.Lock()
 	s.faults.faults = f
 	s.faults.mu.Unlock()
 	s.mu.Lock()
-	s.wakeLocked()
+	s.notifyWatchersLocked()
 	s.mu.Unlock()
 }
 
-// SetHook installs a hook for tests that need a fault at an exact call; nil removes it.
+// SetHook installs a hook for tests that need a fault at a particular call; nil removes it.
 func (s *Store) SetHook(h Hook) {
 	s.faults.mu.Lock()
 	s.faults.hook = h
 	s.faults.mu.Unlock()
 }
 
-// Calls returns how many calls of each kind were made, failed ones too.
+// Calls returns the number of calls of each kind, including failed ones.
 func (s *Store) Calls() map[Kind]int64 {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	return maps.Clone(s.faults.calls)
 }
 
-// enter counts a call and applies the faults that come before its effect. It
-// returns in lost what the call has to fail with after taking effect.
-func (s *Store) enter(ctx context.Context, kind Kind, txn *store.Txn) (lost, err error) {
+// beginCall counts a call and injects the faults that precede its effect. A call
+// with a non-nil lostAnswer must take effect and then return that error.
+func (s *Store) beginCall(ctx context.Context, kind Kind, txn *store.Txn) (lostAnswer, err error) {
 	s.faults.mu.Lock()
 	s.faults.calls[kind]++
 	f := s.faults.faults
 	hook := s.faults.hook
 	s.faults.mu.Unlock()
-	if err := pause(ctx, kind, f.Delay); err != nil {
+	if err := waitDelay(ctx, kind, f.Delay); err != nil {
 		return nil, err
 	}
-	verdict := s.verdict(f, kind)
-	if hook != nil && verdict == Proceed {
-		verdict = hook(kind, txn)
+	action := s.injectedFault(f, kind)
+	if hook != nil && action == Proceed {
+		action = hook(kind, txn)
 	}
-	switch verdict {
+	switch action {
 	case Refuse:
 		return nil, unavailable(kind, store.Refused, errInjected)
 	case DropWrite:
@@ -119,9 +119,9 @@
 	return nil, nil
 }
 
-// pause waits; a call whose caller gives up meanwhile has had no effect, but
-// the caller of a write can't know that.
-func pause(ctx context.Context, kind Kind, d time.Duration) error {
+// waitDelay waits for d. A call whose context ends meanwhile has no effect, but its
+// outcome is Unknown because the caller of a write cannot tell.
+func waitDelay(ctx context.Context, kind Kind, d time.Duration) error {
 	clock.Pause(ctx, d)
 	if err := ctx.Err(); err != nil {
 		return unavailable(kind, store.Unknown, err)
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (s *Store) verdict(f Faults, kind Kind) Action {
+func (s *Store) injectedFault(f Faults, kind Kind) Action {
 	switch {
 	case f.Down && f.DownUnknown && isWrite(kind):
 		return DropWrite
--- a/internal/store/memstore/lease.go
+++ b/internal/store/memstore/lease.go
@@ -17,7 +17,7 @@
 
 // Grant implements store.Store.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
-	lost, err := s.enter(ctx, KindGrant, nil)
+	lostAnswer, err := s.beginCall(ctx, KindGrant, nil)
 	if err != nil {
 		return 0, err
 	}
@@ -26,14 +26,14 @@
 	s.nextLease++
 	id := s.nextLease
 	s.leases[id] = &lease{ttl: ttl, expires: s.now().Add(ttl), keys: make(map[string]struct{})}
-	s.armLocked()
+	s.resetTimerLocked()
 	s.mu.Unlock()
-	return id, lost
+	return id, lostAnswer
 }
 
 // KeepAlive implements store.Store.
 func (s *Store) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
-	if _, err := s.enter(ctx, KindKeepAlive, nil); err != nil {
+	if _, err := s.beginCall(ctx, KindKeepAlive, nil); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
@@ -44,13 +44,13 @@
 		return 0, leaseNotFound("keepalive", id)
 	}
 	l.expires = s.now().Add(l.ttl)
-	s.armLocked()
+	s.resetTimerLocked()
 	return l.ttl, nil
 }
 
 // Revoke implements store.Store.
 func (s *Store) Revoke(ctx context.Context, id store.LeaseID) error {
-	lost, err := s.enter(ctx, KindRevoke, nil)
+	lostAnswer, err := s.beginCall(ctx, KindRevoke, nil)
 	if err != nil {
 		return err
 	}
@@ -62,10 +62,10 @@
 	}
 	s.endLeaseLocked(id)
 	s.mu.Unlock()
-	return lost
+	return lostAnswer
 }
 
-// ExpireLeases deletes the keys of leases that the clock has passed.
+// ExpireLeases removes expired leases and deletes their keys.
 func (s *Store) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,19 +91,19 @@
 	s.commitLocked(next)
 }
 
-// armLocked sets the timer for the earliest expiry, so that watchers learn of it
-// without any call being made.
-func (s *Store) armLocked() {
-	if !s.ownTimers || len(s.leases) == 0 {
+// resetTimerLocked sets the timer to the earliest expiry, so that watchers are
+// notified of it without a call to the store.
+func (s *Store) resetTimerLocked() {
+	if !s.autoExpire || len(s.leases) == 0 {
 		return
 	}
-	var first time.Time
+	var earliest time.Time
 	for _, l := range s.leases {
-		if first.IsZero() || l.expires.Before(first) {
-			first = l.expires
+		if earliest.IsZero() || l.expires.Before(earliest) {
+			earliest = l.expires
 		}
 	}
-	wait := max(0, first.Sub(s.now()))
+	wait := max(0, earliest.Sub(s.now()))
 	if s.timer == nil {
 		s.timer = time.AfterFunc(wait, s.onTimer)
 		return
@@ -115,7 +115,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked()
-	s.armLocked()
+	s.resetTimerLocked()
 }
 
 func (s *Store) checkLeasesLocked(ops []store.Op) error {
@@ -143,5 +143,5 @@
 }
 
 func leaseNotFound(op string, id store.LeaseID) error {
-	return failure(op, store.LeaseNotFound, errors.Errorf("lease %d not found", id))
+	return newError(op, store.LeaseNotFound, errors.Errorf("lease %d not found", id))
 }
--- a/internal/store/memstore/memstore.go
+++ b/internal/store/memstore/memstore.go
@@ -1,8 +1,8 @@
-// Package memstore is the store.Store interface in memory, with revisions,
-// guards, leases, watches and compaction as the platform's service has them,
-// and with switches for the faults that the service shows.
+// Package memstore implements store.Store in memory, with the revisions, guards,
+// leases, watches and compaction of the platform's service and with injection of
+// the faults that the service can have.
 //
-// It serves tests directly and is the engine room of the platform's stand-in.
+// It is used directly by tests and as the backend of the simulated platform.
 package memstore
 
 import (
@@ -18,47 +18,47 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Limits of the platform's service that the memory store keeps too.
+// Limits of the platform's service that this implementation also enforces.
 const (
-	// MaxTxnOps bounds the guards, and the operations of either branch, of one transaction.
+	// MaxTxnOps limits the guards of one transaction, and the operations of each branch.
 	MaxTxnOps = 128
-	// MaxValueBytes bounds one value.
+	// MaxValueBytes limits the size of one value.
 	MaxValueBytes = 1 << 20
-	// DefaultKeepRevisions is how many past revisions stay readable.
+	// DefaultKeepRevisions is the number of past revisions that stay readable.
 	DefaultKeepRevisions = 100_000
 )
 
 // Options configures a Store. The zero value is ready for use.
 type Options struct {
-	// Now is the clock for leases. With nil, time.Now is used and leases expire
-	// by themselves; with a clock of its own, a test calls ExpireLeases.
+	// Now is the clock for leases. If nil, time.Now is used and leases expire
+	// automatically; a test that sets it must call ExpireLeases.
 	Now func() time.Time
-	// KeepRevisions bounds the history kept for watches and old reads; zero is
-	// DefaultKeepRevisions.
+	// KeepRevisions is the number of revisions retained for watches and for reads
+	// at past revisions; zero means DefaultKeepRevisions.
 	KeepRevisions int
 }
 
-// Store is a key-value service in memory. It is safe for concurrent use.
+// Store is an in-memory key-value store. It is safe for concurrent use.
 type Store struct {
-	now       func() time.Time
-	ownTimers bool
-	keep      int
+	now           func() time.Time
+	autoExpire    bool
+	keepRevisions int
 
 	mu        sync.Mutex
 	revision  int64
 	compacted int64
 	live      map[string]store.KV
-	log       []change // revisions compacted+1 .. revision, in order
+	history   []change // revisions compacted+1 .. revision, in order
 	leases    map[store.LeaseID]*lease
 	nextLease store.LeaseID
 	timer     *time.Timer
-	// changed is closed and replaced whenever watchers have something to look at.
+	// changed is closed and replaced to notify watchers.
 	changed chan struct{}
 
 	faults faultState
 }
 
-// change is one entry of the history; prev allows reads of older revisions.
+// change is an entry of the history; prev allows reads at older revisions.
 type change struct {
 	event store.Event
 	prev  *store.KV
@@ -66,23 +66,23 @@
 
 var _ store.Store = (*Store)(nil)
 
-// New returns an empty store at revision 1, as a fresh service has it.
+// New returns an empty store at revision 1, like a new etcd cluster.
 func New(opts Options) *Store {
 	s := &Store{
-		now:       opts.Now,
-		keep:      opts.KeepRevisions,
-		revision:  1,
-		compacted: 1,
-		live:      make(map[string]store.KV),
-		leases:    make(map[store.LeaseID]*lease),
-		changed:   make(chan struct{}),
+		now:           opts.Now,
+		keepRevisions: opts.KeepRevisions,
+		revision:      1,
+		compacted:     1,
+		live:          make(map[string]store.KV),
+		leases:        make(map[store.LeaseID]*lease),
+		changed:       make(chan struct{}),
 	}
 	if s.now == nil {
 		s.now = time.Now
-		s.ownTimers = true
+		s.autoExpire = true
 	}
-	if s.keep == 0 {
-		s.keep = DefaultKeepRevisions
+	if s.keepRevisions == 0 {
+		s.keepRevisions = DefaultKeepRevisions
 	}
 	s.faults.calls = make(map[Kind]int64)
 	return s
@@ -90,7 +90,7 @@
 
 // Get implements store.Store.
 func (s *Store) Get(ctx context.Context, key string) (*store.KV, int64, error) {
-	if _, err := s.enter(ctx, KindGet, nil); err != nil {
+	if _, err := s.beginCall(ctx, KindGet, nil); err != nil {
 		return nil, 0, err
 	}
 	s.mu.Lock()
@@ -110,7 +110,7 @@
 
 // Range implements store.Store.
 func (s *Store) Range(ctx context.Context, prefix string, opts store.RangeOptions) (store.RangeResult, error) {
-	if _, err := s.enter(ctx, KindRange, nil); err != nil {
+	if _, err := s.beginCall(ctx, KindRange, nil); err != nil {
 		return store.RangeResult{}, err
 	}
 	s.mu.Lock()
@@ -118,7 +118,7 @@
 	s.expireLocked()
 	view := s.live
 	if opts.Revision != 0 && opts.Revision != s.revision {
-		past, err := s.viewAtLocked(opts.Revision)
+		past, err := s.snapshotAtLocked(opts.Revision)
 		if err != nil {
 			return store.RangeResult{}, err
 		}
@@ -147,17 +147,17 @@
 	return res, nil
 }
 
-// viewAtLocked rebuilds the keys as of an older revision by undoing the log.
-func (s *Store) viewAtLocked(revision int64) (map[string]store.KV, error) {
+// snapshotAtLocked reconstructs the keys at an older revision by undoing the history.
+func (s *Store) snapshotAtLocked(revision int64) (map[string]store.KV, error) {
 	if revision < s.compacted {
-		return nil, failure("range", store.Compacted, errors.Errorf("revision %d is compacted", revision))
+		return nil, newError("range", store.Compacted, errors.Errorf("revision %d is compacted", revision))
 	}
 	if revision > s.revision {
-		return nil, failure("range", store.Invalid, errors.Errorf("revision %d is in the future", revision))
+		return nil, newError("range", store.Invalid, errors.Errorf("revision %d is in the future", revision))
 	}
 	view := maps.Clone(s.live)
-	for i := len(s.log) - 1; i >= 0 && s.log[i].event.KV.ModRevision > revision; i-- {
-		c := s.log[i]
+	for i := len(s.history) - 1; i >= 0 && s.history[i].event.KV.ModRevision > revision; i-- {
+		c := s.history[i]
 		if c.prev == nil {
 			delete(view, c.event.KV.Key)
 		} else {
@@ -169,7 +169,7 @@
 
 // Txn implements store.Store.
 func (s *Store) Txn(ctx context.Context, txn store.Txn) (store.TxnResult, error) {
-	lost, err := s.enter(ctx, KindTxn, &txn)
+	lostAnswer, err := s.beginCall(ctx, KindTxn, &txn)
 	if err != nil {
 		return store.TxnResult{}, err
 	}
@@ -177,7 +177,7 @@
 	if err != nil {
 		return store.TxnResult{}, err
 	}
-	return res, lost
+	return res, lostAnswer
 }
 
 func (s *Store) apply(txn store.Txn) (store.TxnResult, error) {
@@ -187,7 +187,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked()
-	res := store.TxnResult{Succeeded: s.holdLocked(txn.Guards)}
+	res := store.TxnResult{Succeeded: s.guardsHoldLocked(txn.Guards)}
 	ops := txn.Then
 	if !res.Succeeded {
 		ops = txn.Else
@@ -211,26 +211,26 @@
 	return res, nil
 }
 
-// validate refuses what the platform's service refuses, so that a caller meets
-// the limits in its tests.
+// validate enforces the limits of the platform's service, so that tests detect
+// transactions that exceed them.
 func validate(txn store.Txn) error {
 	if max(len(txn.Guards), len(txn.Then), len(txn.Else)) > MaxTxnOps {
-		return failure("txn", store.Invalid, errors.New("too many operations in one transaction"))
+		return newError("txn", store.Invalid, errors.New("too many guards or operations in one transaction"))
 	}
 	for _, ops := range [][]store.Op{txn.Then, txn.Else} {
 		written := make(map[string]bool, len(ops))
 		for _, op := range ops {
 			if op.Key == "" {
-				return failure("txn", store.Invalid, errors.New("empty key"))
+				return newError("txn", store.Invalid, errors.New("empty key"))
 			}
 			if len(op.Value) > MaxValueBytes {
-				return failure("txn", store.Invalid, errors.Errorf("value of %d bytes is too large", len(op.Value)))
+				return newError("txn", store.Invalid, errors.Errorf("value of %d bytes is too large", len(op.Value)))
 			}
 			if op.Kind == store.OpGet {
 				continue
 			}
 			if written[op.Key] {
-				return failure("txn", store.Invalid, errors.Errorf("key %q is written twice", op.Key))
+				return newError("txn", store.Invalid, errors.Errorf("key %q is written twice", op.Key))
 			}
 			written[op.Key] = true
 		}
@@ -238,9 +238,9 @@
 	return nil
 }
 
-func (s *Store) holdLocked(guards []store.Guard) bool {
+func (s *Store) guardsHoldLocked(guards []store.Guard) bool {
 	for _, g := range guards {
-		kv := s.live[g.Key] // the zero KV of an absent key has all revisions 0
+		kv := s.live[g.Key] // the revisions of an absent key are zero
 		var have int64
 		switch g.Target {
 		case store.GuardCreateRevision:
@@ -274,7 +274,7 @@
 	}
 	s.attachLocked(op.Lease, op.Key)
 	s.live[op.Key] = kv
-	s.log = append(s.log, change{event: store.Event{Type: store.EventPut, KV: kv}, prev: prev})
+	s.history = append(s.history, change{event: store.Event{Type: store.EventPut, KV: kv}, prev: prev})
 }
 
 func (s *Store) deleteLocked(key string, revision int64) {
@@ -284,8 +284,8 @@
 	}
 	s.detachLocked(prev.Lease, key)
 	delete(s.live, key)
-	gone := store.KV{Key: key, ModRevision: revision}
-	s.log = append(s.log, change{event: store.Event{Type: store.EventDelete, KV: gone}, prev: prev})
+	tombstone := store.KV{Key: key, ModRevision: revision}
+	s.history = append(s.history, change{event: store.Event{Type: store.EventDelete, KV: tombstone}, prev: prev})
 }
 
 func (s *Store) prevLocked(key string) *store.KV {
@@ -296,26 +296,26 @@
 	return &kv
 }
 
-// commitLocked makes the changes logged under revision visible; a transaction
-// that changed nothing uses up no revision.
+// commitLocked publishes the changes recorded at revision. A transaction without
+// changes does not consume a revision.
 func (s *Store) commitLocked(revision int64) {
-	if len(s.log) == 0 || s.log[len(s.log)-1].event.KV.ModRevision != revision {
+	if len(s.history) == 0 || s.history[len(s.history)-1].event.KV.ModRevision != revision {
 		return
 	}
 	s.revision = revision
-	if excess := s.revision - s.compacted - int64(s.keep); excess > int64(s.keep)/4 {
-		s.compactLocked(s.revision - int64(s.keep))
+	if excess := s.revision - s.compacted - int64(s.keepRevisions); excess > int64(s.keepRevisions)/4 {
+		s.compactLocked(s.revision - int64(s.keepRevisions))
 	}
-	s.wakeLocked()
+	s.notifyWatchersLocked()
 }
 
-// Compact forgets the history up to revision; watches and reads from before it
+// Compact discards the history up to revision. Watches and reads from before it
 // then fail with kind Compacted.
 func (s *Store) Compact(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compactLocked(min(revision, s.revision))
-	s.wakeLocked()
+	s.notifyWatchersLocked()
 }
 
 func (s *Store) compactLocked(revision int64) {
@@ -323,30 +323,30 @@
 		return
 	}
 	s.compacted = revision
-	s.log = slices.Clone(s.log[s.logIndexLocked(revision+1):])
+	s.history = slices.Clone(s.history[s.historyIndexLocked(revision+1):])
 }
 
-// logIndexLocked finds the first entry of the log with at least this revision.
-func (s *Store) logIndexLocked(revision int64) int {
-	i, _ := slices.BinarySearchFunc(s.log, revision, func(c change, want int64) int {
+// historyIndexLocked returns the index of the first history entry with at least this revision.
+func (s *Store) historyIndexLocked(revision int64) int {
+	i, _ := slices.BinarySearchFunc(s.history, revision, func(c change, want int64) int {
 		return int(c.event.KV.ModRevision - want)
 	})
 	return i
 }
 
-func (s *Store) wakeLocked() {
+func (s *Store) notifyWatchersLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Revision returns the newest revision; it isn't counted as a call.
+// Revision returns the latest revision. It is not counted in Calls.
 func (s *Store) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Size returns the number of live keys and the bytes of their keys and values.
+// Size returns the number of keys and the total bytes of keys and values.
 func (s *Store) Size() (keys, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -365,6 +365,6 @@
 	}
 }
 
-func failure(op string, kind store.ErrorKind, err error) *store.Error {
+func newError(op string, kind store.ErrorKind, err error) *store.Error {
 	return &store.Error{Kind: kind, Outcome: store.Refused, Op: op, Err: err}
 }
--- a/internal/store/memstore/memstore_test.go
+++ b/internal/store/memstore/memstore_test.go
@@ -28,20 +28,20 @@
 		storetest.Put(t, s, "/k", "x")
 	}
 	_, err := s.Range(t.Context(), "/", store.RangeOptions{Revision: first})
-	failure, ok := errors.Into[*store.Error](err)
+	storeErr, ok := errors.Into[*store.Error](err)
 	require.True(t, ok)
-	require.Equal(t, store.Compacted, failure.Kind)
+	require.Equal(t, store.Compacted, storeErr.Kind)
 
 	ch, err := s.Watch(t.Context(), "/", first)
 	require.NoError(t, err)
-	failure, ok = errors.Into[*store.Error]((<-ch).Err)
+	storeErr, ok = errors.Into[*store.Error]((<-ch).Err)
 	require.True(t, ok)
-	require.Equal(t, store.Compacted, failure.Kind)
+	require.Equal(t, store.Compacted, storeErr.Kind)
 	_, open := <-ch
 	require.False(t, open)
 }
 
-func TestFaultSwitches(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	put := store.Txn{Then: []store.Op{store.Put("/k", []byte("1"), 0)}}
 	cases := []struct {
 		name    string
@@ -50,19 +50,19 @@
 		applied bool
 	}{
 		{"down", memstore.Faults{Down: true}, store.Refused, false},
-		{"down, seen as a cut connection", memstore.Faults{Down: true, DownUnknown: true}, store.Unknown, false},
+		{"down with unknown outcome", memstore.Faults{Down: true, DownUnknown: true}, store.Unknown, false},
 		{"write dropped", memstore.Faults{DropWrites: 1}, store.Unknown, false},
-		{"answer lost", memstore.Faults{LoseAnswers: 1}, store.Unknown, true},
+		{"response lost", memstore.Faults{LoseAnswers: 1}, store.Unknown, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := memstore.New(memstore.Options{})
 			s.SetFaults(c.faults)
 			_, err := s.Txn(t.Context(), put)
-			failure, ok := errors.Into[*store.Error](err)
+			storeErr, ok := errors.Into[*store.Error](err)
 			require.True(t, ok)
-			require.Equal(t, store.Unavailable, failure.Kind)
-			require.Equal(t, c.outcome, failure.Outcome)
+			require.Equal(t, store.Unavailable, storeErr.Kind)
+			require.Equal(t, c.outcome, storeErr.Outcome)
 			s.SetFaults(memstore.Faults{})
 			kv, _, err := s.Get(t.Context(), "/k")
 			require.NoError(t, err)
@@ -80,18 +80,18 @@
 	require.Error(t, (<-ch).Err)
 }
 
-func TestSlowCallHonoursItsContext(t *testing.T) {
+func TestDelayedCallHonoursContext(t *testing.T) {
 	s := memstore.New(memstore.Options{})
 	s.SetFaults(memstore.Faults{Delay: time.Hour})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := s.Txn(ctx, store.Txn{Then: []store.Op{store.Put("/k", nil, 0)}})
-	failure, ok := errors.Into[*store.Error](err)
+	storeErr, ok := errors.Into[*store.Error](err)
 	require.True(t, ok)
-	require.Equal(t, store.Unknown, failure.Outcome)
+	require.Equal(t, store.Unknown, storeErr.Outcome)
 }
 
-func TestLeasesFollowTheClockPassedIn(t *testing.T) {
+func TestLeasesUseInjectedClock(t *testing.T) {
 	now := time.Unix(0, 0)
 	s := memstore.New(memstore.Options{Now: func() time.Time { return now }})
 	lease, err := s.Grant(t.Context(), 1500*time.Millisecond) // rounded up to 2 s
@@ -99,13 +99,13 @@
 	_, err = s.Txn(t.Context(), store.Txn{Then: []store.Op{store.Put("/k", nil, lease)}})
 	require.NoError(t, err)
 	for _, step := range []struct {
-		at   time.Duration
-		kept bool
+		at     time.Duration
+		exists bool
 	}{{1900 * time.Millisecond, true}, {2 * time.Second, false}} {
 		now = time.Unix(0, 0).Add(step.at)
 		s.ExpireLeases()
 		kv, _, err := s.Get(t.Context(), "/k")
 		require.NoError(t, err)
-		require.Equal(t, step.kept, kv != nil, step.at)
+		require.Equal(t, step.exists, kv != nil, step.at)
 	}
 }
--- a/internal/store/memstore/watch.go
+++ b/internal/store/memstore/watch.go
@@ -9,10 +9,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Watch implements store.Store. Watchers read the shared history at their own
-// pace; one that falls behind the kept history ends with kind Compacted.
+// Watch implements store.Store. Watchers read the shared history independently;
+// one that falls behind the retained history ends with an error of kind Compacted.
 func (s *Store) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
-	if _, err := s.enter(ctx, KindWatch, nil); err != nil {
+	if _, err := s.beginCall(ctx, KindWatch, nil); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -21,14 +21,14 @@
 	}
 	s.mu.Unlock()
 	out := make(chan store.WatchBatch)
-	go s.follow(ctx, prefix, from, out)
+	go s.streamEvents(ctx, prefix, from, out)
 	return out, nil
 }
 
-func (s *Store) follow(ctx context.Context, prefix string, next int64, out chan<- store.WatchBatch) {
+func (s *Store) streamEvents(ctx context.Context, prefix string, next int64, out chan<- store.WatchBatch) {
 	defer close(out)
 	for {
-		batch, changed := s.since(prefix, next)
+		batch, changed := s.eventsSince(prefix, next)
 		if batch.Err != nil || len(batch.Events) > 0 {
 			select {
 			case out <- batch:
@@ -48,19 +48,19 @@
 	}
 }
 
-// since collects the events from revision next on, and the channel that closes
+// eventsSince returns the events from revision next on, and a channel that is closed
 // when there may be more.
-func (s *Store) since(prefix string, next int64) (store.WatchBatch, <-chan struct{}) {
+func (s *Store) eventsSince(prefix string, next int64) (store.WatchBatch, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.watchFault(); err != nil {
 		return store.WatchBatch{Err: err}, nil
 	}
 	if next <= s.compacted {
-		return store.WatchBatch{Err: failure("watch", store.Compacted, errors.Errorf("revision %d is compacted", next))}, nil
+		return store.WatchBatch{Err: newError("watch", store.Compacted, errors.Errorf("revision %d is compacted", next))}, nil
 	}
 	batch := store.WatchBatch{Revision: s.revision}
-	for _, c := range s.log[s.logIndexLocked(next):] {
+	for _, c := range s.history[s.historyIndexLocked(next):] {
 		if strings.HasPrefix(c.event.KV.Key, prefix) {
 			batch.Events = append(batch.Events, c.event)
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,14 +1,16 @@
-// Package store is the platform's key-value service behind one small interface.
+// Package store defines the interface to the platform's key-value service.
 //
-// Drivers live in sub-packages (memstore for tests, etcdgw for the etcd v3 JSON
-// gateway) and pass the shared conformance test in storetest.
+// The drivers are sub-packages (memstore for tests, etcdgw for the etcd v3 JSON
+// gateway) and pass the conformance tests in storetest.
 //
-// A write has three outcomes: done, refused, unknown. Done is a nil error with
-// TxnResult.Succeeded true; refused is a nil error with Succeeded false (the
-// guards did not hold) or a *Error with Outcome Refused; unknown is a *Error
-// with Outcome Unknown: the write may or may not have taken effect, and the
-// caller resolves it by reading back a unique write id it put in the value,
-// never by assuming.
+// A write has one of three outcomes:
+//
+//   - applied: a nil error with TxnResult.Succeeded true
+//   - refused: a nil error with Succeeded false (the guards did not hold), or an
+//     *Error with Outcome Refused
+//   - unknown: an *Error with Outcome Unknown. The write may or may not have taken
+//     effect. The caller must not assume either; it includes a unique write id in
+//     the value and reads the key back.
 package store
 
 import (
@@ -17,10 +19,10 @@
 	"time"
 )
 
-// LeaseID names a lease; zero means none.
+// LeaseID identifies a lease; zero means no lease.
 type LeaseID int64
 
-// KV is one key as stored. Revisions are the store's global revisions.
+// KV is a stored key with its value and metadata. Revisions are global to the store.
 type KV struct {
 	Key            string
 	Value          []byte
@@ -34,27 +36,27 @@
 type RangeResult struct {
 	KVs      []KV // ordered by key
 	Revision int64
-	// More is true when Limit cut the result.
+	// More is true if Limit truncated the result.
 	More bool
 }
 
-// RangeOptions narrows a Range. The zero value reads all keys at the newest revision.
+// RangeOptions limits a Range. The zero value reads all keys at the latest revision.
 type RangeOptions struct {
 	Limit    int64
 	KeysOnly bool
-	// StartAfter continues a paged read after this key.
+	// StartAfter continues a paginated read after this key.
 	StartAfter string
-	// Revision reads as of that revision; zero is the newest. A compacted
-	// revision is answered with an Error of Kind Compacted.
+	// Revision selects the revision to read at; zero is the latest. A compacted
+	// revision returns an Error of Kind Compacted.
 	Revision int64
-	// AllowStale takes an answer that may be seconds old, where that is cheaper.
+	// AllowStale permits a result that may be seconds old, if that is cheaper.
 	AllowStale bool
 }
 
-// GuardTarget says which property of a key a Guard compares.
+// GuardTarget is the property of a key that a Guard compares.
 type GuardTarget int
 
-// Compared with equality only: that is all the callers need.
+// Properties that a Guard compares, by equality only: callers need no other comparison.
 const (
 	// GuardCreateRevision zero means "the key does not exist".
 	GuardCreateRevision GuardTarget = iota
@@ -62,7 +64,7 @@
 	GuardLease
 )
 
-// Guard is a condition on one key that must hold for a transaction to apply.
+// Guard is a condition on one key that must hold for a transaction to be applied.
 type Guard struct {
 	Key    string
 	Target GuardTarget
@@ -101,29 +103,30 @@
 // Absent guards on the key not existing.
 func Absent(key string) Guard { return Guard{Key: key, Target: GuardCreateRevision} }
 
-// CreatedAt guards on the key's create revision: the fencing guard.
+// CreatedAt guards on the key's create revision, which serves as a fencing token.
 func CreatedAt(key string, rev int64) Guard {
 	return Guard{Key: key, Target: GuardCreateRevision, Equal: rev}
 }
 
-// ModifiedAt guards on the key's mod revision: the compare-and-swap guard.
+// ModifiedAt guards on the key's mod revision, for compare-and-swap.
 func ModifiedAt(key string, rev int64) Guard {
 	return Guard{Key: key, Target: GuardModRevision, Equal: rev}
 }
 
-// Txn applies Then atomically if all Guards hold, else Else (reads only, as a rule).
+// Txn is a transaction that applies Then atomically if all Guards hold, and Else
+// (usually only reads) otherwise.
 type Txn struct {
 	Guards []Guard
 	Then   []Op
 	Else   []Op
 }
 
-// TxnResult is the answer to a transaction that the store did answer.
+// TxnResult is the result of a transaction that the store answered.
 type TxnResult struct {
 	Succeeded bool
 	Revision  int64
-	// Gets holds, in order, the results of the OpGet operations of the branch
-	// taken; nil for a key that does not exist.
+	// Gets holds the results of the OpGet operations of the executed branch in
+	// order; nil for a key that does not exist.
 	Gets []*KV
 }
 
@@ -136,44 +139,44 @@
 	EventDelete
 )
 
-// Event is one change seen by a watch.
+// Event is a single change reported by a watch.
 type Event struct {
 	Type EventType
-	KV   KV // for deletes only Key and ModRevision are set
+	KV   KV // a delete sets only Key and ModRevision
 }
 
-// WatchBatch is the events of one or more consecutive revisions, or Err as the
-// last batch before the channel closes. A watch may repeat events after a
-// reconnect; consumers drop revisions they have applied already.
+// WatchBatch holds the events of one or more consecutive revisions, or Err in the
+// last batch before the channel is closed. A watch may repeat events after a
+// reconnect; consumers must skip revisions that they have already applied.
 type WatchBatch struct {
 	Events   []Event
-	Revision int64 // store revision this batch brings the watcher to
+	Revision int64 // store revision that the watcher has reached with this batch
 	Err      error
 }
 
 // Store is the platform's key-value service.
 //
-// Every call honours ctx. All methods are safe for concurrent use.
+// Every method honours ctx and is safe for concurrent use.
 type Store interface {
-	// Get returns nil, rev, nil for a key that does not exist.
+	// Get returns a nil KV and the store's revision for a key that does not exist.
 	Get(ctx context.Context, key string) (*KV, int64, error)
 	Range(ctx context.Context, prefix string, opts RangeOptions) (RangeResult, error)
 	Txn(ctx context.Context, txn Txn) (TxnResult, error)
-	// Grant makes a lease; ttl is rounded up to whole seconds.
+	// Grant creates a lease; ttl is rounded up to whole seconds.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive extends a lease once and returns the remaining time. A lease
-	// that has expired gives an Error of Kind LeaseNotFound.
+	// KeepAlive renews a lease once and returns the remaining time. An expired
+	// lease returns an Error of Kind LeaseNotFound.
 	KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error)
 	Revoke(ctx context.Context, id LeaseID) error
-	// Watch streams changes under prefix with revision >= from (from 0 means
-	// "from now"). The channel closes when ctx ends or after a batch with Err.
+	// Watch streams the changes under prefix with revision >= from; zero starts at
+	// the next change. The channel is closed when ctx ends or after a batch with Err.
 	Watch(ctx context.Context, prefix string, from int64) (<-chan WatchBatch, error)
 }
 
-// Outcome says what a failed call may have done to the store.
+// Outcome tells whether a failed call may have changed the store.
 type Outcome int
 
-// Refused: the call certainly had no effect. Unknown: it may have.
+// Refused means that the call had no effect; Unknown means that it may have had one.
 const (
 	Refused Outcome = iota
 	Unknown
@@ -184,13 +187,13 @@
 
 // Kinds of store failures.
 const (
-	Unavailable ErrorKind = iota // not reached, or no answer in time
+	Unavailable ErrorKind = iota // not reachable, or no response in time
 	LeaseNotFound
 	Compacted
 	Invalid
 )
 
-// Error is any failure of a store call.
+// Error describes a failed store call.
 type Error struct {
 	Kind    ErrorKind
 	Outcome Outcome
@@ -203,10 +206,10 @@
 	return fmt.Sprintf("store %s: kind=%s outcome=%s: %v", e.Op, e.Kind, e.Outcome, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// String returns the kind's name as it appears in logs.
+// String returns the name of the kind as logged.
 func (k ErrorKind) String() string {
 	switch k {
 	case LeaseNotFound:
@@ -220,7 +223,7 @@
 	}
 }
 
-// String returns the outcome's name as it appears in logs.
+// String returns the name of the outcome as logged.
 func (o Outcome) String() string {
 	if o == Unknown {
 		return "unknown"
--- a/internal/store/storetest/storetest.go
+++ b/internal/store/storetest/storetest.go
@@ -1,4 +1,4 @@
-// Package storetest is the conformance test that every store driver passes.
+// Package storetest contains the conformance tests for store drivers.
 package storetest
 
 import (
@@ -13,58 +13,58 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// waitLimit bounds each wait for an event; a healthy driver needs a fraction of it.
-const waitLimit = 10 * time.Second
+// caseTimeout limits each test case; a correct driver needs a fraction of it.
+const caseTimeout = 10 * time.Second
 
-// shortLease is the shortest lease that a store can grant.
-const shortLease = time.Second
+// minLeaseTTL is the shortest lease TTL that a store grants.
+const minLeaseTTL = time.Second
 
-// testCase is one promise of store.Store.
+// testCase checks one requirement of store.Store.
 type testCase struct {
 	name string
 	test func(context.Context, *testing.T, store.Store)
 }
 
-// Run checks that the stores made by open behave as store.Store promises. Each
-// call of open returns an empty store.
-func Run(t *testing.T, open func(t *testing.T) store.Store) {
-	RunCommon(t, open)
-	runCases(t, open, []testCase{
-		{"revisions rise and versions count", testRevisions},
+// Run checks that the stores returned by newStore implement store.Store. Each call
+// of newStore must return an empty store.
+func Run(t *testing.T, newStore func(t *testing.T) store.Store) {
+	RunCommon(t, newStore)
+	runCases(t, newStore, []testCase{
+		{"revisions and versions increase", testRevisions},
 		{"guards", testGuards},
 		{"reads inside a transaction", testTxnReads},
-		{"ranges by prefix, in pages, as of a revision", testRange},
-		{"keys are bytes too", testBinary},
+		{"ranges by prefix, paginated, at a revision", testRange},
+		{"binary keys", testBinaryKey},
 	})
 }
 
-// RunCommon checks what every service gives: conditions on a key's last change or
-// on its absence, the newest values, leases and watches. Packages that run on
-// every platform use no more than that.
-func RunCommon(t *testing.T, open func(t *testing.T) store.Store) {
-	runCases(t, open, []testCase{
-		{"get of an absent key", testAbsent},
-		{"revisions rise", testCommonRevisions},
-		{"conditions on last changes", testCommonGuards},
+// RunCommon checks the features that every service supports: guards on a key's mod
+// revision or absence, reads of the latest values, leases and watches. Packages that
+// run on every platform must use only these.
+func RunCommon(t *testing.T, newStore func(t *testing.T) store.Store) {
+	runCases(t, newStore, []testCase{
+		{"get of an absent key", testAbsentKey},
+		{"revisions increase", testCommonRevisions},
+		{"guards on mod revisions", testCommonGuards},
 		{"invalid transactions change nothing", testInvalid},
-		{"ranges by prefix, in pages", testCommonRange},
-		{"values are bytes", testBinaryValue},
-		{"an expired lease takes its keys along", testLeaseExpiry},
-		{"a kept lease lives on", testKeepAlive},
-		{"a revoked lease takes its keys along", testRevoke},
+		{"ranges by prefix, paginated", testCommonRange},
+		{"binary values", testBinaryValue},
+		{"an expired lease deletes its keys", testLeaseExpiry},
+		{"a keepalive renews a lease", testKeepAlive},
+		{"a revoked lease deletes its keys", testRevoke},
 		{"unknown leases", testUnknownLease},
 		{"a watch sees changes from a past revision, in order", testWatchFrom},
-		{"a watch from now sees only what follows", testWatchFromNow},
-		{"a watch ends with its context", testWatchEnds},
+		{"a watch from now sees only later changes", testWatchFromNow},
+		{"a watch ends when its context is canceled", testWatchEnds},
 	})
 }
 
-func runCases(t *testing.T, open func(t *testing.T) store.Store, cases []testCase) {
+func runCases(t *testing.T, newStore func(t *testing.T) store.Store, cases []testCase) {
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+			ctx, cancel := context.WithTimeout(context.Background(), caseTimeout)
 			defer cancel()
-			c.test(ctx, t, open(t))
+			c.test(ctx, t, newStore(t))
 		})
 	}
 }
@@ -83,10 +83,10 @@
 	res, err := s.Txn(ctx, store.Txn{Then: []store.Op{store.Delete("/k"), store.Delete("/absent")}})
 	require.NoError(t, err)
 	require.True(t, res.Succeeded)
-	again := Put(t, s, "/k", "3")
+	recreated := Put(t, s, "/k", "3")
 	kv, _, err = s.Get(ctx, "/k")
 	require.NoError(t, err)
-	require.Equal(t, again, kv.CreateRevision, "a key made anew has a new create revision")
+	require.Equal(t, recreated, kv.CreateRevision, "a recreated key has a new create revision")
 }
 
 func testCommonGuards(ctx context.Context, t *testing.T, s store.Store) {
@@ -136,10 +136,10 @@
 		}
 		opts.StartAfter = res.KVs[len(res.KVs)-1].Key
 	}
-	require.Equal(t, "/p/a=a /p/b=b /p/c=c", render(found))
+	require.Equal(t, "/p/a=a /p/b=b /p/c=c", formatKVs(found))
 }
 
-// Put writes one key without conditions and returns the revision.
+// Put writes one key without guards and returns the revision.
 func Put(t testing.TB, s store.Store, key, value string) int64 {
 	t.Helper()
 	res, err := s.Txn(context.Background(), store.Txn{Then: []store.Op{store.Put(key, []byte(value), 0)}})
@@ -148,7 +148,7 @@
 	return res.Revision
 }
 
-func testAbsent(ctx context.Context, t *testing.T, s store.Store) {
+func testAbsentKey(ctx context.Context, t *testing.T, s store.Store) {
 	kv, rev, err := s.Get(ctx, "/absent")
 	require.NoError(t, err)
 	require.Nil(t, kv)
@@ -166,10 +166,10 @@
 	res, err := s.Txn(ctx, store.Txn{Then: []store.Op{store.Delete("/k"), store.Delete("/absent")}})
 	require.NoError(t, err)
 	require.True(t, res.Succeeded)
-	again := Put(t, s, "/k", "3")
+	recreated := Put(t, s, "/k", "3")
 	kv, _, err = s.Get(ctx, "/k")
 	require.NoError(t, err)
-	require.Equal(t, again, kv.CreateRevision, "a key made anew has a new create revision")
+	require.Equal(t, recreated, kv.CreateRevision, "a recreated key has a new create revision")
 	require.EqualValues(t, 1, kv.Version)
 }
 
@@ -228,16 +228,16 @@
 }
 
 func testInvalid(ctx context.Context, t *testing.T, s store.Store) {
-	var many []store.Op
+	var tooMany []store.Op
 	for i := range 200 {
-		many = append(many, store.Put(fmt.Sprintf("/many/%d", i), nil, 0))
+		tooMany = append(tooMany, store.Put(fmt.Sprintf("/many/%d", i), nil, 0))
 	}
 	for name, ops := range map[string][]store.Op{
 		"one key twice":       {store.Put("/k", []byte("1"), 0), store.Put("/k", []byte("2"), 0)},
-		"too many operations": many,
+		"too many operations": tooMany,
 	} {
 		_, err := s.Txn(ctx, store.Txn{Then: ops})
-		requireFailure(t, err, store.Invalid, store.Refused, name)
+		requireStoreError(t, err, store.Invalid, store.Refused, name)
 	}
 	res, err := s.Range(ctx, "/", store.RangeOptions{})
 	require.NoError(t, err)
@@ -269,13 +269,13 @@
 	for _, c := range cases {
 		res, err := s.Range(ctx, "/p/", c.opts)
 		require.NoError(t, err, c.name)
-		require.Equal(t, c.want, render(res.KVs), c.name)
+		require.Equal(t, c.want, formatKVs(res.KVs), c.name)
 		require.Equal(t, c.more, res.More, c.name)
 		require.Greater(t, res.Revision, rev, c.name)
 	}
 }
 
-func render(kvs []store.KV) string {
+func formatKVs(kvs []store.KV) string {
 	out := ""
 	for i, kv := range kvs {
 		if i > 0 {
@@ -286,11 +286,15 @@
 	return out
 }
 
-func testBinary(ctx context.Context, t *testing.T, s store.Store) { checkBytes(ctx, t, s, "/\x00\xff") }
+func testBinaryKey(ctx context.Context, t *testing.T, s store.Store) {
+	checkRoundTrip(ctx, t, s, "/\x00\xff")
+}
 
-func testBinaryValue(ctx context.Context, t *testing.T, s store.Store) { checkBytes(ctx, t, s, "/k") }
+func testBinaryValue(ctx context.Context, t *testing.T, s store.Store) {
+	checkRoundTrip(ctx, t, s, "/k")
+}
 
-func checkBytes(ctx context.Context, t *testing.T, s store.Store, key string) {
+func checkRoundTrip(ctx context.Context, t *testing.T, s store.Store, key string) {
 	value := make([]byte, 256)
 	for i := range value {
 		value[i] = byte(i)
@@ -302,7 +306,7 @@
 }
 
 func testLeaseExpiry(ctx context.Context, t *testing.T, s store.Store) {
-	lease, err := s.Grant(ctx, shortLease)
+	lease, err := s.Grant(ctx, minLeaseTTL)
 	require.NoError(t, err)
 	res, err := s.Txn(ctx, store.Txn{Then: []store.Op{
 		store.Put("/short", []byte("1"), lease),
@@ -318,15 +322,15 @@
 	require.NoError(t, err)
 	require.NotNil(t, kv)
 	_, err = s.KeepAlive(ctx, lease)
-	requireFailure(t, err, store.LeaseNotFound, store.Refused, "keepalive after expiry")
+	requireStoreError(t, err, store.LeaseNotFound, store.Refused, "keepalive after expiry")
 }
 
 func testKeepAlive(ctx context.Context, t *testing.T, s store.Store) {
 	lease, err := s.Grant(ctx, time.Minute)
 	require.NoError(t, err)
-	left, err := s.KeepAlive(ctx, lease)
+	remaining, err := s.KeepAlive(ctx, lease)
 	require.NoError(t, err)
-	require.Equal(t, time.Minute, left)
+	require.Equal(t, time.Minute, remaining)
 }
 
 func testRevoke(ctx context.Context, t *testing.T, s store.Store) {
@@ -341,14 +345,14 @@
 	kv, _, err = s.Get(ctx, "/leased")
 	require.NoError(t, err)
 	require.Nil(t, kv)
-	requireFailure(t, s.Revoke(ctx, lease), store.LeaseNotFound, store.Refused, "revoked twice")
+	requireStoreError(t, s.Revoke(ctx, lease), store.LeaseNotFound, store.Refused, "revoked twice")
 }
 
 func testUnknownLease(ctx context.Context, t *testing.T, s store.Store) {
 	_, err := s.Txn(ctx, store.Txn{Then: []store.Op{store.Put("/k", nil, 987654)}})
-	requireFailure(t, err, store.LeaseNotFound, store.Refused, "put")
+	requireStoreError(t, err, store.LeaseNotFound, store.Refused, "put")
 	_, err = s.KeepAlive(ctx, 987654)
-	requireFailure(t, err, store.LeaseNotFound, store.Refused, "keepalive")
+	requireStoreError(t, err, store.LeaseNotFound, store.Refused, "keepalive")
 	kv, _, err := s.Get(ctx, "/k")
 	require.NoError(t, err)
 	require.Nil(t, kv)
@@ -363,12 +367,12 @@
 	_, err := s.Txn(ctx, store.Txn{Then: []store.Op{store.Delete("/w/a")}})
 	require.NoError(t, err)
 
-	a, b, gone := events.next(t), events.next(t), events.next(t)
-	require.Equal(t, "/w/a=1 /w/b=2", render([]store.KV{a.KV, b.KV}))
+	a, b, deleted := events.next(t), events.next(t), events.next(t)
+	require.Equal(t, "/w/a=1 /w/b=2", formatKVs([]store.KV{a.KV, b.KV}))
 	require.Equal(t, from, a.KV.ModRevision)
-	require.Equal(t, store.EventDelete, gone.Type)
-	require.Equal(t, "/w/a", gone.KV.Key)
-	require.Greater(t, gone.KV.ModRevision, b.KV.ModRevision)
+	require.Equal(t, store.EventDelete, deleted.Type)
+	require.Equal(t, "/w/a", deleted.KV.Key)
+	require.Greater(t, deleted.KV.ModRevision, b.KV.ModRevision)
 }
 
 func testWatchFromNow(ctx context.Context, t *testing.T, s store.Store) {
@@ -388,7 +392,7 @@
 	}
 }
 
-// eventReader hands out the events of a watch one by one.
+// eventReader returns the events of a watch one at a time.
 type eventReader struct {
 	ctx     context.Context
 	ch      <-chan store.WatchBatch
@@ -407,11 +411,11 @@
 	for len(r.pending) == 0 {
 		select {
 		case batch, ok := <-r.ch:
-			require.True(t, ok, "watch ended early")
+			require.True(t, ok, "watch ended unexpectedly")
 			require.NoError(t, batch.Err)
 			r.pending = batch.Events
 		case <-r.ctx.Done():
-			require.FailNow(t, "no event in time")
+			require.FailNow(t, "timed out waiting for an event")
 		}
 	}
 	ev := r.pending[0]
@@ -419,10 +423,10 @@
 	return ev
 }
 
-func requireFailure(t *testing.T, err error, kind store.ErrorKind, outcome store.Outcome, what string) {
+func requireStoreError(t *testing.T, err error, kind store.ErrorKind, outcome store.Outcome, what string) {
 	t.Helper()
-	failure, ok := errors.Into[*store.Error](err)
+	storeErr, ok := errors.Into[*store.Error](err)
 	require.True(t, ok, "%s: %v", what, err)
-	require.Equal(t, kind, failure.Kind, what)
-	require.Equal(t, outcome, failure.Outcome, what)
+	require.Equal(t, kind, storeErr.Kind, what)
+	require.Equal(t, outcome, storeErr.Outcome, what)
 }
