--- a/internal/daemon/vms.go
+++ b/internal/daemon/vms.go
@@ -15,9 +15,9 @@
 const vmListReadersPerZone = 2
 
 // newVMFetcher returns the source of this node's VM list: the platform or its peers.
-func (n *Node) newVMFetcher() *vmlist.Shared {
+func (n *Node) newVMFetcher() *vmlist.SharedFetcher {
 	p := n.cfg.Platform
-	return &vmlist.Shared{Platform: vmlist.NewClient(p.VMList, p.Timeout), Peers: peerFetcher{n}, Interval: p.VMListEvery,
+	return &vmlist.SharedFetcher{Platform: vmlist.NewClient(p.VMList, p.Timeout), Peers: peerFetcher{n}, Interval: p.VMListEvery,
 		Duty: func() bool { return n.members.Duty("read-vms", vmListReadersPerZone) }}
 }
 
--- a/internal/vmlist/shared.go
+++ b/internal/vmlist/shared.go
@@ -25,11 +25,11 @@
 // freshFor is how many intervals peers may bring nothing newer.
 const freshFor = 3
 
-// Shared is a Fetcher for nodes that share the reading: those on duty read the
+// SharedFetcher is a Fetcher for nodes that share the reading: those on duty read the
 // platform, and the others ask them. The platform's calls then grow with the
 // zones and not with the nodes, and a node that starts while the platform is
 // down has a list all the same. It is used by one goroutine.
-type Shared struct {
+type SharedFetcher struct {
 	Platform Fetcher
 	Peers    PeerLists
 	// Duty reports whether this node reads the platform.
@@ -43,7 +43,7 @@
 }
 
 // Fetch implements Fetcher.
-func (s *Shared) Fetch(ctx context.Context) (cluster.VMList, error) {
+func (s *SharedFetcher) Fetch(ctx context.Context) (cluster.VMList, error) {
 	if s.Duty() {
 		list, err := s.Platform.Fetch(ctx)
 		if err == nil {
@@ -70,7 +70,7 @@
 }
 
 // direct reads the platform for want of news from peers.
-func (s *Shared) direct(ctx context.Context, fromPeers cluster.VMList) (cluster.VMList, error) {
+func (s *SharedFetcher) direct(ctx context.Context, fromPeers cluster.VMList) (cluster.VMList, error) {
 	list, err := s.Platform.Fetch(ctx)
 	if err == nil {
 		return s.seen(list), nil
@@ -83,11 +83,11 @@
 
 // stale reports whether no newer list has come for a few intervals, by this
 // node's own clock: AsOf is the platform's.
-func (s *Shared) stale(now time.Time) bool {
+func (s *SharedFetcher) stale(now time.Time) bool {
 	return s.advancedAt.IsZero() || now.Sub(s.advancedAt) > freshFor*s.Interval
 }
 
-func (s *Shared) seen(list cluster.VMList) cluster.VMList {
+func (s *SharedFetcher) seen(list cluster.VMList) cluster.VMList {
 	if list.AsOf.After(s.asOf) {
 		s.asOf, s.advancedAt = list.AsOf, time.Now()
 	}
