--- a/internal/vmlist/shared.go
+++ b/internal/vmlist/shared.go
@@ -12,8 +12,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// PeerLists asks another node for the newest list that it knows.
-type PeerLists interface {
+// PeerFetcher asks another node for the newest list that it knows.
+type PeerFetcher interface {
 	// FetchVMs returns a list with a zero AsOf when the peer knows none.
 	FetchVMs(ctx context.Context) (cluster.VMList, error)
 }
@@ -31,7 +31,7 @@
 // down has a list all the same. It is used by one goroutine.
 type SharedFetcher struct {
 	Platform Fetcher
-	Peers    PeerLists
+	Peers    PeerFetcher
 	// Duty reports whether this node reads the platform.
 	Duty func() bool
 	// Interval is the time between two calls of Fetch.
