--- a/internal/vmlist/shared.go
+++ b/internal/vmlist/shared.go
@@ -18,9 +18,9 @@
 	FetchVMs(ctx context.Context) (cluster.VMList, error)
 }
 
-// DirectEvery is the time, before jitter, between two reads of the platform by a
+// FallbackInterval is the time, before jitter, between two reads of the platform by a
 // node that should not read it, while its peers bring nothing new.
-const DirectEvery = 30 * time.Second
+const FallbackInterval = 30 * time.Second
 
 // freshFor is how many intervals peers may bring nothing newer.
 const freshFor = 3
@@ -60,7 +60,7 @@
 		s.seen(list)
 	}
 	if now := time.Now(); s.stale(now) && !now.Before(s.directAt) {
-		s.directAt = now.Add(DirectEvery/2 + rand.N(DirectEvery))
+		s.directAt = now.Add(FallbackInterval/2 + rand.N(FallbackInterval))
 		return s.direct(ctx, list)
 	}
 	if err == nil && list.AsOf.IsZero() {
