--- a/internal/daemon/vms.go
+++ b/internal/daemon/vms.go
@@ -18,7 +18,7 @@
 func (n *Node) newVMFetcher() *vmlist.SharedFetcher {
 	p := n.cfg.Platform
 	return &vmlist.SharedFetcher{Platform: vmlist.NewClient(p.VMList, p.Timeout), Peers: peerFetcher{n}, Interval: p.VMListEvery,
-		Duty: func() bool { return n.members.Duty("read-vms", vmListReadersPerZone) }}
+		IsReader: func() bool { return n.members.Duty("read-vms", vmListReadersPerZone) }}
 }
 
 // FetchVMs implements vmlist.PeerLists. Each call asks one live node, of its own zone if
--- a/internal/vmlist/shared.go
+++ b/internal/vmlist/shared.go
@@ -32,8 +32,8 @@
 type SharedFetcher struct {
 	Platform Fetcher
 	Peers    PeerFetcher
-	// Duty reports whether this node reads the platform.
-	Duty func() bool
+	// IsReader reports whether this node reads the platform.
+	IsReader func() bool
 	// Interval is the time between two calls of Fetch.
 	Interval time.Duration
 
@@ -44,7 +44,7 @@
 
 // Fetch implements Fetcher.
 func (s *SharedFetcher) Fetch(ctx context.Context) (cluster.VMList, error) {
-	if s.Duty() {
+	if s.IsReader() {
 		list, err := s.Platform.Fetch(ctx)
 		if err == nil {
 			return s.seen(list), nil
--- a/internal/vmlist/vmlist_test.go
+++ b/internal/vmlist/vmlist_test.go
@@ -117,7 +117,7 @@
 		var direct int
 		var down, silent, duty bool
 		at := func() cluster.VMList { return cluster.VMList{AsOf: time.Now(), VMs: []cluster.VM{{ID: "a"}}} }
-		s := &vmlist.SharedFetcher{Interval: interval, Duty: func() bool { return duty },
+		s := &vmlist.SharedFetcher{Interval: interval, IsReader: func() bool { return duty },
 			Platform: listFunc(func() (cluster.VMList, error) {
 				direct++
 				if down {
