--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -340,7 +340,7 @@
 	vms := vmList(144000)
 	before := processorTime(b)
 	for b.Loop() {
-		_, _, err := vmlist.Sum(vms)
+		_, _, err := vmlist.Checksum(vms)
 		require.NoError(b, err)
 	}
 	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N)/1e6, "cpu-ms/sum")
--- a/internal/daemon/vms.go
+++ b/internal/daemon/vms.go
@@ -33,7 +33,7 @@
 		return list, fennelerr.New(fennelerr.NotFound, "no peer is known")
 	}
 	have := f.n.vms.List()
-	sum, _, err := vmlist.Sum(have.VMs)
+	sum, _, err := vmlist.Checksum(have.VMs)
 	if err != nil {
 		return list, err
 	}
@@ -55,7 +55,7 @@
 	if list.AsOf.IsZero() {
 		return &wirepb.FetchVMsResponse{}, nil
 	}
-	sum, doc, err := vmlist.Sum(list.VMs)
+	sum, doc, err := vmlist.Checksum(list.VMs)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/vmlist/shared.go
+++ b/internal/vmlist/shared.go
@@ -94,8 +94,8 @@
 	return list
 }
 
-// Sum identifies a list's VMs, whenever it was made; zero means none.
-func Sum(vms []cluster.VM) (uint64, []byte, error) {
+// Checksum identifies a list's VMs, whenever it was made; zero means none.
+func Checksum(vms []cluster.VM) (uint64, []byte, error) {
 	doc, err := json.Marshal(vms)
 	if err != nil || len(vms) == 0 {
 		return 0, doc, err
