--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -280,13 +280,13 @@
 			w := vmlist.NewWatcher(vmlist.Options{Fetcher: client, Zone: "praha-a"})
 			first, err := client.Fetch(context.Background())
 			require.NoError(b, err)
-			w.Offer(first)
+			w.Update(first)
 			l.bytes.Store(0)
 			before := processorTime(b)
 			for b.Loop() {
 				list, err := client.Fetch(context.Background())
 				require.NoError(b, err)
-				require.True(b, w.Offer(list))
+				require.True(b, w.Update(list))
 			}
 			b.ReportMetric(float64(processorTime(b)-before)/float64(b.N)/1e6, "cpu-ms/read")
 			b.ReportMetric(float64(l.bytes.Load())/float64(b.N*count), "wire-bytes/vm")
--- a/internal/vmlist/vmlist_test.go
+++ b/internal/vmlist/vmlist_test.go
@@ -42,7 +42,7 @@
 
 func TestServiceAddrs(t *testing.T) {
 	w := vmlist.NewWatcher(vmlist.Options{Zone: "b"})
-	w.Offer(cluster.VMList{AsOf: time.Unix(1, 0), VMs: []cluster.VM{
+	w.Update(cluster.VMList{AsOf: time.Unix(1, 0), VMs: []cluster.VM{
 		{ID: "1", Zone: "a", Addr: "a1", Service: "balcao", State: cluster.VMLive},
 		{ID: "2", Zone: "b", Addr: "b2", Service: "balcao", State: cluster.VMLeaving},
 		{ID: "3", Zone: "b", Addr: "b3", Service: "balcao", State: cluster.VMLive},
--- a/internal/vmlist/watcher.go
+++ b/internal/vmlist/watcher.go
@@ -69,7 +69,7 @@
 		}
 		failing = err != nil
 		if err == nil {
-			w.Offer(list)
+			w.Update(list)
 		}
 		select {
 		case <-tick.C:
@@ -79,10 +79,10 @@
 	}
 }
 
-// Offer takes a list over if it is newer than the one kept, and reports whether
+// Update takes a list over if it is newer than the one kept, and reports whether
 // it did. An older one is dropped: after a change of the endpoint that answers,
 // a list may be older than the last, and a VM that left would come back.
-func (w *Watcher) Offer(list cluster.VMList) bool {
+func (w *Watcher) Update(list cluster.VMList) bool {
 	w.notify.Lock()
 	defer w.notify.Unlock()
 	newer, changed := w.take(list)
