--- a/internal/capacity/role.go
+++ b/internal/capacity/role.go
@@ -44,7 +44,7 @@
 	quietPollEvery   = 3.0      // health's PollQuiet, in seconds
 	zoneTargets      = 3        // membership's fanout
 	listReaders      = 2.0      // of a zone
-	directEvery      = 30.0     // vmlist.DirectEvery, in seconds
+	directEvery      = 30.0     // vmlist.FallbackInterval, in seconds
 	maxPeerMessage   = 2 << 20
 )
 
--- a/internal/daemon/vms.go
+++ b/internal/daemon/vms.go
@@ -21,7 +21,7 @@
 		IsReader: func() bool { return n.members.Duty("read-vms", vmListReadersPerZone) }}
 }
 
-// FetchVMs implements vmlist.PeerLists. Each call asks one live node, of its own zone if
+// FetchVMs implements vmlist.PeerFetcher. Each call asks one live node, of its own zone if
 // there is one.
 func (f peerFetcher) FetchVMs(ctx context.Context) (cluster.VMList, error) {
 	var list cluster.VMList
--- a/internal/vmlist/shared.go
+++ b/internal/vmlist/shared.go
@@ -12,34 +12,35 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// PeerFetcher asks another node for the newest list that it knows.
+// PeerFetcher fetches the latest list known to another node.
 type PeerFetcher interface {
-	// FetchVMs returns a list with a zero AsOf when the peer knows none.
+	// FetchVMs returns a list with a zero AsOf if the peer has none.
 	FetchVMs(ctx context.Context) (cluster.VMList, error)
 }
 
 // FallbackInterval is the time, before jitter, between two reads of the platform by a
-// node that should not read it, while its peers bring nothing new.
+// node that is not a reader, while its peers provide no newer list.
 const FallbackInterval = 30 * time.Second
 
-// freshFor is how many intervals peers may bring nothing newer.
-const freshFor = 3
+// staleAfterIntervals is the number of intervals without a newer list after which a
+// non-reader falls back to the platform.
+const staleAfterIntervals = 3
 
-// SharedFetcher is a Fetcher for nodes that share the reading: those on duty read the
-// platform, and the others ask them. The platform's calls then grow with the
-// zones and not with the nodes, and a node that starts while the platform is
-// down has a list all the same. It is used by one goroutine.
+// SharedFetcher is a Fetcher with which only some nodes, the readers, read the
+// platform and all others fetch the list from peers. The load on the platform then
+// grows with the number of zones and not of nodes, and a node that starts while the
+// platform is down still gets a list. It is not safe for concurrent use.
 type SharedFetcher struct {
 	Platform Fetcher
 	Peers    PeerFetcher
-	// IsReader reports whether this node reads the platform.
+	// IsReader reports whether this node is a reader.
 	IsReader func() bool
 	// Interval is the time between two calls of Fetch.
 	Interval time.Duration
 
-	asOf       time.Time // of the newest list seen
-	advancedAt time.Time
-	directAt   time.Time // the next read without duty
+	latestAsOf   time.Time // AsOf of the latest list
+	latestAt     time.Time // when the latest list arrived
+	nextFallback time.Time // earliest time of the next read by a non-reader
 }
 
 // Fetch implements Fetcher.
@@ -47,33 +48,34 @@
 	if s.IsReader() {
 		list, err := s.Platform.Fetch(ctx)
 		if err == nil {
-			return s.seen(list), nil
+			return s.record(list), nil
 		}
 		list, peerErr := s.Peers.FetchVMs(ctx)
 		if peerErr != nil || list.AsOf.IsZero() {
 			return list, err
 		}
-		return s.seen(list), nil
+		return s.record(list), nil
 	}
 	list, err := s.Peers.FetchVMs(ctx)
 	if err == nil {
-		s.seen(list)
+		s.record(list)
 	}
-	if now := time.Now(); s.stale(now) && !now.Before(s.directAt) {
-		s.directAt = now.Add(FallbackInterval/2 + rand.N(FallbackInterval))
-		return s.direct(ctx, list)
+	if now := time.Now(); s.stale(now) && !now.Before(s.nextFallback) {
+		s.nextFallback = now.Add(FallbackInterval/2 + rand.N(FallbackInterval))
+		return s.fetchFallback(ctx, list)
 	}
 	if err == nil && list.AsOf.IsZero() {
-		err = fetchFailed(errors.New("no peer knows a list"))
+		err = newFetchError(errors.New("no peer has a VM list"))
 	}
 	return list, err
 }
 
-// direct reads the platform for want of news from peers.
-func (s *SharedFetcher) direct(ctx context.Context, fromPeers cluster.VMList) (cluster.VMList, error) {
+// fetchFallback reads the platform because the peers provide no newer list. If that
+// fails too, it returns the list from the peers, if any.
+func (s *SharedFetcher) fetchFallback(ctx context.Context, fromPeers cluster.VMList) (cluster.VMList, error) {
 	list, err := s.Platform.Fetch(ctx)
 	if err == nil {
-		return s.seen(list), nil
+		return s.record(list), nil
 	}
 	if fromPeers.AsOf.IsZero() {
 		return list, err
@@ -81,24 +83,25 @@
 	return fromPeers, nil
 }
 
-// stale reports whether no newer list has come for a few intervals, by this
-// node's own clock: AsOf is the platform's.
+// stale reports whether no newer list has arrived for staleAfterIntervals. It uses
+// this node's clock, because AsOf is a time of the platform's clock.
 func (s *SharedFetcher) stale(now time.Time) bool {
-	return s.advancedAt.IsZero() || now.Sub(s.advancedAt) > freshFor*s.Interval
+	return s.latestAt.IsZero() || now.Sub(s.latestAt) > staleAfterIntervals*s.Interval
 }
 
-func (s *SharedFetcher) seen(list cluster.VMList) cluster.VMList {
-	if list.AsOf.After(s.asOf) {
-		s.asOf, s.advancedAt = list.AsOf, time.Now()
+func (s *SharedFetcher) record(list cluster.VMList) cluster.VMList {
+	if list.AsOf.After(s.latestAsOf) {
+		s.latestAsOf, s.latestAt = list.AsOf, time.Now()
 	}
 	return list
 }
 
-// Checksum identifies a list's VMs, whenever it was made; zero means none.
+// Checksum returns a hash of vms and their JSON encoding. The hash does not depend on
+// the list's AsOf; it is zero if there are no VMs.
 func Checksum(vms []cluster.VM) (uint64, []byte, error) {
-	doc, err := json.Marshal(vms)
+	encoded, err := json.Marshal(vms)
 	if err != nil || len(vms) == 0 {
-		return 0, doc, err
+		return 0, encoded, err
 	}
-	return xxhash.Sum64(doc), doc, nil
+	return xxhash.Sum64(encoded), encoded, nil
 }
--- a/internal/vmlist/vmlist.go
+++ b/internal/vmlist/vmlist.go
@@ -1,7 +1,7 @@
-// Package vmlist reads the platform's VM list and keeps the newest one in memory.
+// Package vmlist reads the platform's VM list and keeps the latest one in memory.
 //
-// The list lags, so it is evidence and no proof: consumers get its AsOf and its
-// age and decide for themselves what to make of an old one.
+// The list may be outdated and is therefore not authoritative: consumers get its
+// AsOf and age and decide how far to rely on it.
 package vmlist
 
 import (
@@ -18,30 +18,30 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// Path of the list below the platform's base URL.
+// Path is the URL path of the list, relative to the platform's base URL.
 const Path = "/vms"
 
-// DefaultTimeout bounds one read of the list.
+// DefaultTimeout limits one read of the list.
 const DefaultTimeout = 2 * time.Second
 
-// maxList bounds the list's size: 145,000 VMs (4,500 replicas of 32) take about
-// 150 bytes each.
-const maxList = 64 << 20
+// maxListBytes limits the size of the list: 145,000 VMs (4,500 replicas of 32 VMs)
+// take about 150 bytes each.
+const maxListBytes = 64 << 20
 
-// Client reads the VM list.
+// Client reads the VM list from the platform.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
 // NewClient returns a client for the platform at base, such as
-// "http://10.0.0.5:2379"; timeout zero is DefaultTimeout.
+// "http://10.0.0.5:2379"; a zero timeout means DefaultTimeout.
 func NewClient(base string, timeout time.Duration) *Client {
 	if timeout == 0 {
 		timeout = DefaultTimeout
 	}
-	// A connection per read: reads are seconds apart, and a connection that went
-	// silent in between would cost a whole timeout.
+	// Each read opens a new connection: reads are seconds apart, and a connection
+	// that died in between would cost a full timeout.
 	transport := &http.Transport{DisableKeepAlives: true}
 	return &Client{
 		url:  strings.TrimRight(base, "/") + Path,
@@ -54,22 +54,22 @@
 	var list cluster.VMList
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
-		return list, fetchFailed(err)
+		return list, newFetchError(err)
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return list, fetchFailed(err)
+		return list, newFetchError(err)
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return list, fetchFailed(errors.Errorf("status %d", res.StatusCode))
+		return list, newFetchError(errors.Errorf("status %d", res.StatusCode))
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxList)).Decode(&list); err != nil {
-		return cluster.VMList{}, fetchFailed(err)
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxListBytes)).Decode(&list); err != nil {
+		return cluster.VMList{}, newFetchError(err)
 	}
 	return list, nil
 }
 
-func fetchFailed(err error) error {
-	return fennelerr.Wrap(err, fennelerr.StoreUnavailable, "the VM list can't be read").WithOp("vmlist.fetch")
+func newFetchError(err error) error {
+	return fennelerr.Wrap(err, fennelerr.StoreUnavailable, "cannot read the VM list").WithOp("vmlist.fetch")
 }
--- a/internal/vmlist/vmlist_test.go
+++ b/internal/vmlist/vmlist_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestClientAgainstThePlatform(t *testing.T) {
+func TestClient(t *testing.T) {
 	vms := []cluster.VM{{ID: "a", Zone: "z", Domain: "d", Addr: "127.0.0.1:1", State: cluster.VMLive}}
 	p := platform.New(platform.Options{VMs: vms})
 	srv := httptest.NewServer(p.Handler())
@@ -53,23 +53,23 @@
 	require.Empty(t, w.ServiceAddrs(""))
 }
 
-// fetchFunc is a Fetcher from a function.
+// fetchFunc adapts a function to Fetcher.
 type fetchFunc func() (cluster.VMList, error)
 
 func (f fetchFunc) Fetch(context.Context) (cluster.VMList, error) { return f() }
 
-// The platform's list service fails for a while and then answers from a copy
-// that is older than the list seen before. A node that took the older list over
-// would send calls to a VM that has left already.
-func TestWatcherNeverGoesBack(t *testing.T) {
+// The platform's list service fails for a while and then serves a list that is older
+// than the one read before. A node that adopted the older list would send calls to a
+// VM that has already left.
+func TestWatcherIgnoresOlderLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		at := func(sec int64, id cluster.VMID) cluster.VMList {
 			return cluster.VMList{AsOf: time.Unix(sec, 0), VMs: []cluster.VM{{ID: id}}}
 		}
-		down := fennelerr.New(fennelerr.StoreUnavailable, "down")
+		platformDown := fennelerr.New(fennelerr.StoreUnavailable, "down")
 		answers := []func() (cluster.VMList, error){
 			func() (cluster.VMList, error) { return at(10, "new"), nil },
-			func() (cluster.VMList, error) { return cluster.VMList{}, down },
+			func() (cluster.VMList, error) { return cluster.VMList{}, platformDown },
 			func() (cluster.VMList, error) { return at(5, "old"), nil },
 			func() (cluster.VMList, error) { return at(11, "new"), nil },
 			func() (cluster.VMList, error) { return at(12, "newer"), nil },
@@ -91,7 +91,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx) }()
-		time.Sleep(10 * vmlist.DefaultInterval) // fake time: all answers are used up
+		time.Sleep(10 * vmlist.DefaultInterval) // fake time, long enough to use all answers
 		cancel()
 		<-done
 		require.Equal(t, []cluster.VMID{"new", "newer"}, changes)
@@ -102,56 +102,56 @@
 	})
 }
 
-// listFunc is both a Fetcher and a PeerLists from a function.
+// listFunc adapts a function to Fetcher and PeerFetcher.
 type listFunc func() (cluster.VMList, error)
 
 func (f listFunc) Fetch(context.Context) (cluster.VMList, error)    { return f() }
 func (f listFunc) FetchVMs(context.Context) (cluster.VMList, error) { return f() }
 
-// The platform is down while a node is replaced, or a zone has many nodes. A node
-// that knew only the platform would stay without a list and serve nobody, and with
-// all nodes reading, the platform's calls would grow with the fleet.
-func TestSharedReading(t *testing.T) {
+// If nodes could get the list only from the platform, a node that starts while the
+// platform is down would have no list and serve no requests, and the load on the
+// platform would grow with the number of nodes.
+func TestSharedFetcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const interval = 5 * time.Second
-		var direct int
-		var down, silent, duty bool
+		var platformCalls int
+		var platformDown, peersDown, reader bool
 		at := func() cluster.VMList { return cluster.VMList{AsOf: time.Now(), VMs: []cluster.VM{{ID: "a"}}} }
-		s := &vmlist.SharedFetcher{Interval: interval, IsReader: func() bool { return duty },
+		s := &vmlist.SharedFetcher{Interval: interval, IsReader: func() bool { return reader },
 			Platform: listFunc(func() (cluster.VMList, error) {
-				direct++
-				if down {
+				platformCalls++
+				if platformDown {
 					return cluster.VMList{}, fennelerr.New(fennelerr.StoreUnavailable, "down")
 				}
 				return at(), nil
 			}),
 			Peers: listFunc(func() (cluster.VMList, error) {
-				if silent {
+				if peersDown {
 					return cluster.VMList{}, fennelerr.New(fennelerr.NotReady, "no peer")
 				}
 				return at(), nil
 			})}
 		fetch := func(rounds int) (calls, lists int) {
-			direct = 0
+			platformCalls = 0
 			for range rounds {
 				if list, err := s.Fetch(t.Context()); err == nil && !list.AsOf.IsZero() {
 					lists++
 				}
 				time.Sleep(interval)
 			}
-			return direct, lists
+			return platformCalls, lists
 		}
 		calls, lists := fetch(10)
-		require.Zero(t, calls, "peers bring the list")
+		require.Zero(t, calls, "peers provide the list")
 		require.Equal(t, 10, lists)
-		silent = true
+		peersDown = true
 		calls, lists = fetch(100) // 500 s, each read 15 to 45 s after the one before
 		require.LessOrEqual(t, calls, 34)
 		require.Positive(t, lists)
-		silent, duty = false, true
+		peersDown, reader = false, true
 		calls, _ = fetch(10)
 		require.Equal(t, 10, calls)
-		down = true
+		platformDown = true
 		_, lists = fetch(10)
 		require.Equal(t, 10, lists, "from peers while the platform is down")
 	})
--- a/internal/vmlist/watcher.go
+++ b/internal/vmlist/watcher.go
@@ -13,7 +13,7 @@
 // DefaultInterval is the time between two reads of the list.
 const DefaultInterval = 2 * time.Second
 
-// Fetcher reads the list; *Client is one.
+// Fetcher reads the list. *Client implements it.
 type Fetcher interface {
 	Fetch(ctx context.Context) (cluster.VMList, error)
 }
@@ -21,21 +21,21 @@
 // Options configures a Watcher.
 type Options struct {
 	Fetcher Fetcher
-	// Zone is this node's availability zone: ServiceAddrs lists it first.
+	// Zone is this node's availability zone, which ServiceAddrs lists first.
 	Zone cluster.ZoneID
-	// Interval between reads; zero is DefaultInterval.
+	// Interval is the time between reads; zero means DefaultInterval.
 	Interval time.Duration
-	// OnChange is called after the VMs changed, one call at a time; may be nil.
+	// OnChange is called after the VMs have changed, by one goroutine at a time; may be nil.
 	OnChange func(cluster.VMList)
 	Log      *slog.Logger
 }
 
-// Watcher keeps the newest list by AsOf. Several sources may offer lists to it:
-// its own reads and those that peers pass on.
+// Watcher keeps the list with the latest AsOf. It may be updated from several sources:
+// its own reads and lists received from peers.
 type Watcher struct {
 	opts Options
-	// notify serialises the calls of OnChange.
-	notify sync.Mutex
+	// notifyMu serializes calls of OnChange.
+	notifyMu sync.Mutex
 
 	mu   sync.Mutex
 	list cluster.VMList
@@ -52,7 +52,7 @@
 	return &Watcher{opts: opts}
 }
 
-// Run reads the list until ctx ends. A failed read leaves the last list in force.
+// Run reads the list until ctx ends. A failed read keeps the current list.
 func (w *Watcher) Run(ctx context.Context) {
 	tick := time.NewTicker(w.opts.Interval)
 	defer tick.Stop()
@@ -79,20 +79,20 @@
 	}
 }
 
-// Update takes a list over if it is newer than the one kept, and reports whether
-// it did. An older one is dropped: after a change of the endpoint that answers,
-// a list may be older than the last, and a VM that left would come back.
+// Update replaces the current list if the given one is newer, and reports whether it
+// did. An older list is ignored: after a failover to another endpoint, a list may be
+// older than the current one and contain VMs that have left.
 func (w *Watcher) Update(list cluster.VMList) bool {
-	w.notify.Lock()
-	defer w.notify.Unlock()
-	newer, changed := w.take(list)
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	newer, changed := w.setIfNewer(list)
 	if changed && w.opts.OnChange != nil {
 		w.opts.OnChange(list)
 	}
 	return newer
 }
 
-func (w *Watcher) take(list cluster.VMList) (newer, changed bool) {
+func (w *Watcher) setIfNewer(list cluster.VMList) (newer, changed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !list.AsOf.After(w.list.AsOf) {
@@ -103,16 +103,16 @@
 	return true, changed
 }
 
-// List returns the newest list; its AsOf is zero before the first one. The
-// VMs must not be changed.
+// List returns the current list; its AsOf is zero before the first one. The VMs must
+// not be modified.
 func (w *Watcher) List() cluster.VMList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.list
 }
 
-// Age is how long ago the platform believed the list, by this node's clock; ok
-// is false before the first list.
+// Age returns the time since the list's AsOf by this node's clock; ok is false before
+// the first list.
 func (w *Watcher) Age(now time.Time) (age time.Duration, ok bool) {
 	asOf := w.List().AsOf
 	if asOf.IsZero() {
@@ -122,7 +122,7 @@
 }
 
 // ServiceAddrs returns the addresses of the service's VMs that are live and not
-// leaving, those of the node's own zone first, else in the list's order.
+// leaving: those in this node's zone first, otherwise in the order of the list.
 func (w *Watcher) ServiceAddrs(name cluster.Service) []string {
 	var own, other []string
 	for _, vm := range w.List().VMs {
