--- a/internal/wire/replay.go
+++ b/internal/wire/replay.go
@@ -12,14 +12,14 @@
 // windowBits is how far a datagram may be overtaken by later ones and still be accepted.
 const windowBits = 64
 
-// Window remembers which datagrams were accepted, by sender. It is not safe for
+// ReplayWindow remembers which datagrams were accepted, by sender. It is not safe for
 // concurrent use.
 //
 // Without it, whoever records a datagram could send it again and make a dead
 // node look alive or bring back a quarantine; the age bound alone leaves that
 // open for some seconds. A forgotten sender is harmless: it is forgotten only
 // once its recorded datagrams are all too old.
-type Window struct {
+type ReplayWindow struct {
 	maxAge  time.Duration
 	maxSkew time.Duration
 	senders map[string]*sender
@@ -34,25 +34,25 @@
 }
 
 // NewWindow returns an empty window; zero durations mean the defaults.
-func NewWindow(maxAge, maxSkew time.Duration) *Window {
+func NewWindow(maxAge, maxSkew time.Duration) *ReplayWindow {
 	if maxAge <= 0 {
 		maxAge = DefaultMaxAge
 	}
 	if maxSkew <= 0 {
 		maxSkew = DefaultMaxSkew
 	}
-	return &Window{maxAge: maxAge, maxSkew: maxSkew, senders: make(map[string]*sender)}
+	return &ReplayWindow{maxAge: maxAge, maxSkew: maxSkew, senders: make(map[string]*sender)}
 }
 
 // Accept records an authentic datagram, or says why it must be dropped.
-func (w *Window) Accept(d *wirepb.Datagram, now time.Time) error {
+func (w *ReplayWindow) Accept(d *wirepb.Datagram, now time.Time) error {
 	if reason := w.check(d, now); reason != "" {
 		return &DropError{Reason: reason, Node: d.Node}
 	}
 	return nil
 }
 
-func (w *Window) check(d *wirepb.Datagram, now time.Time) Reason {
+func (w *ReplayWindow) check(d *wirepb.Datagram, now time.Time) Reason {
 	age := now.Sub(time.UnixMilli(d.SentUnixMs))
 	if age > w.maxAge+w.maxSkew {
 		return TooOld
@@ -103,7 +103,7 @@
 }
 
 // makeRoom forgets senders whose datagrams would all be refused by age, when the table is full.
-func (w *Window) makeRoom(now time.Time) bool {
+func (w *ReplayWindow) makeRoom(now time.Time) bool {
 	if len(w.senders) < maxSenders {
 		return true
 	}
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -64,7 +64,7 @@
 	sequence atomic.Uint64
 
 	windowMu sync.Mutex // packets arrive on one thread; the lock is for tests and other conns
-	window   *Window
+	window   *ReplayWindow
 
 	sentPackets, sentBytes         atomic.Uint64
 	receivedPackets, receivedBytes atomic.Uint64
