--- a/internal/wire/replay.go
+++ b/internal/wire/replay.go
@@ -33,8 +33,8 @@
 	heard time.Time
 }
 
-// NewWindow returns an empty window; zero durations mean the defaults.
-func NewWindow(maxAge, maxSkew time.Duration) *ReplayWindow {
+// NewReplayWindow returns an empty window; zero durations mean the defaults.
+func NewReplayWindow(maxAge, maxSkew time.Duration) *ReplayWindow {
 	if maxAge <= 0 {
 		maxAge = DefaultMaxAge
 	}
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -111,7 +111,7 @@
 		now:     opts.Now,
 		log:     opts.Log,
 		drop:    opts.Drop,
-		window:  NewWindow(opts.MaxAge, opts.MaxSkew),
+		window:  NewReplayWindow(opts.MaxAge, opts.MaxSkew),
 		dropped: make(map[Reason]*dropCounter, len(allReasons)),
 	}
 	if t.now == nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -131,7 +131,7 @@
 		{"restarted", 8, 1, 0, ""},
 		{"old process wakes up", 7, 600, 0, OldIncarnation},
 	}
-	w := NewWindow(0, 0)
+	w := NewReplayWindow(0, 0)
 	for _, s := range steps {
 		d := &wirepb.Datagram{Node: "n1", Incarnation: s.incarnation, Sequence: s.sequence, SentUnixMs: now.Add(s.sent).UnixMilli()}
 		require.Equal(t, s.want, reasonOf(w.Accept(d, now)), s.name)
@@ -142,7 +142,7 @@
 // sender's recorded datagrams could still be accepted.
 func TestWindowForgetsOnlyTheLongSilent(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	w := NewWindow(0, 0)
+	w := NewReplayWindow(0, 0)
 	accept := func(node int, at time.Time) Reason {
 		d := &wirepb.Datagram{Node: string(rune('0' + node)), Incarnation: 1, Sequence: 1, SentUnixMs: at.UnixMilli()}
 		return reasonOf(w.Accept(d, at))
@@ -180,7 +180,7 @@
 			_, err = keys.Seal(d)
 			require.NoError(t, err)
 		}
-		_ = NewWindow(0, 0).Accept(d, time.Unix(1_800_000_000, 0))
+		_ = NewReplayWindow(0, 0).Accept(d, time.Unix(1_800_000_000, 0))
 	})
 }
 
