--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -4,35 +4,35 @@
 	"fmt"
 )
 
-// Reason says why a packet was dropped. Its text is a metrics label.
-type Reason string
+// DropReason says why a packet was dropped. Its text is a metrics label.
+type DropReason string
 
 // Reasons for dropping a received packet.
 const (
-	Oversized      Reason = "oversized"
-	Truncated      Reason = "truncated"
-	UnknownVersion Reason = "unknown-version"
-	UnknownKey     Reason = "unknown-key"
-	Forged         Reason = "forged"
-	Malformed      Reason = "malformed"
-	TooOld         Reason = "too-old"
-	FromFuture     Reason = "from-future"
-	Replayed       Reason = "replayed"
-	OldIncarnation Reason = "old-incarnation"
+	Oversized      DropReason = "oversized"
+	Truncated      DropReason = "truncated"
+	UnknownVersion DropReason = "unknown-version"
+	UnknownKey     DropReason = "unknown-key"
+	Forged         DropReason = "forged"
+	Malformed      DropReason = "malformed"
+	TooOld         DropReason = "too-old"
+	FromFuture     DropReason = "from-future"
+	Replayed       DropReason = "replayed"
+	OldIncarnation DropReason = "old-incarnation"
 	// TooManySenders means that the replay table is full of senders heard lately.
-	TooManySenders Reason = "too-many-senders"
+	TooManySenders DropReason = "too-many-senders"
 	// OtherSystem means that a node of a system with another name has the same key.
-	OtherSystem Reason = "other-system"
+	OtherSystem DropReason = "other-system"
 )
 
-var allReasons = []Reason{
+var allReasons = []DropReason{
 	Oversized, Truncated, UnknownVersion, UnknownKey, Forged, Malformed,
 	TooOld, FromFuture, Replayed, OldIncarnation, TooManySenders, OtherSystem,
 }
 
 // DropError says that a received packet was not accepted.
 type DropError struct {
-	Reason Reason
+	Reason DropReason
 	// Node is the sender's name; empty unless the packet was authentic.
 	Node  string
 	Cause error
@@ -49,7 +49,7 @@
 // Unwrap returns the cause.
 func (e *DropError) Unwrap() error { return e.Cause }
 
-func drop(reason Reason) *DropError { return &DropError{Reason: reason} }
+func drop(reason DropReason) *DropError { return &DropError{Reason: reason} }
 
 // SendError says that a datagram was not handed to the network.
 type SendError struct {
--- a/internal/wire/replay.go
+++ b/internal/wire/replay.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func (w *ReplayWindow) check(d *wirepb.Datagram, now time.Time) Reason {
+func (w *ReplayWindow) check(d *wirepb.Datagram, now time.Time) DropReason {
 	age := now.Sub(time.UnixMilli(d.SentUnixMs))
 	if age > w.maxAge+w.maxSkew {
 		return TooOld
@@ -75,7 +75,7 @@
 	return reason
 }
 
-func (s *sender) accept(d *wirepb.Datagram) Reason {
+func (s *sender) accept(d *wirepb.Datagram) DropReason {
 	if d.Incarnation < s.incarnation {
 		return OldIncarnation
 	}
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -47,7 +47,7 @@
 type Counters struct {
 	SentPackets, SentBytes         uint64
 	ReceivedPackets, ReceivedBytes uint64
-	Dropped                        map[Reason]uint64
+	Dropped                        map[DropReason]uint64
 }
 
 // Transport sends and receives authenticated datagrams. All methods are safe
@@ -68,7 +68,7 @@
 
 	sentPackets, sentBytes         atomic.Uint64
 	receivedPackets, receivedBytes atomic.Uint64
-	dropped                        map[Reason]*dropCounter
+	dropped                        map[DropReason]*dropCounter
 }
 
 type dropCounter struct {
@@ -112,7 +112,7 @@
 		log:     opts.Log,
 		drop:    opts.Drop,
 		window:  NewReplayWindow(opts.MaxAge, opts.MaxSkew),
-		dropped: make(map[Reason]*dropCounter, len(allReasons)),
+		dropped: make(map[DropReason]*dropCounter, len(allReasons)),
 	}
 	if t.now == nil {
 		t.now = time.Now
@@ -253,7 +253,7 @@
 		SentBytes:       t.sentBytes.Load(),
 		ReceivedPackets: t.receivedPackets.Load(),
 		ReceivedBytes:   t.receivedBytes.Load(),
-		Dropped:         make(map[Reason]uint64),
+		Dropped:         make(map[DropReason]uint64),
 	}
 	for reason, counter := range t.dropped {
 		if n := counter.count.Load(); n > 0 {
--- a/internal/wire/transport_test.go
+++ b/internal/wire/transport_test.go
@@ -58,7 +58,7 @@
 			_, err = raw.Write(packet)
 			require.NoError(t, err)
 		}
-		want := map[wire.Reason]uint64{wire.Forged: 1, wire.TooOld: 1, wire.Replayed: 1, wire.Truncated: 1, wire.Oversized: 1}
+		want := map[wire.DropReason]uint64{wire.Forged: 1, wire.TooOld: 1, wire.Replayed: 1, wire.Truncated: 1, wire.Oversized: 1}
 		require.Eventually(t, func() bool { return len(receiver.Counters().Dropped) == len(want) }, 10*time.Second, time.Millisecond)
 		require.Equal(t, want, receiver.Counters().Dropped)
 		require.NoError(t, sender.SendAll([]string{receiver.Addr()}, beat()))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -28,7 +28,7 @@
 	return &wirepb.Datagram{Node: "n1", Zone: "z1", Incarnation: 7, Sequence: sequence, SentUnixMs: sent.UnixMilli()}
 }
 
-func reasonOf(err error) Reason {
+func reasonOf(err error) DropReason {
 	if d, ok := err.(*DropError); ok {
 		return d.Reason
 	}
@@ -55,7 +55,7 @@
 
 	for name, c := range map[string]struct {
 		packet []byte
-		want   Reason
+		want   DropReason
 	}{
 		"whole":            {good, ""},
 		"empty":            {nil, Truncated},
@@ -115,7 +115,7 @@
 		incarnation uint64
 		sequence    uint64
 		sent        time.Duration
-		want        Reason
+		want        DropReason
 	}{
 		{"first", 7, 10, 0, ""},
 		{"again", 7, 10, 0, Replayed},
@@ -143,7 +143,7 @@
 func TestWindowForgetsOnlyTheLongSilent(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	w := NewReplayWindow(0, 0)
-	accept := func(node int, at time.Time) Reason {
+	accept := func(node int, at time.Time) DropReason {
 		d := &wirepb.Datagram{Node: string(rune('0' + node)), Incarnation: 1, Sequence: 1, SentUnixMs: at.UnixMilli()}
 		return reasonOf(w.Accept(d, at))
 	}
