--- a/internal/entry/region.go
+++ b/internal/entry/region.go
@@ -101,7 +101,7 @@
 func (r *regionPeers) useKey(ctx context.Context, secret []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if string(secret) == r.currentKey || len(secret) < wire.MinSecret || ctx.Err() != nil {
+	if string(secret) == r.currentKey || len(secret) < wire.MinSecretLength || ctx.Err() != nil {
 		return
 	}
 	r.stop()
--- a/internal/wire/keyring.go
+++ b/internal/wire/keyring.go
@@ -10,8 +10,8 @@
 	"github.com/go-faster/errors"
 )
 
-// MinSecret is the least length of a key's secret, in bytes.
-const MinSecret = 16
+// MinSecretLength is the least length of a key's secret, in bytes.
+const MinSecretLength = 16
 
 // Key is one shared secret of all nodes of a system.
 type Key struct {
@@ -53,8 +53,8 @@
 	}
 	set := &keySet{byID: make(map[uint32]*macKey, len(keys))}
 	for _, key := range keys {
-		if len(key.Secret) < MinSecret {
-			return &ConfigError{Field: "keys", Cause: errors.Errorf("secret of key %d is shorter than %d bytes", key.ID, MinSecret)}
+		if len(key.Secret) < MinSecretLength {
+			return &ConfigError{Field: "keys", Cause: errors.Errorf("secret of key %d is shorter than %d bytes", key.ID, MinSecretLength)}
 		}
 		if set.byID[key.ID] != nil {
 			return &ConfigError{Field: "keys", Cause: errors.Errorf("key %d is given twice", key.ID)}
