--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -13,7 +13,7 @@
 	}
 	keys, err := datagramKeys(cfg)
 	if err == nil {
-		err = n.keyring.Swap(keys...)
+		err = n.keyring.Replace(keys...)
 	}
 	if err != nil {
 		n.log.Error("reload refused", "path", path, "err", err.Error())
--- a/internal/wire/keyring.go
+++ b/internal/wire/keyring.go
@@ -40,14 +40,14 @@
 // NewKeyring returns a ring that signs with the first key.
 func NewKeyring(keys ...Key) (*Keyring, error) {
 	k := &Keyring{}
-	if err := k.Swap(keys...); err != nil {
+	if err := k.Replace(keys...); err != nil {
 		return nil, err
 	}
 	return k, nil
 }
 
-// Swap replaces all keys at once. On an error the old keys stay.
-func (k *Keyring) Swap(keys ...Key) error {
+// Replace replaces all keys at once. On an error the old keys stay.
+func (k *Keyring) Replace(keys ...Key) error {
 	if len(keys) == 0 {
 		return &ConfigError{Field: "keys", Cause: errors.New("no key given")}
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -94,14 +94,14 @@
 	}
 	steps := [][]Key{{keyA, keyB}, {keyB, keyA}, {keyB}}
 	for _, keys := range steps {
-		require.NoError(t, receiver.Swap(keys...))
+		require.NoError(t, receiver.Replace(keys...))
 		pass()
-		require.NoError(t, sender.Swap(keys...))
+		require.NoError(t, sender.Replace(keys...))
 		pass()
 	}
-	require.Error(t, sender.Swap())
-	require.Error(t, sender.Swap(keyA, keyA))
-	require.Error(t, sender.Swap(Key{ID: 3, Secret: []byte("short")}))
+	require.Error(t, sender.Replace())
+	require.Error(t, sender.Replace(keyA, keyA))
+	require.Error(t, sender.Replace(Key{ID: 3, Secret: []byte("short")}))
 	pass()
 }
 
