--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -23,7 +23,7 @@
 // nodes is some zones of nodes on one in-memory network and the fake clock.
 type nodes struct {
 	t     *testing.T
-	net   *wiretest.Net
+	net   *wiretest.Network
 	keys  *wire.Keyring
 	seeds []string
 	all   []*node
@@ -53,7 +53,7 @@
 
 // startSystem brings up a named system's nodes on a network that other systems may
 // share, at the addresses given.
-func startSystem(t *testing.T, net *wiretest.Net, system string, zones, perZone int, addrOf func(zone, i int) string) *nodes {
+func startSystem(t *testing.T, net *wiretest.Network, system string, zones, perZone int, addrOf func(zone, i int) string) *nodes {
 	t.Helper()
 	keys, err := wire.NewKeyring(wire.Key{ID: 1, Secret: []byte("0123456789abcdef")})
 	require.NoError(t, err)
--- a/internal/wire/wiretest/net.go
+++ b/internal/wire/wiretest/net.go
@@ -14,8 +14,8 @@
 // Delay is the time a packet travels, one way.
 const Delay = time.Millisecond
 
-// Net connects the conns attached to it.
-type Net struct {
+// Network connects the conns attached to it.
+type Network struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
 	conns  map[string]*conn
@@ -25,26 +25,26 @@
 }
 
 // New returns a network without loss whose choices follow the seed.
-func New(seed uint64) *Net {
-	return &Net{rng: rand.New(rand.NewPCG(seed, 1)), conns: make(map[string]*conn)}
+func New(seed uint64) *Network {
+	return &Network{rng: rand.New(rand.NewPCG(seed, 1)), conns: make(map[string]*conn)}
 }
 
 // SetLoss makes each packet be lost with probability p.
-func (n *Net) SetLoss(p float64) {
+func (n *Network) SetLoss(p float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss = p
 }
 
 // Block cuts the paths for which f is true; nil heals all.
-func (n *Net) Block(f func(from, to string) bool) {
+func (n *Network) Block(f func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocks = f
 }
 
 // Tap shows every packet that is sent, also those that will be lost.
-func (n *Net) Tap(f func(from, to string, packet []byte)) {
+func (n *Network) Tap(f func(from, to string, packet []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.tap = f
@@ -52,7 +52,7 @@
 
 // Attach returns the conn of one address; a second one replaces the first, as
 // when a process starts anew.
-func (n *Net) Attach(addr string) wire.PacketConn {
+func (n *Network) Attach(addr string) wire.PacketConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c := &conn{net: n, addr: addr}
@@ -62,20 +62,20 @@
 }
 
 // Inject delivers a packet at once, without loss or cut.
-func (n *Net) Inject(from, to string, packet []byte) {
+func (n *Network) Inject(from, to string, packet []byte) {
 	n.deliver(from, to, append([]byte(nil), packet...))
 }
 
 // Freeze stops the process behind addr as SIGSTOP does: its sends block and
 // what it is sent waits in its socket. Thaw lets it go on.
-func (n *Net) Freeze(addr string) {
+func (n *Network) Freeze(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conns[addr].frozen = true
 }
 
 // Thaw ends Freeze and delivers what was waiting.
-func (n *Net) Thaw(addr string) {
+func (n *Network) Thaw(addr string) {
 	n.mu.Lock()
 	c := n.conns[addr]
 	c.frozen = false
@@ -97,7 +97,7 @@
 }
 
 type conn struct {
-	net     *Net
+	net     *Network
 	addr    string
 	take    func(packet []byte, from string)
 	closed  bool
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (n *Net) deliver(from, to string, packet []byte) {
+func (n *Network) deliver(from, to string, packet []byte) {
 	n.mu.Lock()
 	c := n.conns[to]
 	if c == nil || c.closed || c.take == nil {
