--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -68,7 +68,7 @@
 	require.NotZero(t, code, "with a stranger's certificate: %s", out)
 
 	for _, f := range []wire.TLSFiles{aFiles, bFiles} {
-		wiretest.WriteAtOnce(t, f.CA, bytes.Join([][]byte{first.PEM, second.PEM}, nil))
+		wiretest.WriteFileAtomic(t, f.CA, bytes.Join([][]byte{first.PEM, second.PEM}, nil))
 	}
 	third, _ := s.startTLSNode(second, "serra-a-3", nowhere)
 	s.tls = ""
@@ -125,7 +125,7 @@
 	text, err := os.ReadFile(path)
 	require.NoError(s.t, err)
 	require.Contains(s.t, string(text), from)
-	wiretest.WriteAtOnce(s.t, path, []byte(strings.Replace(string(text), from, to, 1)))
+	wiretest.WriteFileAtomic(s.t, path, []byte(strings.Replace(string(text), from, to, 1)))
 }
 
 // awaitAllHeard waits until each node has received new datagrams of each other
--- a/internal/wire/wiretest/certs.go
+++ b/internal/wire/wiretest/certs.go
@@ -46,14 +46,14 @@
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	require.NoError(t, err)
 	files := wire.TLSFiles{Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), CA: filepath.Join(dir, "ca")}
-	WriteAtOnce(t, files.Key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER}))
-	WriteAtOnce(t, files.Cert, a.sign(t, template(time.Now().UnixNano()), key))
-	WriteAtOnce(t, files.CA, a.PEM)
+	WriteFileAtomic(t, files.Key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER}))
+	WriteFileAtomic(t, files.Cert, a.sign(t, template(time.Now().UnixNano()), key))
+	WriteFileAtomic(t, files.CA, a.PEM)
 	return files
 }
 
-// WriteAtOnce puts a whole file in the place of an old one.
-func WriteAtOnce(t testing.TB, path string, text []byte) {
+// WriteFileAtomic puts a whole file in the place of an old one.
+func WriteFileAtomic(t testing.TB, path string, text []byte) {
 	t.Helper()
 	require.NoError(t, os.WriteFile(path+".new", text, 0o600))
 	require.NoError(t, os.Rename(path+".new", path))
