--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -9,10 +9,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// headSize is the part of the header that the tag covers.
-const headSize = 1 + 4
+// authHeaderSize is the length of the part of the header that the tag authenticates:
+// the version and the key ID.
+const authHeaderSize = 1 + 4
 
-// Seal encodes and signs a datagram with the ring's first key.
+// Seal encodes a datagram and signs it with the keyring's first key.
 func (k *Keyring) Seal(d *wirepb.Datagram) ([]byte, error) {
 	size := proto.Size(d)
 	if size > MaxBody {
@@ -21,35 +22,35 @@
 	key := k.set.Load().signing
 	packet := make([]byte, headerSize, headerSize+size)
 	packet[0] = version1
-	binary.BigEndian.PutUint32(packet[1:headSize], key.id)
+	binary.BigEndian.PutUint32(packet[1:authHeaderSize], key.id)
 	packet, err := proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(packet, d)
 	if err != nil {
 		return nil, &SendError{Cause: err}
 	}
-	key.tag(packet[headSize:headSize], packet[:headSize], packet[headerSize:])
+	key.appendTag(packet[authHeaderSize:authHeaderSize], packet[:authHeaderSize], packet[headerSize:])
 	return packet, nil
 }
 
-// Open verifies and decodes a packet. It keeps no reference to it. The result
-// may still be a replay: see Window.
+// Open verifies and decodes a packet. It does not retain the packet. The result may
+// still be a replay; see ReplayWindow.
 func (k *Keyring) Open(packet []byte) (*wirepb.Datagram, error) {
 	if len(packet) > MaxPacket {
-		return nil, drop(Oversized)
+		return nil, newDropError(Oversized)
 	}
 	if len(packet) < headerSize {
-		return nil, drop(Truncated)
+		return nil, newDropError(Truncated)
 	}
 	if packet[0] != version1 {
-		return nil, drop(UnknownVersion)
+		return nil, newDropError(UnknownVersion)
 	}
-	key := k.set.Load().byID[binary.BigEndian.Uint32(packet[1:headSize])]
+	key := k.set.Load().byID[binary.BigEndian.Uint32(packet[1:authHeaderSize])]
 	if key == nil {
-		return nil, drop(UnknownKey)
+		return nil, newDropError(UnknownKey)
 	}
 	var want [tagSize]byte
-	key.tag(want[:0], packet[:headSize], packet[headerSize:])
-	if !hmac.Equal(want[:], packet[headSize:headerSize]) {
-		return nil, drop(Forged)
+	key.appendTag(want[:0], packet[:authHeaderSize], packet[headerSize:])
+	if !hmac.Equal(want[:], packet[authHeaderSize:headerSize]) {
+		return nil, newDropError(Forged)
 	}
 	d := &wirepb.Datagram{}
 	if err := proto.Unmarshal(packet[headerSize:], d); err != nil {
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// DropReason says why a packet was dropped. Its text is a metrics label.
+// DropReason tells why a packet was dropped. It is used as a metric label.
 type DropReason string
 
 // Reasons for dropping a received packet.
@@ -19,9 +19,10 @@
 	FromFuture     DropReason = "from-future"
 	Replayed       DropReason = "replayed"
 	OldIncarnation DropReason = "old-incarnation"
-	// TooManySenders means that the replay table is full of senders heard lately.
+	// TooManySenders means that the replay window is full of recently active senders.
 	TooManySenders DropReason = "too-many-senders"
-	// OtherSystem means that a node of a system with another name has the same key.
+	// OtherSystem means that the sender has the same key but belongs to a system with
+	// another name.
 	OtherSystem DropReason = "other-system"
 )
 
@@ -30,10 +31,10 @@
 	TooOld, FromFuture, Replayed, OldIncarnation, TooManySenders, OtherSystem,
 }
 
-// DropError says that a received packet was not accepted.
+// DropError reports that a received packet was dropped.
 type DropError struct {
 	Reason DropReason
-	// Node is the sender's name; empty unless the packet was authentic.
+	// Node is the sender's name; it is empty unless the packet was authentic.
 	Node  string
 	Cause error
 }
@@ -46,15 +47,15 @@
 	return fmt.Sprintf("wire: packet dropped: %s", e.Reason)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *DropError) Unwrap() error { return e.Cause }
 
-func drop(reason DropReason) *DropError { return &DropError{Reason: reason} }
+func newDropError(reason DropReason) *DropError { return &DropError{Reason: reason} }
 
-// SendError says that a datagram was not handed to the network.
+// SendError reports that a datagram was not sent.
 type SendError struct {
 	Addr string
-	// Size is the encoded body in bytes when it was too large, else zero.
+	// Size is the length of the encoded body in bytes if it was too large, otherwise zero.
 	Size  int
 	Cause error
 }
@@ -62,15 +63,15 @@
 // Error implements error.
 func (e *SendError) Error() string {
 	if e.Size > 0 {
-		return fmt.Sprintf("wire: datagram of %d bytes exceeds %d", e.Size, MaxBody)
+		return fmt.Sprintf("wire: datagram body of %d bytes exceeds the limit of %d bytes", e.Size, MaxBody)
 	}
 	return fmt.Sprintf("wire: send to %s: %v", e.Addr, e.Cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *SendError) Unwrap() error { return e.Cause }
 
-// ConfigError says which setting cannot be used.
+// ConfigError reports an invalid setting.
 type ConfigError struct {
 	Field string
 	Cause error
@@ -79,5 +80,5 @@
 // Error implements error.
 func (e *ConfigError) Error() string { return fmt.Sprintf("wire: setting %s: %v", e.Field, e.Cause) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *ConfigError) Unwrap() error { return e.Cause }
--- a/internal/wire/gnetconn.go
+++ b/internal/wire/gnetconn.go
@@ -15,19 +15,19 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// stopTimeout bounds the wait for gnet's event loop to end.
+// stopTimeout limits the wait for gnet's event loop to end.
 const stopTimeout = 5 * time.Second
 
-// gnetConn receives on a gnet event loop. gnet sends only from inside an event
-// callback, while heartbeats start outside of one; so sends go through a
-// duplicate of the same socket, which keeps the source address.
+// gnetConn receives on a gnet event loop. gnet can send only within an event callback,
+// but heartbeats are sent outside of one. Sends therefore use a duplicate of the same
+// socket, so that the source address is the same.
 type gnetConn struct {
 	gnet.BuiltinEventEngine
 
 	engine  gnet.Engine
 	sender  *net.UDPConn
-	take    atomic.Pointer[func(packet []byte, from string)]
-	booted  chan error
+	handler atomic.Pointer[func(packet []byte, from string)]
+	started chan error
 	stopped chan struct{}
 
 	closeOnce sync.Once
@@ -35,10 +35,10 @@
 }
 
 func listenGnet(addr string, log *slog.Logger) (*gnetConn, error) {
-	if err := checkFree(addr); err != nil {
+	if err := checkAddrUnused(addr); err != nil {
 		return nil, &ConfigError{Field: "datagram address", Cause: err}
 	}
-	c := &gnetConn{booted: make(chan error, 1), stopped: make(chan struct{})}
+	c := &gnetConn{started: make(chan error, 1), stopped: make(chan struct{})}
 	go func() {
 		defer close(c.stopped)
 		err := gnet.Run(c, "udp://"+addr, gnet.WithNumEventLoop(1), gnet.WithLogger(gnetLogger{log}))
@@ -46,82 +46,82 @@
 			err = errors.New("event loop ended")
 		}
 		select {
-		case c.booted <- err:
+		case c.started <- err:
 		default:
 		}
 	}()
-	if err := <-c.booted; err != nil {
+	if err := <-c.started; err != nil {
 		<-c.stopped
 		return nil, &ConfigError{Field: "datagram address", Cause: err}
 	}
 	return c, nil
 }
 
-// checkFree fails when addr is in use. gnet binds UDP sockets so that several
-// processes may share one address, and the kernel then splits the datagrams
-// among them: a process started twice would halve what each hears and nobody
-// would be told. A plain bind refuses that.
-func checkFree(addr string) error {
+// checkAddrUnused returns an error if addr is in use. gnet binds UDP sockets so that
+// several processes can share an address, and the kernel then distributes the datagrams
+// among them: if a process were started twice, each would receive only a part of them,
+// without an error. A plain bind fails in this case.
+func checkAddrUnused(addr string) error {
 	local, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return err
 	}
-	probe, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
+	listener, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	if err != nil {
 		return err
 	}
-	return probe.Close()
+	return listener.Close()
 }
 
 // OnBoot implements gnet.EventHandler.
 func (c *gnetConn) OnBoot(engine gnet.Engine) gnet.Action {
 	c.engine = engine
-	sender, err := dupUDP(engine)
+	sender, err := duplicateSocket(engine)
 	if err != nil {
-		c.booted <- err
+		c.started <- err
 		return gnet.Shutdown
 	}
 	c.sender = sender
-	c.booted <- nil
+	c.started <- nil
 	return gnet.None
 }
 
-func dupUDP(engine gnet.Engine) (*net.UDPConn, error) {
+func duplicateSocket(engine gnet.Engine) (*net.UDPConn, error) {
 	fd, err := engine.Dup()
 	if err != nil {
-		return nil, errors.Wrap(err, "duplicate socket")
+		return nil, errors.Wrap(err, "duplicate UDP socket")
 	}
 	file := os.NewFile(uintptr(fd), "datagrams")
 	defer func() { _ = file.Close() }()
 	conn, err := net.FilePacketConn(file)
 	if err != nil {
-		return nil, errors.Wrap(err, "duplicate socket")
+		return nil, errors.Wrap(err, "duplicate UDP socket")
 	}
 	return conn.(*net.UDPConn), nil
 }
 
-// OnTraffic implements gnet.EventHandler; it runs once for each packet.
+// OnTraffic implements gnet.EventHandler. It is called once for each packet.
 func (c *gnetConn) OnTraffic(conn gnet.Conn) gnet.Action {
 	packet, err := conn.Next(-1)
 	if err != nil {
 		return gnet.None
 	}
-	if take := c.take.Load(); take != nil {
-		(*take)(packet, conn.RemoteAddr().String())
+	if handler := c.handler.Load(); handler != nil {
+		(*handler)(packet, conn.RemoteAddr().String())
 	}
 	return gnet.None
 }
 
 func (c *gnetConn) WriteTo(packet []byte, addr string) error {
-	to, err := netip.ParseAddrPort(addr)
+	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return err
 	}
-	_, err = c.sender.WriteToUDPAddrPort(packet, to)
+	_, err = c.sender.WriteToUDPAddrPort(packet, addrPort)
 	return err
 }
 
-func (c *gnetConn) Receive(take func(packet []byte, from string)) { c.take.Store(&take) }
+func (c *gnetConn) Receive(handler func(packet []byte, from string)) { c.handler.Store(&handler) }
 
 func (c *gnetConn) Addr() string { return c.sender.LocalAddr().String() }
 
@@ -136,7 +136,7 @@
 	return c.closeErr
 }
 
-// gnetLogger passes gnet's own lines on as structured ones.
+// gnetLogger writes gnet's log messages to a structured logger.
 type gnetLogger struct{ log *slog.Logger }
 
 func (l gnetLogger) Debugf(format string, args ...any) {
--- a/internal/wire/keyring.go
+++ b/internal/wire/keyring.go
@@ -10,18 +10,18 @@
 	"github.com/go-faster/errors"
 )
 
-// MinSecretLength is the least length of a key's secret, in bytes.
+// MinSecretLength is the minimum length of a key's secret in bytes.
 const MinSecretLength = 16
 
-// Key is one shared secret of all nodes of a system.
+// Key is a secret shared by all nodes of a system.
 type Key struct {
 	ID     uint32
 	Secret []byte
 }
 
-// Keyring holds the keys in use; the first signs and all verify. To rotate
-// without a restart and without losing datagrams, first add the new key behind
-// the old one on all nodes, then move it to the front, then drop the old one.
+// Keyring holds the keys in use: the first one signs and all of them verify. To rotate
+// keys without a restart and without losing datagrams, add the new key after the old
+// one on all nodes, then move it to the front on all nodes, then remove the old one.
 type Keyring struct {
 	set atomic.Pointer[keySet]
 }
@@ -31,13 +31,14 @@
 	byID    map[uint32]*macKey
 }
 
-// macKey pools the keyed hash states: keying costs more than hashing a small packet.
+// macKey pools keyed hash states, because keying a hash costs more than hashing a small
+// packet.
 type macKey struct {
 	id   uint32
 	pool sync.Pool
 }
 
-// NewKeyring returns a ring that signs with the first key.
+// NewKeyring returns a keyring that signs with the first key.
 func NewKeyring(keys ...Key) (*Keyring, error) {
 	k := &Keyring{}
 	if err := k.Replace(keys...); err != nil {
@@ -46,10 +47,10 @@
 	return k, nil
 }
 
-// Replace replaces all keys at once. On an error the old keys stay.
+// Replace replaces all keys atomically. On an error the current keys stay in use.
 func (k *Keyring) Replace(keys ...Key) error {
 	if len(keys) == 0 {
-		return &ConfigError{Field: "keys", Cause: errors.New("no key given")}
+		return &ConfigError{Field: "keys", Cause: errors.New("no key configured")}
 	}
 	set := &keySet{byID: make(map[uint32]*macKey, len(keys))}
 	for _, key := range keys {
@@ -57,7 +58,7 @@
 			return &ConfigError{Field: "keys", Cause: errors.Errorf("secret of key %d is shorter than %d bytes", key.ID, MinSecretLength)}
 		}
 		if set.byID[key.ID] != nil {
-			return &ConfigError{Field: "keys", Cause: errors.Errorf("key %d is given twice", key.ID)}
+			return &ConfigError{Field: "keys", Cause: errors.Errorf("duplicate key id %d", key.ID)}
 		}
 		set.byID[key.ID] = newMACKey(key)
 	}
@@ -73,12 +74,13 @@
 	return m
 }
 
-// tag appends to dst the authentication tag over the header's first bytes and the body.
-func (m *macKey) tag(dst, head, body []byte) []byte {
+// appendTag appends to dst the authentication tag of the header's authenticated part and
+// the body.
+func (m *macKey) appendTag(dst, header, body []byte) []byte {
 	h := m.pool.Get().(hash.Hash)
 	defer m.pool.Put(h)
 	h.Reset()
-	h.Write(head)
+	h.Write(header)
 	h.Write(body)
 	var sum [sha256.Size]byte
 	return append(dst, h.Sum(sum[:0])[:tagSize]...)
--- a/internal/wire/replay.go
+++ b/internal/wire/replay.go
@@ -6,19 +6,21 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// maxSenders bounds the replay table: more than twice the nodes of the largest plan.
+// maxSenders limits the number of senders in a ReplayWindow. It is more than twice the
+// number of nodes of the largest planned system.
 const maxSenders = 1024
 
-// windowBits is how far a datagram may be overtaken by later ones and still be accepted.
+// windowBits is the size of the window of sequence numbers: a datagram that lags the
+// newest one by as much or more is dropped.
 const windowBits = 64
 
-// ReplayWindow remembers which datagrams were accepted, by sender. It is not safe for
+// ReplayWindow records which datagrams of each sender were accepted. It is not safe for
 // concurrent use.
 //
-// Without it, whoever records a datagram could send it again and make a dead
-// node look alive or bring back a quarantine; the age bound alone leaves that
-// open for some seconds. A forgotten sender is harmless: it is forgotten only
-// once its recorded datagrams are all too old.
+// Without it, an attacker could replay a recorded datagram to make a dead node appear
+// alive or to restore a quarantine; the age limit alone allows that for some seconds.
+// Forgetting a sender is safe, because it happens only once all datagrams recorded from
+// it exceed the age limit.
 type ReplayWindow struct {
 	maxAge  time.Duration
 	maxSkew time.Duration
@@ -28,9 +30,9 @@
 type sender struct {
 	incarnation uint64
 	newest      uint64
-	// seen has bit i set when sequence newest-i was accepted.
-	seen  uint64
-	heard time.Time
+	// seen has bit i set if sequence newest-i was accepted.
+	seen         uint64
+	lastAccepted time.Time
 }
 
 // NewReplayWindow returns an empty window; zero durations mean the defaults.
@@ -44,7 +46,7 @@
 	return &ReplayWindow{maxAge: maxAge, maxSkew: maxSkew, senders: make(map[string]*sender)}
 }
 
-// Accept records an authentic datagram, or says why it must be dropped.
+// Accept records an authentic datagram, or returns a *DropError if it must be dropped.
 func (w *ReplayWindow) Accept(d *wirepb.Datagram, now time.Time) error {
 	if reason := w.check(d, now); reason != "" {
 		return &DropError{Reason: reason, Node: d.Node}
@@ -62,7 +64,7 @@
 	}
 	s := w.senders[d.Node]
 	if s == nil {
-		if !w.makeRoom(now) {
+		if !w.ensureCapacity(now) {
 			return TooManySenders
 		}
 		s = &sender{}
@@ -70,7 +72,7 @@
 	}
 	reason := s.accept(d)
 	if reason == "" {
-		s.heard = now
+		s.lastAccepted = now
 	}
 	return reason
 }
@@ -90,11 +92,11 @@
 		s.newest = d.Sequence
 		return ""
 	}
-	behind := s.newest - d.Sequence
-	if behind >= windowBits {
+	distance := s.newest - d.Sequence
+	if distance >= windowBits {
 		return TooOld
 	}
-	bit := uint64(1) << behind
+	bit := uint64(1) << distance
 	if s.seen&bit != 0 {
 		return Replayed
 	}
@@ -102,14 +104,15 @@
 	return ""
 }
 
-// makeRoom forgets senders whose datagrams would all be refused by age, when the table is full.
-func (w *ReplayWindow) makeRoom(now time.Time) bool {
+// ensureCapacity reports whether there is room for another sender. If the window is full,
+// it first forgets the senders whose datagrams would all exceed the age limit.
+func (w *ReplayWindow) ensureCapacity(now time.Time) bool {
 	if len(w.senders) < maxSenders {
 		return true
 	}
-	forget := w.maxAge + 2*w.maxSkew
+	forgetAfter := w.maxAge + 2*w.maxSkew
 	for name, s := range w.senders {
-		if now.Sub(s.heard) > forget {
+		if now.Sub(s.lastAccepted) > forgetAfter {
 			delete(w.senders, name)
 		}
 	}
--- a/internal/wire/tls.go
+++ b/internal/wire/tls.go
@@ -14,75 +14,76 @@
 	"github.com/go-faster/errors"
 )
 
-// TLSFiles names PEM files. They are read again when they change, so that keys
-// are rotated without a restart.
+// TLSFiles contains the paths of PEM files. The files are reloaded when they change, so
+// that keys can be rotated without a restart.
 type TLSFiles struct {
 	Cert, Key string
-	// CA holds the certificates that sign the nodes' certificates.
+	// CA contains the certificates of the authorities that sign the nodes' certificates.
 	CA string
 }
 
-// TLSConfig serves TLS settings from files. All methods are safe for concurrent use.
+// TLSConfig provides TLS configurations from files. All methods are safe for concurrent
+// use.
 //
-// A rotation takes effect on connections opened after it. When the new files
-// cannot be used (a key that does not fit its certificate, a half-written file)
-// the old material stays in use, and each failed look is logged.
+// A rotation applies to connections opened after it. If the new files cannot be used,
+// for example because the key does not match the certificate or a file is incomplete,
+// the current credentials stay in use and each failed reload is logged.
 type TLSConfig struct {
 	files TLSFiles
 	log   *slog.Logger
 
-	mu       sync.Mutex
-	material *tlsMaterial
-	stamps   [3]fileStamp
+	mu          sync.Mutex
+	credentials *tlsCredentials
+	fileStats   [3]fileStat
 }
 
-type tlsMaterial struct {
+type tlsCredentials struct {
 	cert tls.Certificate
 	ca   *x509.CertPool
 }
 
-type fileStamp struct {
+type fileStat struct {
 	size    int64
 	modTime time.Time
 }
 
-// NewTLSConfig reads the files once and fails if they cannot be used.
+// NewTLSConfig loads the files and returns an error if they cannot be used.
 func NewTLSConfig(files TLSFiles, log *slog.Logger) (*TLSConfig, error) {
 	if log == nil {
 		log = slog.Default()
 	}
 	c := &TLSConfig{files: files, log: log}
-	stamps, err := stampFiles(files)
+	fileStats, err := statFiles(files)
 	if err != nil {
 		return nil, &ConfigError{Field: "tls", Cause: err}
 	}
-	material, err := loadMaterial(files)
+	credentials, err := loadCredentials(files)
 	if err != nil {
 		return nil, &ConfigError{Field: "tls", Cause: err}
 	}
-	c.stamps, c.material = stamps, material
+	c.fileStats, c.credentials = fileStats, credentials
 	return c, nil
 }
 
-// Server returns the settings of a TLS listener. With mutual set, clients must
-// present a certificate signed by the CA: that is how nodes know each other.
+// Server returns the configuration of a TLS listener. If mutual is true, clients must
+// present a certificate signed by the CA, which is how nodes authenticate each other.
 func (c *TLSConfig) Server(mutual bool) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{"h2", "http/1.1"},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return c.serverNow(mutual), nil
+			return c.serverConfig(mutual), nil
 		},
 	}
 }
 
-func (c *TLSConfig) serverNow(mutual bool) *tls.Config {
-	m := c.current()
+func (c *TLSConfig) serverConfig(mutual bool) *tls.Config {
+	m := c.currentCredentials()
 	cfg := &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{"h2", "http/1.1"},
 		Certificates: []tls.Certificate{m.cert},
-		// A resumed session would outlive the rotation that ends its certificate.
+		// A resumed session would outlive the rotation that replaces its certificate.
 		SessionTicketsDisabled: true,
 	}
 	if mutual {
@@ -92,10 +93,10 @@
 	return cfg
 }
 
-// Client returns the settings of one connection to serverName, an IP number or
-// name that the server's certificate must carry.
+// Client returns the configuration of a connection to serverName, an IP address or host
+// name that the server's certificate must contain.
 func (c *TLSConfig) Client(serverName string) *tls.Config {
-	m := c.current()
+	m := c.currentCredentials()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{"h2", "http/1.1"},
@@ -105,9 +106,9 @@
 	}
 }
 
-// HTTPTransport returns a client transport that takes the newest settings for
-// each new connection. serverName overrides the dialled host in the check of the
-// server's certificate; empty means the host.
+// HTTPTransport returns a client transport that uses the current credentials for each
+// new connection. If serverName is not empty, the server's certificate is verified
+// against it and not against the dialed host.
 func (c *TLSConfig) HTTPTransport(serverName string) *http.Transport {
 	return &http.Transport{
 		ForceAttemptHTTP2: true,
@@ -127,47 +128,47 @@
 	}
 }
 
-// idleConnTimeout closes connections that a rotation may have outdated.
+// idleConnTimeout closes idle connections, whose credentials may predate a rotation.
 const idleConnTimeout = 90 * time.Second
 
-// current returns the newest usable material. It looks at the files for each
-// new connection, which is rare, without the lock.
-func (c *TLSConfig) current() *tlsMaterial {
+// currentCredentials returns the latest valid credentials. It checks the files for
+// changes on each new connection, which is rare, and does so without holding the lock.
+func (c *TLSConfig) currentCredentials() *tlsCredentials {
 	c.mu.Lock()
-	old, oldStamps := c.material, c.stamps
+	old, oldFileStats := c.credentials, c.fileStats
 	c.mu.Unlock()
-	stamps, err := stampFiles(c.files)
-	if err == nil && stamps == oldStamps {
+	fileStats, err := statFiles(c.files)
+	if err == nil && fileStats == oldFileStats {
 		return old
 	}
-	var material *tlsMaterial
+	var credentials *tlsCredentials
 	if err == nil {
-		material, err = loadMaterial(c.files)
+		credentials, err = loadCredentials(c.files)
 	}
 	if err != nil {
-		c.log.Error("tls files not usable, keeping the old ones", "cert", c.files.Cert, "err", err)
+		c.log.Error("cannot load tls files, keeping the current credentials", "cert", c.files.Cert, "err", err)
 		return old
 	}
 	c.mu.Lock()
-	c.material, c.stamps = material, stamps
+	c.credentials, c.fileStats = credentials, fileStats
 	c.mu.Unlock()
-	c.log.Info("tls files read again", "cert", c.files.Cert)
-	return material
+	c.log.Info("tls files reloaded", "cert", c.files.Cert)
+	return credentials
 }
 
-func stampFiles(files TLSFiles) ([3]fileStamp, error) {
-	var stamps [3]fileStamp
+func statFiles(files TLSFiles) ([3]fileStat, error) {
+	var fileStats [3]fileStat
 	for i, name := range []string{files.Cert, files.Key, files.CA} {
 		info, err := os.Stat(name)
 		if err != nil {
-			return stamps, err
+			return fileStats, err
 		}
-		stamps[i] = fileStamp{size: info.Size(), modTime: info.ModTime()}
+		fileStats[i] = fileStat{size: info.Size(), modTime: info.ModTime()}
 	}
-	return stamps, nil
+	return fileStats, nil
 }
 
-func loadMaterial(files TLSFiles) (*tlsMaterial, error) {
+func loadCredentials(files TLSFiles) (*tlsCredentials, error) {
 	cert, err := tls.LoadX509KeyPair(files.Cert, files.Key)
 	if err != nil {
 		return nil, errors.Wrap(err, "certificate")
@@ -180,5 +181,5 @@
 	if !pool.AppendCertsFromPEM(pem) {
 		return nil, errors.Errorf("ca: no certificate in %s", files.CA)
 	}
-	return &tlsMaterial{cert: cert, ca: pool}, nil
+	return &tlsCredentials{cert: cert, ca: pool}, nil
 }
--- a/internal/wire/tls_test.go
+++ b/internal/wire/tls_test.go
@@ -13,10 +13,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wiretest"
 )
 
-// Certificates are rotated under a running node. A node that kept the old ones
-// would refuse all its peers until a restart; one that took up half-written
-// files would refuse them at once.
-func TestTLSRotatesWithoutRestart(t *testing.T) {
+// Certificates are rotated while a node runs. A node that kept the old ones would reject
+// all its peers until a restart; a node that loaded incomplete files would reject them
+// at once.
+func TestTLSRotationWithoutRestart(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	dir := t.TempDir()
 	files := wiretest.NewAuthority(t).Issue(t, dir)
@@ -40,9 +40,9 @@
 		return err
 	}
 	require.NoError(t, call(nodeTLS))
-	stranger, err := wire.NewTLSConfig(wiretest.NewAuthority(t).Issue(t, t.TempDir()), log)
+	untrusted, err := wire.NewTLSConfig(wiretest.NewAuthority(t).Issue(t, t.TempDir()), log)
 	require.NoError(t, err)
-	require.Error(t, call(stranger))
+	require.Error(t, call(untrusted))
 	plain := http.Client{Transport: &http.Transport{}}
 	_, err = plain.Get(server.URL)
 	require.Error(t, err)
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -14,36 +14,40 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// PacketConn moves packets without promise of delivery. Listen uses one on gnet;
-// tests put a lossy network of their own in its place.
+// PacketConn sends and receives packets without guaranteed delivery. Listen uses one on
+// gnet; tests use a simulated network with packet loss.
 type PacketConn interface {
-	// WriteTo sends one packet to an ip:port.
+	// WriteTo sends one packet to addr, an ip:port.
 	WriteTo(packet []byte, addr string) error
-	// Receive sets who takes received packets. The bytes are only valid during the call.
-	Receive(take func(packet []byte, from string))
+	// Receive sets the handler of received packets. A packet is valid only during the call.
+	Receive(handler func(packet []byte, from string))
 	Addr() string
 	Close() error
 }
 
 // Options configures a Transport.
 type Options struct {
-	// Addr is the ip:port to listen on; port 0 lets the kernel choose.
+	// Addr is the ip:port to listen on; with port 0 the kernel chooses the port.
 	Addr string
 	Keys *Keyring
-	// System names the system that the node is part of; empty hears nodes of any.
+	// System is the name of the system that the node belongs to. If empty, datagrams of
+	// all systems are accepted.
 	System string
-	// Handler may also be set later by Transport.Handle.
+	// Handler may also be set later with Transport.Handle.
 	Handler Handler
 	Log     *slog.Logger
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// MaxAge and MaxSkew bound a datagram's stamp; zero means the defaults.
+	// MaxAge and MaxSkew limit the deviation of a datagram's send time from the receiver's
+	// clock; zero means the defaults.
 	MaxAge, MaxSkew time.Duration
-	// Drop, when set, is asked for each packet to be sent and loses it on true: for tests.
+	// Drop, if set, is called for each packet to be sent; the packet is discarded if it
+	// returns true. It is for tests.
 	Drop func(addr string, packet []byte) bool
 }
 
-// Counters is what a transport has sent and received since it was made.
+// Counters counts the packets that a transport has sent, received and dropped since its
+// creation.
 type Counters struct {
 	SentPackets, SentBytes         uint64
 	ReceivedPackets, ReceivedBytes uint64
@@ -53,17 +57,17 @@
 // Transport sends and receives authenticated datagrams. All methods are safe
 // for concurrent use.
 type Transport struct {
-	conn     PacketConn
-	keys     *Keyring
-	system   uint32
-	now      func() time.Time
-	log      *slog.Logger
-	drop     func(addr string, packet []byte) bool
-	handler  atomic.Pointer[Handler]
-	stale    atomic.Pointer[Handler]
-	sequence atomic.Uint64
+	conn         PacketConn
+	keys         *Keyring
+	system       uint32
+	now          func() time.Time
+	log          *slog.Logger
+	drop         func(addr string, packet []byte) bool
+	handler      atomic.Pointer[Handler]
+	staleHandler atomic.Pointer[Handler]
+	sequence     atomic.Uint64
 
-	windowMu sync.Mutex // packets arrive on one thread; the lock is for tests and other conns
+	windowMu sync.Mutex // gnet receives on one goroutine, but other PacketConns may use several
 	window   *ReplayWindow
 
 	sentPackets, sentBytes         atomic.Uint64
@@ -77,17 +81,17 @@
 }
 
 var (
-	metricSent     = metrics.NewCounter(`fennel_wire_sent_datagrams_total`)
-	metricReceived = metrics.NewCounter(`fennel_wire_received_datagrams_total`)
-	metricSentB    = metrics.NewCounter(`fennel_wire_sent_bytes_total`)
-	metricRecvB    = metrics.NewCounter(`fennel_wire_received_bytes_total`)
+	metricSent          = metrics.NewCounter(`fennel_wire_sent_datagrams_total`)
+	metricReceived      = metrics.NewCounter(`fennel_wire_received_datagrams_total`)
+	metricSentBytes     = metrics.NewCounter(`fennel_wire_sent_bytes_total`)
+	metricReceivedBytes = metrics.NewCounter(`fennel_wire_received_bytes_total`)
 )
 
-// dropLogGap is the least time between two log lines of one drop reason, so
-// that a flood of forged packets does not become a flood of lines.
-const dropLogGap = 10 * time.Second
+// dropLogInterval is the minimum time between two log messages for one drop reason, so
+// that a flood of forged packets does not flood the log.
+const dropLogInterval = 10 * time.Second
 
-// Listen opens a UDP socket on gnet and returns the transport over it.
+// Listen opens a UDP socket on gnet and returns a transport that uses it.
 func Listen(opts Options) (*Transport, error) {
 	if opts.Log == nil {
 		opts.Log = slog.Default()
@@ -99,10 +103,10 @@
 	return NewTransport(conn, opts)
 }
 
-// NewTransport returns a transport over conn, which it closes with Close.
+// NewTransport returns a transport that uses conn. Close also closes conn.
 func NewTransport(conn PacketConn, opts Options) (*Transport, error) {
 	if opts.Keys == nil {
-		return nil, &ConfigError{Field: "keys", Cause: errors.New("no keyring given")}
+		return nil, &ConfigError{Field: "keys", Cause: errors.New("no keyring configured")}
 	}
 	t := &Transport{
 		conn:    conn,
@@ -130,26 +134,27 @@
 	return t, nil
 }
 
-// Handle sets who takes accepted datagrams; until then they are verified and dropped.
+// Handle sets the handler of accepted datagrams; until then they are verified and
+// discarded.
 func (t *Transport) Handle(h Handler) { t.handler.Store(&h) }
 
-// HandleStale sets who is shown authentic, recent datagrams that were dropped as
-// OldIncarnation, so that their sender can be told of its successor.
-func (t *Transport) HandleStale(h Handler) { t.stale.Store(&h) }
+// HandleStale sets the handler of authentic, recent datagrams that were dropped as
+// OldIncarnation, so that their sender can be notified of its successor.
+func (t *Transport) HandleStale(h Handler) { t.staleHandler.Store(&h) }
 
-// Addr is the ip:port this transport listens on.
+// Addr returns the ip:port that this transport listens on.
 func (t *Transport) Addr() string { return t.conn.Addr() }
 
 // Close stops receiving and closes the socket.
 func (t *Transport) Close() error { return t.conn.Close() }
 
-// Send stamps d with the next sequence and the time, signs it and sends it.
+// Send sets the sequence number, send time and system of d, signs it and sends it.
 func (t *Transport) Send(addr string, d *wirepb.Datagram) error {
 	return t.SendAll([]string{addr}, d)
 }
 
-// SendAll sends one datagram to several addresses, encoded and signed once. All
-// addresses are tried; the first failure is returned.
+// SendAll encodes and signs a datagram once and sends it to several addresses. It tries
+// all addresses and returns the first error.
 func (t *Transport) SendAll(addrs []string, d *wirepb.Datagram) error {
 	d.Sequence = t.sequence.Add(1)
 	d.SentUnixMs = t.now().UnixMilli()
@@ -158,20 +163,20 @@
 	if err != nil {
 		return err
 	}
-	var first error
+	var firstErr error
 	for _, addr := range addrs {
-		if err := t.sendPacket(addr, packet); err != nil && first == nil {
-			first = err
+		if err := t.sendPacket(addr, packet); err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
-	return first
+	return firstErr
 }
 
 func (t *Transport) sendPacket(addr string, packet []byte) error {
 	t.sentPackets.Add(1)
 	t.sentBytes.Add(uint64(len(packet)))
 	metricSent.Inc()
-	metricSentB.Add(len(packet))
+	metricSentBytes.Add(len(packet))
 	if t.drop != nil && t.drop(addr, packet) {
 		return nil
 	}
@@ -185,14 +190,14 @@
 	t.receivedPackets.Add(1)
 	t.receivedBytes.Add(uint64(len(packet)))
 	metricReceived.Inc()
-	metricRecvB.Add(len(packet))
+	metricReceivedBytes.Add(len(packet))
 	d, err := t.keys.Open(packet)
 	if err == nil {
 		err = t.accept(d)
 	}
 	if err != nil {
-		t.countDrop(err, from)
-		t.showStale(d, err)
+		t.recordDrop(err, from)
+		t.handleStale(d, err)
 		return
 	}
 	if h := t.handler.Load(); h != nil {
@@ -200,7 +205,7 @@
 	}
 }
 
-// systemHash is a system's name on the wire; 0 for no name.
+// systemHash returns the hash of a system's name that datagrams carry; 0 means no name.
 func systemHash(name string) uint32 {
 	if name == "" {
 		return 0
@@ -208,12 +213,13 @@
 	return max(uint32(xxhash.Sum64String(name)), 1)
 }
 
-// accept refuses what another system's node says, and repetitions.
+// accept drops datagrams from nodes of other systems, and replays.
 //
-// Two systems with one key and the same names for their nodes are easily made, by
-// copied settings. Once a node of one learns an address of the other, each pair of
-// namesakes takes itself for one node, and one of the two falls silent. A system
-// without a name hears all, so that names can be given while the system runs.
+// Copied settings easily result in two systems with the same key and the same node
+// names. Once a node of one system learns an address of the other, any two nodes with the
+// same name are taken for incarnations of one node, and one of the two stops sending. A
+// node without a system name accepts datagrams of all systems, so that names can be
+// introduced in a running system.
 func (t *Transport) accept(d *wirepb.Datagram) error {
 	if d.System != 0 && t.system != 0 && d.System != t.system {
 		return &DropError{Reason: OtherSystem, Node: d.Node}
@@ -223,14 +229,14 @@
 	return t.window.Accept(d, t.now())
 }
 
-func (t *Transport) showStale(d *wirepb.Datagram, err error) {
-	h := t.stale.Load()
+func (t *Transport) handleStale(d *wirepb.Datagram, err error) {
+	h := t.staleHandler.Load()
 	if dropErr, ok := errors.Into[*DropError](err); ok && dropErr.Reason == OldIncarnation && h != nil {
 		(*h)(d)
 	}
 }
 
-func (t *Transport) countDrop(err error, from string) {
+func (t *Transport) recordDrop(err error, from string) {
 	dropErr, ok := errors.Into[*DropError](err)
 	if !ok {
 		dropErr = &DropError{Reason: Malformed, Cause: err}
@@ -240,13 +246,13 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`fennel_wire_dropped_datagrams_total{reason=%q}`, dropErr.Reason)).Inc()
 	now := t.now().UnixNano()
 	last := counter.loggedAt.Load()
-	if now-last < int64(dropLogGap) || !counter.loggedAt.CompareAndSwap(last, now) {
+	if now-last < int64(dropLogInterval) || !counter.loggedAt.CompareAndSwap(last, now) {
 		return
 	}
 	t.log.Warn("datagram dropped", "reason", dropErr.Reason, "from", from, "node", dropErr.Node, "total", total)
 }
 
-// Counters returns what was sent, received and dropped so far.
+// Counters returns a snapshot of the counters.
 func (t *Transport) Counters() Counters {
 	c := Counters{
 		SentPackets:     t.sentPackets.Load(),
--- a/internal/wire/transport_test.go
+++ b/internal/wire/transport_test.go
@@ -28,14 +28,14 @@
 	return tr
 }
 
-func beat() *wirepb.Datagram {
+func newHeartbeat() *wirepb.Datagram {
 	return &wirepb.Datagram{Node: "n1", Zone: "z1", Incarnation: 1, RulesRevision: 42}
 }
 
-// Everything the network can do to a datagram happens on one real socket: it is
-// forged, cut, padded, repeated and comes late. Each is counted by its reason
-// and none reaches the node's state; the genuine ones still do.
-func TestTransportCountsAndDrops(t *testing.T) {
+// Forged, truncated, oversized, replayed and delayed packets arrive on a real socket.
+// Each must be counted under its reason and none may reach the handler, while valid
+// datagrams still do.
+func TestTransportDropsAndCounts(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("over UDP", func(t *testing.T) {
 		got := make(chan *wirepb.Datagram, 16)
@@ -43,17 +43,17 @@
 		var recorded []byte
 		sender := listen(t, wire.Options{Drop: func(_ string, p []byte) bool { recorded = append([]byte(nil), p...); return false }})
 		late := listen(t, wire.Options{Now: func() time.Time { return time.Now().Add(-time.Minute) }})
-		stranger, err := wire.NewKeyring(wire.Key{ID: 1, Secret: []byte("not the same key")})
+		wrongKeys, err := wire.NewKeyring(wire.Key{ID: 1, Secret: []byte("not the same key")})
 		require.NoError(t, err)
-		forger := listen(t, wire.Options{Keys: stranger})
+		forger := listen(t, wire.Options{Keys: wrongKeys})
 		raw, err := net.Dial("udp", receiver.Addr())
 		require.NoError(t, err)
 		defer func() { _ = raw.Close() }()
 
-		require.NoError(t, sender.Send(receiver.Addr(), beat()))
+		require.NoError(t, sender.Send(receiver.Addr(), newHeartbeat()))
 		require.EqualValues(t, 42, (<-got).RulesRevision)
-		require.NoError(t, forger.Send(receiver.Addr(), beat()))
-		require.NoError(t, late.Send(receiver.Addr(), beat()))
+		require.NoError(t, forger.Send(receiver.Addr(), newHeartbeat()))
+		require.NoError(t, late.Send(receiver.Addr(), newHeartbeat()))
 		for _, packet := range [][]byte{recorded, recorded[:10], append(recorded, make([]byte, wire.MaxPacket)...)} {
 			_, err = raw.Write(packet)
 			require.NoError(t, err)
@@ -61,13 +61,13 @@
 		want := map[wire.DropReason]uint64{wire.Forged: 1, wire.TooOld: 1, wire.Replayed: 1, wire.Truncated: 1, wire.Oversized: 1}
 		require.Eventually(t, func() bool { return len(receiver.Counters().Dropped) == len(want) }, 10*time.Second, time.Millisecond)
 		require.Equal(t, want, receiver.Counters().Dropped)
-		require.NoError(t, sender.SendAll([]string{receiver.Addr()}, beat()))
+		require.NoError(t, sender.SendAll([]string{receiver.Addr()}, newHeartbeat()))
 		require.EqualValues(t, 2, (<-got).Sequence)
 		require.Empty(t, got)
 	})
 }
 
-func TestListenRefusesBadSettings(t *testing.T) {
+func TestListenRejectsInvalidOptions(t *testing.T) {
 	keys, err := wire.NewKeyring(wire.Key{ID: 1, Secret: []byte("0123456789abcdef")})
 	require.NoError(t, err)
 	first, err := wire.Listen(wire.Options{Addr: "127.0.0.1:0", Keys: keys})
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,19 +1,18 @@
-// Package wire is the inner protocol between the system's own processes: small
-// authenticated datagrams on gnet for heartbeats and what rides on them, and the
-// TLS settings under which connect-go calls are made.
+// Package wire implements the internal protocol between the processes of a system:
+// small authenticated datagrams on gnet for heartbeats and the state they carry, and the
+// TLS configuration for connect-go calls.
 //
 // A packet is a header and a protobuf body:
 //
 //	byte  0      version (1)
-//	bytes 1..4   key id, big endian
-//	bytes 5..20  HMAC-SHA256 over version, key id and body, cut to 16 bytes
+//	bytes 1..4   key ID, big endian
+//	bytes 5..20  HMAC-SHA256 of version, key ID and body, truncated to 16 bytes
 //	bytes 21..   wirepb.Datagram
 //
-// A packet is never longer than MaxPacket, so that it travels unfragmented; a
-// sender with more to say sends several datagrams. Datagrams are lost, repeated
-// and reordered by the network, and recorded and sent again by an attacker; the
-// receiver drops and counts all but the first copy of each. Delivery is never
-// assumed by those who send.
+// A packet is never longer than MaxPacket, to avoid IP fragmentation; a sender with more
+// data sends several datagrams. The network may lose, duplicate and reorder datagrams,
+// and an attacker may record and replay them. The receiver accepts the first copy of a
+// datagram and drops and counts all others. Senders must not rely on delivery.
 package wire
 
 import (
@@ -24,25 +23,26 @@
 
 // Sizes in bytes.
 const (
-	// MaxPacket fits every MTU in use with room for tunnels.
+	// MaxPacket fits every MTU in use, with room for tunnel headers.
 	MaxPacket  = 1200
 	tagSize    = 16
 	headerSize = 1 + 4 + tagSize
-	// MaxBody is the room for the encoded wirepb.Datagram.
+	// MaxBody is the maximum size of the encoded wirepb.Datagram.
 	MaxBody = MaxPacket - headerSize
 )
 
 const version1 = 1
 
-// Bounds on the time stamped by the sender, checked by the receiver. The VMs'
-// clocks must agree within DefaultMaxSkew; a node whose clock is further off is
-// not heard, which shows in the dropped counters of its peers.
+// Limits on the send time in a datagram, checked by the receiver. The VMs' clocks must
+// agree within DefaultMaxSkew. The datagrams of a node with a larger clock error are
+// dropped, which is visible in the drop counters of its peers.
 const (
-	// DefaultMaxAge bounds how long a datagram may have travelled, or been kept by an attacker.
+	// DefaultMaxAge limits how long a datagram may be in transit or held by an attacker.
 	DefaultMaxAge = 10 * time.Second
-	// DefaultMaxSkew is the allowance for clocks that differ, in both directions.
+	// DefaultMaxSkew is the tolerated clock difference in either direction.
 	DefaultMaxSkew = 5 * time.Second
 )
 
-// Handler takes one accepted datagram. It runs on the receiving thread and must not block.
+// Handler processes one accepted datagram. It runs on the receiving goroutine and must
+// not block.
 type Handler func(d *wirepb.Datagram)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -17,14 +17,14 @@
 	keyB = Key{ID: 2, Secret: []byte("fedcba9876543210")}
 )
 
-func ring(t testing.TB, keys ...Key) *Keyring {
+func newTestKeyring(t testing.TB, keys ...Key) *Keyring {
 	t.Helper()
 	k, err := NewKeyring(keys...)
 	require.NoError(t, err)
 	return k
 }
 
-func sample(sequence uint64, sent time.Time) *wirepb.Datagram {
+func newTestDatagram(sequence uint64, sent time.Time) *wirepb.Datagram {
 	return &wirepb.Datagram{Node: "n1", Zone: "z1", Incarnation: 7, Sequence: sequence, SentUnixMs: sent.UnixMilli()}
 }
 
@@ -35,59 +35,58 @@
 	return ""
 }
 
-// Packets arrive damaged by the network, cut short, or made by someone without
-// the key. Taken at face value, one of them could declare nodes dead or bar
-// callers' requests.
-func TestOpenDropsWhatIsNotAuthentic(t *testing.T) {
-	keys := ring(t, keyA)
-	good, err := keys.Seal(sample(1, time.Now()))
+// Packets may be corrupted or truncated by the network, or forged without the key. If
+// one of them were accepted, it could declare nodes dead or block callers' requests.
+func TestOpenRejectsInvalidPackets(t *testing.T) {
+	keys := newTestKeyring(t, keyA)
+	good, err := keys.Seal(newTestDatagram(1, time.Now()))
 	require.NoError(t, err)
 	flipped := bytes.Clone(good)
 	flipped[len(flipped)-1] ^= 1
 	wrongVersion := bytes.Clone(good)
 	wrongVersion[0] = 9
-	stranger, err := ring(t, keyB).Seal(sample(1, time.Now()))
+	otherKey, err := newTestKeyring(t, keyB).Seal(newTestDatagram(1, time.Now()))
 	require.NoError(t, err)
-	sameID, err := ring(t, Key{ID: keyA.ID, Secret: keyB.Secret}).Seal(sample(1, time.Now()))
+	sameID, err := newTestKeyring(t, Key{ID: keyA.ID, Secret: keyB.Secret}).Seal(newTestDatagram(1, time.Now()))
 	require.NoError(t, err)
-	nameless, err := keys.Seal(&wirepb.Datagram{Zone: "z1"})
+	noSender, err := keys.Seal(&wirepb.Datagram{Zone: "z1"})
 	require.NoError(t, err)
 
 	for name, c := range map[string]struct {
 		packet []byte
 		want   DropReason
 	}{
-		"whole":            {good, ""},
-		"empty":            {nil, Truncated},
-		"header only half": {good[:headerSize-1], Truncated},
-		"body cut":         {good[:len(good)-3], Forged},
-		"bit flipped":      {flipped, Forged},
-		"other version":    {wrongVersion, UnknownVersion},
-		"unknown key":      {stranger, UnknownKey},
-		"wrong secret":     {sameID, Forged},
-		"no sender":        {nameless, Malformed},
-		"too long":         {append(bytes.Clone(good), make([]byte, MaxPacket)...), Oversized},
+		"whole":             {good, ""},
+		"empty":             {nil, Truncated},
+		"incomplete header": {good[:headerSize-1], Truncated},
+		"truncated body":    {good[:len(good)-3], Forged},
+		"bit flipped":       {flipped, Forged},
+		"other version":     {wrongVersion, UnknownVersion},
+		"unknown key":       {otherKey, UnknownKey},
+		"wrong secret":      {sameID, Forged},
+		"no sender":         {noSender, Malformed},
+		"too long":          {append(bytes.Clone(good), make([]byte, MaxPacket)...), Oversized},
 	} {
 		_, err := keys.Open(c.packet)
 		require.Equal(t, c.want, reasonOf(err), name)
 	}
 }
 
-func TestSealRefusesTooLarge(t *testing.T) {
-	d := sample(1, time.Now())
+func TestSealRejectsOversizedDatagram(t *testing.T) {
+	d := newTestDatagram(1, time.Now())
 	d.Members = []*wirepb.Member{{Node: string(make([]byte, MaxBody))}}
-	_, err := ring(t, keyA).Seal(d)
+	_, err := newTestKeyring(t, keyA).Seal(d)
 	sendErr, ok := err.(*SendError)
 	require.True(t, ok)
 	require.Greater(t, sendErr.Size, MaxBody)
 }
 
-// Operators rotate the datagram keys while nodes run. If a node signed with a
-// key that others do not know yet, they would take it for dead.
-func TestKeyRotationLosesNothing(t *testing.T) {
-	sender, receiver := ring(t, keyA), ring(t, keyA)
-	pass := func() {
-		packet, err := sender.Seal(sample(1, time.Now()))
+// Operators rotate the datagram keys of running nodes. If a node signed with a key that
+// other nodes do not have yet, they would consider it dead.
+func TestKeyRotationLosesNoDatagrams(t *testing.T) {
+	sender, receiver := newTestKeyring(t, keyA), newTestKeyring(t, keyA)
+	deliver := func() {
+		packet, err := sender.Seal(newTestDatagram(1, time.Now()))
 		require.NoError(t, err)
 		_, err = receiver.Open(packet)
 		require.NoError(t, err)
@@ -95,20 +94,20 @@
 	steps := [][]Key{{keyA, keyB}, {keyB, keyA}, {keyB}}
 	for _, keys := range steps {
 		require.NoError(t, receiver.Replace(keys...))
-		pass()
+		deliver()
 		require.NoError(t, sender.Replace(keys...))
-		pass()
+		deliver()
 	}
 	require.Error(t, sender.Replace())
 	require.Error(t, sender.Replace(keyA, keyA))
 	require.Error(t, sender.Replace(Key{ID: 3, Secret: []byte("short")}))
-	pass()
+	deliver()
 }
 
-// Someone records datagrams and sends them again, at once or later, or a node's
-// old process wakes up after its successor has spoken. A dead node would look
-// alive, or a lifted quarantine would come back.
-func TestWindow(t *testing.T) {
+// An attacker replays recorded datagrams, at once or later, or a node's old process
+// resumes after its successor has sent datagrams. If they were accepted, a dead node
+// would appear alive, or a lifted quarantine would be restored.
+func TestReplayWindow(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	steps := []struct {
 		name        string
@@ -118,18 +117,18 @@
 		want        DropReason
 	}{
 		{"first", 7, 10, 0, ""},
-		{"again", 7, 10, 0, Replayed},
-		{"overtaken", 7, 8, 0, ""},
-		{"overtaken again", 7, 8, 0, Replayed},
-		{"jump", 7, 500, 0, ""},
-		{"edge of the window", 7, 437, 0, ""},
+		{"replayed", 7, 10, 0, Replayed},
+		{"reordered", 7, 8, 0, ""},
+		{"reordered and replayed", 7, 8, 0, Replayed},
+		{"sequence gap", 7, 500, 0, ""},
+		{"last sequence in the window", 7, 437, 0, ""},
 		{"behind the window", 7, 436, 0, TooOld},
-		{"kept too long", 7, 501, -DefaultMaxAge - DefaultMaxSkew - time.Millisecond, TooOld},
-		{"just in time", 7, 502, -DefaultMaxAge - DefaultMaxSkew, ""},
+		{"above the age limit", 7, 501, -DefaultMaxAge - DefaultMaxSkew - time.Millisecond, TooOld},
+		{"at the age limit", 7, 502, -DefaultMaxAge - DefaultMaxSkew, ""},
 		{"clock ahead", 7, 503, DefaultMaxSkew + time.Millisecond, FromFuture},
-		{"clock ahead within the allowance", 7, 503, DefaultMaxSkew, ""},
+		{"clock ahead within the tolerance", 7, 503, DefaultMaxSkew, ""},
 		{"restarted", 8, 1, 0, ""},
-		{"old process wakes up", 7, 600, 0, OldIncarnation},
+		{"old process resumes", 7, 600, 0, OldIncarnation},
 	}
 	w := NewReplayWindow(0, 0)
 	for _, s := range steps {
@@ -138,9 +137,9 @@
 	}
 }
 
-// The table of senders is bounded. It must not forget a sender while that
-// sender's recorded datagrams could still be accepted.
-func TestWindowForgetsOnlyTheLongSilent(t *testing.T) {
+// The number of senders is limited. The window must not forget a sender while a replay
+// of one of its datagrams would still be accepted.
+func TestReplayWindowForgetsOnlyExpiredSenders(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	w := NewReplayWindow(0, 0)
 	accept := func(node int, at time.Time) DropReason {
@@ -156,8 +155,8 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	keys := ring(f, keyA)
-	good, err := keys.Seal(sample(1, time.Unix(1_800_000_000, 0)))
+	keys := newTestKeyring(f, keyA)
+	good, err := keys.Seal(newTestDatagram(1, time.Unix(1_800_000_000, 0)))
 	require.NoError(f, err)
 	f.Add(good, false)
 	f.Add(good[:headerSize], false)
@@ -169,7 +168,7 @@
 			packet = make([]byte, headerSize, headerSize+len(data))
 			packet[0], packet[4] = version1, byte(keyA.ID)
 			packet = append(packet, data...)
-			keys.set.Load().signing.tag(packet[headSize:headSize], packet[:headSize], packet[headerSize:])
+			keys.set.Load().signing.appendTag(packet[authHeaderSize:authHeaderSize], packet[:authHeaderSize], packet[headerSize:])
 		}
 		d, err := keys.Open(packet)
 		if err != nil {
@@ -186,7 +185,7 @@
 
 // benchDatagram has the size of a heartbeat in a zone of 25 nodes.
 func benchDatagram() *wirepb.Datagram {
-	d := sample(1, time.Now())
+	d := newTestDatagram(1, time.Now())
 	for range 12 {
 		d.Replicas = append(d.Replicas, &wirepb.ReplicaStatus{Replica: "assistente-fit-serra-a-12", Generation: 4711, Running: 3})
 	}
@@ -194,7 +193,7 @@
 }
 
 func BenchmarkSeal(b *testing.B) {
-	keys, d := ring(b, keyA), benchDatagram()
+	keys, d := newTestKeyring(b, keyA), benchDatagram()
 	b.ReportAllocs()
 	for b.Loop() {
 		_, _ = keys.Seal(d)
@@ -202,7 +201,7 @@
 }
 
 func BenchmarkOpen(b *testing.B) {
-	keys := ring(b, keyA)
+	keys := newTestKeyring(b, keyA)
 	packet, err := keys.Seal(benchDatagram())
 	require.NoError(b, err)
 	b.ReportAllocs()
--- a/internal/wire/wiretest/certs.go
+++ b/internal/wire/wiretest/certs.go
@@ -19,27 +19,27 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire"
 )
 
-// Authority signs certificates for 127.0.0.1.
+// Authority is a certificate authority that issues certificates for 127.0.0.1.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
-	// PEM is the authority's certificate.
+	// PEM is the authority's certificate in PEM format.
 	PEM []byte
 }
 
-// NewAuthority makes an authority with a key of its own.
+// NewAuthority returns an authority with a new key.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	key := newKey(t)
-	cert := template(1)
+	cert := newCertTemplate(1)
 	cert.IsCA = true
 	a := &Authority{cert: cert, key: key}
 	a.PEM = a.sign(t, cert, key)
 	return a
 }
 
-// Issue writes a new certificate, its key and the authority's certificate into
-// dir, each at once, as a careful operator does.
+// Issue writes a new certificate, its key and the authority's certificate to dir. Each
+// file is replaced atomically.
 func (a *Authority) Issue(t testing.TB, dir string) wire.TLSFiles {
 	t.Helper()
 	key := newKey(t)
@@ -47,12 +47,12 @@
 	require.NoError(t, err)
 	files := wire.TLSFiles{Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), CA: filepath.Join(dir, "ca")}
 	WriteFileAtomic(t, files.Key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER}))
-	WriteFileAtomic(t, files.Cert, a.sign(t, template(time.Now().UnixNano()), key))
+	WriteFileAtomic(t, files.Cert, a.sign(t, newCertTemplate(time.Now().UnixNano()), key))
 	WriteFileAtomic(t, files.CA, a.PEM)
 	return files
 }
 
-// WriteFileAtomic puts a whole file in the place of an old one.
+// WriteFileAtomic replaces the file at path atomically.
 func WriteFileAtomic(t testing.TB, path string, text []byte) {
 	t.Helper()
 	require.NoError(t, os.WriteFile(path+".new", text, 0o600))
@@ -73,7 +73,7 @@
 	return key
 }
 
-func template(serial int64) *x509.Certificate {
+func newCertTemplate(serial int64) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: "fennel"}, BasicConstraintsValid: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
--- a/internal/wire/wiretest/net.go
+++ b/internal/wire/wiretest/net.go
@@ -1,6 +1,6 @@
-// Package wiretest is a small in-memory datagram network for tests: packets are
-// delayed, lost and cut as the test says. It works on the fake clock of
-// testing/synctest.
+// Package wiretest provides a simulated in-memory datagram network for tests, with
+// configurable packet loss and partitions, and TLS certificates. The network works with
+// the fake clock of testing/synctest.
 package wiretest
 
 import (
@@ -11,47 +11,47 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire"
 )
 
-// Delay is the time a packet travels, one way.
+// Delay is the one-way latency of the network.
 const Delay = time.Millisecond
 
-// Network connects the conns attached to it.
+// Network delivers packets between the connections attached to it.
 type Network struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	conns  map[string]*conn
-	loss   float64
-	blocks func(from, to string) bool
-	tap    func(from, to string, packet []byte)
+	mu      sync.Mutex
+	rng     *rand.Rand
+	conns   map[string]*conn
+	loss    float64
+	blocked func(from, to string) bool
+	tap     func(from, to string, packet []byte)
 }
 
-// New returns a network without loss whose choices follow the seed.
+// New returns a network without packet loss whose random choices are seeded with seed.
 func New(seed uint64) *Network {
 	return &Network{rng: rand.New(rand.NewPCG(seed, 1)), conns: make(map[string]*conn)}
 }
 
-// SetLoss makes each packet be lost with probability p.
+// SetLoss sets the probability that a packet is lost.
 func (n *Network) SetLoss(p float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss = p
 }
 
-// Block cuts the paths for which f is true; nil heals all.
+// Block drops all packets for which f returns true; nil ends it.
 func (n *Network) Block(f func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.blocks = f
+	n.blocked = f
 }
 
-// Tap shows every packet that is sent, also those that will be lost.
+// Tap sets a function that is called with every packet sent, including lost ones.
 func (n *Network) Tap(f func(from, to string, packet []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.tap = f
 }
 
-// Attach returns the conn of one address; a second one replaces the first, as
-// when a process starts anew.
+// Attach returns a connection with the given address. It replaces an existing connection
+// with this address, as when a process restarts.
 func (n *Network) Attach(addr string) wire.PacketConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,37 +61,38 @@
 	return c
 }
 
-// Inject delivers a packet at once, without loss or cut.
+// Inject delivers a packet immediately, regardless of SetLoss and Block.
 func (n *Network) Inject(from, to string, packet []byte) {
 	n.deliver(from, to, append([]byte(nil), packet...))
 }
 
-// Freeze stops the process behind addr as SIGSTOP does: its sends block and
-// what it is sent waits in its socket. Thaw lets it go on.
+// Freeze suspends the process at addr as SIGSTOP does: its sends block, and packets sent
+// to it are queued in its socket buffer. Thaw resumes it.
 func (n *Network) Freeze(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conns[addr].frozen = true
 }
 
-// Thaw ends Freeze and delivers what was waiting.
+// Thaw resumes a frozen process and delivers the queued packets.
 func (n *Network) Thaw(addr string) {
 	n.mu.Lock()
 	c := n.conns[addr]
 	c.frozen = false
-	waiting := c.waiting
-	c.waiting = nil
+	queued := c.queued
+	c.queued = nil
 	c.thawed.Broadcast()
 	n.mu.Unlock()
-	for _, p := range waiting {
+	for _, p := range queued {
 		n.deliver(p.from, addr, p.packet)
 	}
 }
 
-// socketBuffer is how many packets wait for a frozen process; more are lost.
+// socketBuffer is the number of packets queued for a frozen process; further ones are
+// lost.
 const socketBuffer = 256
 
-type waitingPacket struct {
+type queuedPacket struct {
 	from   string
 	packet []byte
 }
@@ -99,10 +100,10 @@
 type conn struct {
 	net     *Network
 	addr    string
-	take    func(packet []byte, from string)
+	handler func(packet []byte, from string)
 	closed  bool
 	frozen  bool
-	waiting []waitingPacket
+	queued  []queuedPacket
 	thawed  *sync.Cond
 }
 
@@ -113,17 +114,17 @@
 		c.thawed.Wait()
 	}
 	lost := c.closed || n.rng.Float64() < n.loss
-	if n.blocks != nil && n.blocks(c.addr, addr) {
+	if n.blocked != nil && n.blocked(c.addr, addr) {
 		lost = true
 	}
 	tap := n.tap
 	n.mu.Unlock()
-	own := append([]byte(nil), packet...)
+	copied := append([]byte(nil), packet...)
 	if tap != nil {
-		tap(c.addr, addr, own)
+		tap(c.addr, addr, copied)
 	}
 	if !lost {
-		time.AfterFunc(Delay, func() { n.deliver(c.addr, addr, own) })
+		time.AfterFunc(Delay, func() { n.deliver(c.addr, addr, copied) })
 	}
 	return nil
 }
@@ -131,26 +132,26 @@
 func (n *Network) deliver(from, to string, packet []byte) {
 	n.mu.Lock()
 	c := n.conns[to]
-	if c == nil || c.closed || c.take == nil {
+	if c == nil || c.closed || c.handler == nil {
 		n.mu.Unlock()
 		return
 	}
 	if c.frozen {
-		if len(c.waiting) < socketBuffer {
-			c.waiting = append(c.waiting, waitingPacket{from, packet})
+		if len(c.queued) < socketBuffer {
+			c.queued = append(c.queued, queuedPacket{from, packet})
 		}
 		n.mu.Unlock()
 		return
 	}
-	take := c.take
+	handler := c.handler
 	n.mu.Unlock()
-	take(packet, from)
+	handler(packet, from)
 }
 
-func (c *conn) Receive(take func(packet []byte, from string)) {
+func (c *conn) Receive(handler func(packet []byte, from string)) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	c.take = take
+	c.handler = handler
 }
 
 func (c *conn) Addr() string { return c.addr }
