--- a/internal/daemon/vms.go
+++ b/internal/daemon/vms.go
@@ -15,13 +15,13 @@
 const vmListReadersPerZone = 2
 
 // newVMFetcher returns the source of this node's VM list: the platform or its peers.
-func (n *Node) newVMFetcher() *vmlist.Shared {
+func (n *Node) newVMFetcher() *vmlist.SharedFetcher {
 	p := n.cfg.Platform
-	return &vmlist.Shared{Platform: vmlist.NewClient(p.VMList, p.Timeout), Peers: peerFetcher{n}, Interval: p.VMListEvery,
-		Duty: func() bool { return n.members.Duty("read-vms", vmListReadersPerZone) }}
+	return &vmlist.SharedFetcher{Platform: vmlist.NewClient(p.VMList, p.Timeout), Peers: peerFetcher{n}, Interval: p.VMListEvery,
+		IsReader: func() bool { return n.members.Duty("read-vms", vmListReadersPerZone) }}
 }
 
-// FetchVMs implements vmlist.PeerLists. Each call asks one live node, of its own zone if
+// FetchVMs implements vmlist.PeerFetcher. Each call asks one live node, of its own zone if
 // there is one.
 func (f peerFetcher) FetchVMs(ctx context.Context) (cluster.VMList, error) {
 	var list cluster.VMList
@@ -33,7 +33,7 @@
 		return list, fennelerr.New(fennelerr.NotFound, "no peer is known")
 	}
 	have := f.n.vms.List()
-	sum, _, err := vmlist.Sum(have.VMs)
+	sum, _, err := vmlist.Checksum(have.VMs)
 	if err != nil {
 		return list, err
 	}
@@ -55,7 +55,7 @@
 	if list.AsOf.IsZero() {
 		return &wirepb.FetchVMsResponse{}, nil
 	}
-	sum, doc, err := vmlist.Sum(list.VMs)
+	sum, doc, err := vmlist.Checksum(list.VMs)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rulestore/apply_test.go
+++ b/internal/rulestore/apply_test.go
@@ -90,9 +90,9 @@
 		s := memstore.New(memstore.Options{})
 		h := New(Options{Store: s, Peers: newFleet(t, s)})
 		base := mustApply(t, h, 0, text("caixa"))
-		s.SetHook(func(kind memstore.Kind, _ *store.Txn) memstore.Verdict {
+		s.SetHook(func(kind memstore.Kind, _ *store.Txn) memstore.Action {
 			if kind == memstore.KindTxn {
-				return memstore.Lose
+				return memstore.LoseAnswer
 			}
 			return memstore.Refuse
 		})
