--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -93,7 +93,7 @@
 	require.Eventually(t, func() bool {
 		err := exchange(t, c, peer)
 		_, notSent := errors.Into[*conns.NotSentError](err)
-		return notSent && conns.IsSpent(err)
+		return notSent && conns.IsClosed(err)
 	}, 5*time.Second, time.Millisecond)
 }
 
