--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -44,7 +44,7 @@
 type Peer struct {
 	Server cluster.VMID
 	Addr   string
-	Born   int64
+	StartedUnixMs   int64
 }
 
 // NotSentError is a request of which no byte left this node.
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -69,7 +69,7 @@
 		"idle for longer than the caller allows":         func() *conns.Conn { return pool.Get(peer, time.Second, now.Add(2*time.Second)) },
 		"idle for nearly as long as its server keeps it": func() *conns.Conn { return pool.Get(peer, time.Minute, now.Add(9500*time.Millisecond)) },
 		"another process at the address": func() *conns.Conn {
-			return pool.Get(conns.Peer{Server: "i-1", Addr: peer.Addr, Born: 2}, time.Minute, now)
+			return pool.Get(conns.Peer{Server: "i-1", Addr: peer.Addr, StartedUnixMs: 2}, time.Minute, now)
 		},
 	} {
 		before := opened.Load()
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -248,7 +248,7 @@
 	if s == nil {
 		return conns.Peer{}, false
 	}
-	return conns.Peer{Server: s.ID, Addr: s.Addr, Born: s.StartedAt.UnixMilli()}, true
+	return conns.Peer{Server: s.ID, Addr: s.Addr, StartedUnixMs: s.StartedAt.UnixMilli()}, true
 }
 
 // configChanged takes a newer configuration over. It never goes back: a read that
@@ -298,7 +298,7 @@
 		list, _ := n.currentList()
 		n.pool.Sweep(func(p conns.Peer) bool {
 			s := list.Find(p.Server)
-			return s != nil && s.Addr == p.Addr && s.StartedAt.UnixMilli() == p.Born
+			return s != nil && s.Addr == p.Addr && s.StartedAt.UnixMilli() == p.StartedUnixMs
 		}, now)
 	})
 }
