--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -57,7 +57,7 @@
 	engines    *engine.Client
 	prober     *engine.Client
 	pools      *engine.Pools
-	health     *health.Check
+	health     *health.Checker
 	routing    *routing.Table
 	admission  *admission.Controller
 	claims     *claims.Manager
--- a/internal/daemon/presence.go
+++ b/internal/daemon/presence.go
@@ -11,7 +11,7 @@
 // the replica worked for it, so that a busy replica needs fewer polls.
 type presenceRouter struct {
 	*routing.Table
-	health *health.Check
+	health *health.Checker
 }
 
 // End implements gateway.Router.
--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -45,8 +45,8 @@
 	Duty func(cluster.ReplicaID) bool
 }
 
-// Check follows all committed replicas that it is given and says which are whole.
-type Check struct {
+// Checker follows all committed replicas that it is given and says which are whole.
+type Checker struct {
 	opts   Options
 	seed   maphash.Seed
 	shards [shardCount]shard
@@ -69,14 +69,14 @@
 }
 
 // New returns a Check; Run starts its polls.
-func New(opts Options) *Check {
+func New(opts Options) *Checker {
 	if opts.Bounds == (Bounds{}) {
 		opts.Bounds = DefaultBounds()
 	}
 	if opts.Duty == nil {
 		opts.Duty = func(cluster.ReplicaID) bool { return true }
 	}
-	c := &Check{
+	c := &Checker{
 		opts: opts, seed: maphash.MakeSeed(), slots: make(chan struct{}, parallelPolls),
 		addrs: make(map[cluster.VMID]string), tables: make(map[cluster.ZoneID][]cluster.Replica),
 	}
@@ -88,21 +88,21 @@
 
 // OnChange registers fn to be told when a replica becomes whole or ceases to be,
 // in order for each replica. Register before Run; fn must not block.
-func (c *Check) OnChange(fn func(replica cluster.Replica, whole bool, reason string)) {
+func (c *Checker) OnChange(fn func(replica cluster.Replica, whole bool, reason string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onWhole = append(c.onWhole, fn)
 }
 
 // OnLoad registers fn to be told each load report. Register before Run; fn must not block.
-func (c *Check) OnLoad(fn func(replica cluster.Replica, load engine.Load)) {
+func (c *Checker) OnLoad(fn func(replica cluster.Replica, load engine.Load)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onLoad = append(c.onLoad, fn)
 }
 
 // SetGrouping takes the committed table of one zone.
-func (c *Check) SetGrouping(g cluster.Grouping) {
+func (c *Checker) SetGrouping(g cluster.Grouping) {
 	c.mu.Lock()
 	c.tables[g.Zone] = g.Replicas
 	var parts [shardCount][]cluster.Replica
@@ -119,7 +119,7 @@
 }
 
 // SetVMs takes the platform's VM list of all zones.
-func (c *Check) SetVMs(list cluster.VMList) {
+func (c *Checker) SetVMs(list cluster.VMList) {
 	c.mu.Lock()
 	for _, vm := range list.VMs {
 		c.addrs[vm.ID] = vm.Addr
@@ -132,12 +132,12 @@
 
 // ConfirmServing notes that the replica's serving VM answered an ordinary
 // request for the given generation, with a token generated at the given time.
-func (c *Check) ConfirmServing(id cluster.ReplicaID, generation int64, at time.Time) {
+func (c *Checker) ConfirmServing(id cluster.ReplicaID, generation int64, at time.Time) {
 	c.with(c.shardOf(id), func(t *Tracker, now time.Time) []Transition { return t.ConfirmServing(id, generation, at, now) })
 }
 
 // Observe takes what another node saw of replicas.
-func (c *Check) Observe(observations []Observation) {
+func (c *Checker) Observe(observations []Observation) {
 	for _, o := range observations {
 		c.with(c.shardOf(o.Replica), func(t *Tracker, now time.Time) []Transition {
 			return t.Observe([]Observation{o}, now)
@@ -146,12 +146,12 @@
 }
 
 // Doubt asks for a poll at once, because a request on the replica failed.
-func (c *Check) Doubt(id cluster.ReplicaID) {
+func (c *Checker) Doubt(id cluster.ReplicaID) {
 	c.with(c.shardOf(id), func(t *Tracker, _ time.Time) []Transition { t.Doubt(id); return nil })
 }
 
 // Whole reports whether the replica is whole at the given generation.
-func (c *Check) Whole(id cluster.ReplicaID, generation int64) bool {
+func (c *Checker) Whole(id cluster.ReplicaID, generation int64) bool {
 	s := c.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +159,7 @@
 }
 
 // Status returns all committed replicas ordered by id.
-func (c *Check) Status() []ReplicaStatus {
+func (c *Checker) Status() []ReplicaStatus {
 	var out []ReplicaStatus
 	now := time.Now()
 	for i := range c.shards {
@@ -178,7 +178,7 @@
 }
 
 // Run polls and expires until ctx ends, and returns when all polls have ended.
-func (c *Check) Run(ctx context.Context) {
+func (c *Checker) Run(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	defer c.polls.Wait()
@@ -192,7 +192,7 @@
 	}
 }
 
-func (c *Check) round(ctx context.Context) {
+func (c *Checker) round(ctx context.Context) {
 	for i := range c.shards {
 		s := &c.shards[i]
 		c.with(s, func(t *Tracker, now time.Time) []Transition { return t.Expire(now) })
@@ -205,7 +205,7 @@
 	}
 }
 
-func (c *Check) poll(ctx context.Context, r cluster.Replica) {
+func (c *Checker) poll(ctx context.Context, r cluster.Replica) {
 	c.slots <- struct{}{}
 	defer func() { <-c.slots }()
 	c.mu.Lock()
@@ -226,7 +226,7 @@
 	}
 }
 
-func (c *Check) ask(ctx context.Context, r cluster.Replica, addr string) (engine.State, error) {
+func (c *Checker) ask(ctx context.Context, r cluster.Replica, addr string) (engine.State, error) {
 	if addr == "" {
 		return engine.State{}, &engine.CallError{Kind: engine.CallNotSent, Op: "state", Addr: string(r.Serving), Err: errNoAddr}
 	}
@@ -239,7 +239,7 @@
 }
 
 // with runs fn on a shard's Tracker and tells the transitions.
-func (c *Check) with(s *shard, fn func(t *Tracker, now time.Time) []Transition) {
+func (c *Checker) with(s *shard, fn func(t *Tracker, now time.Time) []Transition) {
 	s.emit.Lock()
 	defer s.emit.Unlock()
 	s.mu.Lock()
@@ -256,7 +256,7 @@
 	}
 }
 
-func (c *Check) tell(tr Transition, listeners []func(cluster.Replica, bool, string)) {
+func (c *Checker) tell(tr Transition, listeners []func(cluster.Replica, bool, string)) {
 	if tr.Whole {
 		turnedWhole.Inc()
 	} else {
@@ -267,8 +267,8 @@
 	}
 }
 
-func (c *Check) shardIndex(id cluster.ReplicaID) int {
+func (c *Checker) shardIndex(id cluster.ReplicaID) int {
 	return int(maphash.String(c.seed, string(id)) % shardCount)
 }
 
-func (c *Check) shardOf(id cluster.ReplicaID) *shard { return &c.shards[c.shardIndex(id)] }
+func (c *Checker) shardOf(id cluster.ReplicaID) *shard { return &c.shards[c.shardIndex(id)] }
