--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -155,7 +155,7 @@
 	s := c.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tracker.Whole(id, generation, time.Now())
+	return s.tracker.Healthy(id, generation, time.Now())
 }
 
 // Status returns all committed replicas ordered by id.
--- a/internal/health/status.go
+++ b/internal/health/status.go
@@ -46,8 +46,8 @@
 	return e.ownBrokenAt
 }
 
-// Whole reports whether the replica is whole at the given generation.
-func (t *Tracker) Whole(id cluster.ReplicaID, generation int64, now time.Time) bool {
+// Healthy reports whether the replica is whole at the given generation.
+func (t *Tracker) Healthy(id cluster.ReplicaID, generation int64, now time.Time) bool {
 	e := t.entries[id]
 	if e == nil || e.replica.Generation != generation {
 		return false
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -83,12 +83,12 @@
 			got := tracker.Answered(a, at)
 			require.Len(t, got, 1)
 			require.False(t, got[0].Whole, got[0].Reason)
-			require.False(t, tracker.Whole("r1", 2, at))
+			require.False(t, tracker.Healthy("r1", 2, at))
 			// Presence alone does not mend it; a newer digest of all members does.
 			require.Empty(t, tracker.ConfirmServing("r1", 2, at, at))
 			again := at.Add(time.Second)
 			require.Len(t, tracker.Answered(answer(stateOf(testReplica), again), again), 1)
-			require.True(t, tracker.Whole("r1", 2, again))
+			require.True(t, tracker.Healthy("r1", 2, again))
 		})
 	}
 }
@@ -122,7 +122,7 @@
 		require.Empty(t, tracker.Observe([]Observation{{Replica: "r1", Generation: 2, ConfirmedAt: at}}, at))
 		late := Answer{Replica: "r1", Generation: 3, Sent: at, State: stateOf(testReplica)}
 		require.Empty(t, tracker.Answered(late, at))
-		require.False(t, tracker.Whole("r1", 3, at))
+		require.False(t, tracker.Healthy("r1", 3, at))
 	})
 	t.Run("broken up", func(t *testing.T) {
 		tracker := wholeTracker(t)
@@ -156,7 +156,7 @@
 	sent, now := testStart.Add(time.Second), testStart.Add(3*time.Second)
 	tracker.ConfirmServing("r1", 2, now, now)
 	require.Empty(t, tracker.Answered(Answer{Replica: "r1", Generation: 2, Sent: sent, Err: errors.New("timeout")}, now))
-	require.True(t, tracker.Whole("r1", 2, now))
+	require.True(t, tracker.Healthy("r1", 2, now))
 }
 
 // Peers split the polls. A break seen by one is news to all at once, and is not
