--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -181,7 +181,7 @@
 		if s.Replica.Leaving {
 			cause = causePlanned
 		}
-		seen[s.Replica.ID] = seenReplica{group: s.Replica.Group, down: !s.Whole, cause: cause, evidence: s.Reason}
+		seen[s.Replica.ID] = seenReplica{group: s.Replica.Group, down: !s.Healthy, cause: cause, evidence: s.Reason}
 		formed[s.Replica.Group]++
 	}
 	set := l.n.rules.Current()
@@ -211,7 +211,7 @@
 	member := map[cluster.VMID]seenReplica{}
 	for _, s := range l.ownReplicas() {
 		for _, vm := range s.Replica.Members {
-			member[vm] = seenReplica{group: s.Replica.Group, down: !s.Whole}
+			member[vm] = seenReplica{group: s.Replica.Group, down: !s.Healthy}
 		}
 	}
 	for _, vm := range l.n.vms.List().VMs {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -46,7 +46,7 @@
 	}
 	for _, s := range n.health.Status() {
 		report := &wirepb.ReplicaReport{Replica: string(s.Replica.ID), Group: string(s.Replica.Group), Zone: string(s.Replica.Zone),
-			Generation: s.Replica.Generation, Whole: s.Whole, Reason: s.Reason, Running: int32(s.Load.Running), Waiting: int32(s.Load.Waiting), ConfirmedAgoMs: neverConfirmed}
+			Generation: s.Replica.Generation, Whole: s.Healthy, Reason: s.Reason, Running: int32(s.Load.Running), Waiting: int32(s.Load.Waiting), ConfirmedAgoMs: neverConfirmed}
 		if !s.ConfirmedAt.IsZero() {
 			report.ConfirmedAgoMs = now.Sub(s.ConfirmedAt).Milliseconds()
 		}
--- a/internal/health/check_test.go
+++ b/internal/health/check_test.go
@@ -70,7 +70,7 @@
 		synctest.Wait()
 		require.True(t, check.Whole("r1", 2))
 		require.False(t, check.Whole("r1", 1))
-		require.True(t, check.Status()[0].Whole)
+		require.True(t, check.Status()[0].Healthy)
 
 		bad := stateOf(testReplica)
 		bad.Members[2].Generation = 1
--- a/internal/health/status.go
+++ b/internal/health/status.go
@@ -14,7 +14,7 @@
 // ReplicaStatus is what the check knows of one committed replica.
 type ReplicaStatus struct {
 	Replica cluster.Replica
-	Whole   bool
+	Healthy   bool
 	Reason  string
 	// ConfirmedAt is the newest confirmation from any source; zero if none.
 	ConfirmedAt time.Time
@@ -30,7 +30,7 @@
 	for _, e := range t.entries {
 		whole, reason := t.verdict(e, now)
 		out = append(out, ReplicaStatus{
-			Replica: e.replica, Whole: whole, Reason: reason, ConfirmedAt: e.confirmedAt(), Load: e.load,
+			Replica: e.replica, Healthy: whole, Reason: reason, ConfirmedAt: e.confirmedAt(), Load: e.load,
 			OwnConfirmedAt: e.ownDigestAt, OwnBrokenAt: e.toldBreak(),
 		})
 	}
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -222,7 +222,7 @@
 	late := answer(stateOf(testReplica), testStart.Add(time.Second))
 	require.Empty(t, tracker.Answered(late, testStart.Add(2*time.Second)))
 	status := tracker.appendStatus(nil, testStart.Add(2*time.Second))[0]
-	require.False(t, status.Whole)
+	require.False(t, status.Healthy)
 	require.True(t, status.OwnBrokenAt.IsZero())
 	require.Equal(t, reasonUnconfirmed, status.Reason)
 }
