--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -257,13 +257,13 @@
 }
 
 func (c *Checker) tell(tr Transition, listeners []func(cluster.Replica, bool, string)) {
-	if tr.Whole {
+	if tr.Healthy {
 		turnedWhole.Inc()
 	} else {
 		turnedUnwhole.Inc()
 	}
 	for _, fn := range listeners {
-		fn(tr.Replica, tr.Whole, tr.Reason)
+		fn(tr.Replica, tr.Healthy, tr.Reason)
 	}
 }
 
--- a/internal/health/check_test.go
+++ b/internal/health/check_test.go
@@ -55,7 +55,7 @@
 		var told []Transition
 		loads := 0
 		check.OnChange(func(r cluster.Replica, whole bool, reason string) {
-			told = append(told, Transition{Replica: r, Whole: whole, Reason: reason})
+			told = append(told, Transition{Replica: r, Healthy: whole, Reason: reason})
 		})
 		check.OnLoad(func(cluster.Replica, engine.Load) { loads++ })
 		ctx, cancel := context.WithCancel(t.Context())
@@ -91,7 +91,7 @@
 		<-done
 		var whole []bool
 		for _, tr := range told {
-			whole = append(whole, tr.Whole)
+			whole = append(whole, tr.Healthy)
 		}
 		require.Equal(t, []bool{true, false, true, false}, whole)
 		require.Positive(t, loads)
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -50,7 +50,7 @@
 // Transition is a change of a replica between whole and not whole.
 type Transition struct {
 	Replica cluster.Replica
-	Whole   bool
+	Healthy   bool
 	Reason  string
 }
 
@@ -333,7 +333,7 @@
 	if !changed {
 		return nil
 	}
-	return []Transition{{Replica: e.replica, Whole: whole, Reason: reason}}
+	return []Transition{{Replica: e.replica, Healthy: whole, Reason: reason}}
 }
 
 func (t *Tracker) verdict(e *entry, now time.Time) (bool, string) {
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -42,7 +42,7 @@
 	tracker := NewTracker(testBounds)
 	require.Empty(t, tracker.SetReplicas([]cluster.Replica{testReplica}, testStart))
 	got := tracker.Answered(answer(stateOf(testReplica), testStart), testStart)
-	require.Equal(t, []Transition{{Replica: testReplica, Whole: true, Reason: "all members confirm"}}, got)
+	require.Equal(t, []Transition{{Replica: testReplica, Healthy: true, Reason: "all members confirm"}}, got)
 	return tracker
 }
 
@@ -82,7 +82,7 @@
 			tracker := wholeTracker(t)
 			got := tracker.Answered(a, at)
 			require.Len(t, got, 1)
-			require.False(t, got[0].Whole, got[0].Reason)
+			require.False(t, got[0].Healthy, got[0].Reason)
 			require.False(t, tracker.Healthy("r1", 2, at))
 			// Presence alone does not mend it; a newer digest of all members does.
 			require.Empty(t, tracker.ConfirmServing("r1", 2, at, at))
