--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -212,7 +212,7 @@
 	addr := c.addrs[r.Serving]
 	loadListeners := c.onLoad
 	c.mu.Unlock()
-	answer := Answer{Replica: r.ID, Generation: r.Generation, Sent: time.Now()}
+	answer := PollResult{Replica: r.ID, Generation: r.Generation, Sent: time.Now()}
 	pollsSent.Inc()
 	answer.State, answer.Err = c.ask(ctx, r, addr)
 	if answer.Err != nil {
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -54,8 +54,8 @@
 	Reason  string
 }
 
-// Answer is the outcome of one poll of a replica's serving VM.
-type Answer struct {
+// PollResult is the outcome of one poll of a replica's serving VM.
+type PollResult struct {
 	Replica cluster.ReplicaID
 	// Generation is the committed one when the poll was sent.
 	Generation int64
@@ -163,7 +163,7 @@
 }
 
 // Answered takes the outcome of a poll.
-func (t *Tracker) Answered(a Answer, now time.Time) []Transition {
+func (t *Tracker) Answered(a PollResult, now time.Time) []Transition {
 	e := t.entries[a.Replica]
 	if e == nil {
 		return nil
@@ -191,7 +191,7 @@
 // unanswered breaks the replica unless an ordinary answer came after the poll
 // was sent: then the engine is slow to answer polls but at work. It is not told
 // to peers as a break, because the fault may lie between this node and the VM.
-func (t *Tracker) unanswered(e *entry, a Answer, now time.Time) []Transition {
+func (t *Tracker) unanswered(e *entry, a PollResult, now time.Time) []Transition {
 	if e.presenceAt.After(a.Sent) {
 		return nil
 	}
@@ -207,7 +207,7 @@
 
 // judge returns when all members had confirmed, by the serving VM's state, or
 // what speaks against it.
-func (t *Tracker) judge(r cluster.Replica, a Answer) (time.Time, string) {
+func (t *Tracker) judge(r cluster.Replica, a PollResult) (time.Time, string) {
 	have := a.State.Assignment
 	switch {
 	case a.State.VM != r.Serving:
@@ -247,7 +247,7 @@
 }
 
 // judgeSummary is judge for a brief state, in which the hash speaks for the members.
-func (t *Tracker) judgeSummary(r cluster.Replica, a Answer) (time.Time, string) {
+func (t *Tracker) judgeSummary(r cluster.Replica, a PollResult) (time.Time, string) {
 	if a.State.Summary.Hash != engine.ReplicaHash(r) {
 		return time.Time{}, "a VM is missing or disagrees"
 	}
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -33,8 +33,8 @@
 	return state
 }
 
-func answer(state engine.State, at time.Time) Answer {
-	return Answer{Replica: testReplica.ID, Generation: testReplica.Generation, Sent: at, State: state}
+func answer(state engine.State, at time.Time) PollResult {
+	return PollResult{Replica: testReplica.ID, Generation: testReplica.Generation, Sent: at, State: state}
 }
 
 // wholeTracker returns a tracker whose one replica was confirmed at testStart.
@@ -57,7 +57,7 @@
 		change(&s)
 		return s
 	}
-	answers := map[string]Answer{
+	answers := map[string]PollResult{
 		"serving VM silent":          {Replica: "r1", Generation: 2, Sent: at, Err: errors.New("timeout")},
 		"another VM at the address":  answer(edit(func(s *engine.State) { s.VM = "x" }), at),
 		"serving VM restarted":       answer(edit(func(s *engine.State) { s.Assignment = engine.Assignment{Role: engine.RoleIdle} }), at),
@@ -120,7 +120,7 @@
 		require.Empty(t, tracker.Answered(answer(stateOf(testReplica), at), at))
 		require.Empty(t, tracker.ConfirmServing("r1", 2, at, at))
 		require.Empty(t, tracker.Observe([]Observation{{Replica: "r1", Generation: 2, ConfirmedAt: at}}, at))
-		late := Answer{Replica: "r1", Generation: 3, Sent: at, State: stateOf(testReplica)}
+		late := PollResult{Replica: "r1", Generation: 3, Sent: at, State: stateOf(testReplica)}
 		require.Empty(t, tracker.Answered(late, at))
 		require.False(t, tracker.Healthy("r1", 3, at))
 	})
@@ -155,7 +155,7 @@
 	tracker := wholeTracker(t)
 	sent, now := testStart.Add(time.Second), testStart.Add(3*time.Second)
 	tracker.ConfirmServing("r1", 2, now, now)
-	require.Empty(t, tracker.Answered(Answer{Replica: "r1", Generation: 2, Sent: sent, Err: errors.New("timeout")}, now))
+	require.Empty(t, tracker.Answered(PollResult{Replica: "r1", Generation: 2, Sent: sent, Err: errors.New("timeout")}, now))
 	require.True(t, tracker.Healthy("r1", 2, now))
 }
 
