--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -218,7 +218,7 @@
 	if answer.Err != nil {
 		pollsFailed.Inc()
 	}
-	c.with(c.shardOf(r.ID), func(t *Tracker, now time.Time) []Transition { return t.Answered(answer, now) })
+	c.with(c.shardOf(r.ID), func(t *Tracker, now time.Time) []Transition { return t.HandlePollResult(answer, now) })
 	if answer.Err == nil && answer.State.Assignment.Replica == r.ID {
 		for _, fn := range loadListeners {
 			fn(r, answer.State.Load)
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -162,8 +162,8 @@
 	return ""
 }
 
-// Answered takes the outcome of a poll.
-func (t *Tracker) Answered(a PollResult, now time.Time) []Transition {
+// HandlePollResult takes the outcome of a poll.
+func (t *Tracker) HandlePollResult(a PollResult, now time.Time) []Transition {
 	e := t.entries[a.Replica]
 	if e == nil {
 		return nil
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -41,7 +41,7 @@
 func wholeTracker(t *testing.T) *Tracker {
 	tracker := NewTracker(testBounds)
 	require.Empty(t, tracker.SetReplicas([]cluster.Replica{testReplica}, testStart))
-	got := tracker.Answered(answer(stateOf(testReplica), testStart), testStart)
+	got := tracker.HandlePollResult(answer(stateOf(testReplica), testStart), testStart)
 	require.Equal(t, []Transition{{Replica: testReplica, Healthy: true, Reason: "all members confirm"}}, got)
 	return tracker
 }
@@ -80,14 +80,14 @@
 	for name, a := range answers {
 		t.Run(name, func(t *testing.T) {
 			tracker := wholeTracker(t)
-			got := tracker.Answered(a, at)
+			got := tracker.HandlePollResult(a, at)
 			require.Len(t, got, 1)
 			require.False(t, got[0].Healthy, got[0].Reason)
 			require.False(t, tracker.Healthy("r1", 2, at))
 			// Presence alone does not mend it; a newer digest of all members does.
 			require.Empty(t, tracker.ConfirmServing("r1", 2, at, at))
 			again := at.Add(time.Second)
-			require.Len(t, tracker.Answered(answer(stateOf(testReplica), again), again), 1)
+			require.Len(t, tracker.HandlePollResult(answer(stateOf(testReplica), again), again), 1)
 			require.True(t, tracker.Healthy("r1", 2, again))
 		})
 	}
@@ -102,7 +102,7 @@
 		tracker := wholeTracker(t)
 		got := tracker.SetVMs(cluster.VMList{AsOf: at, VMs: []cluster.VM{{ID: "b", State: cluster.VMLeaving}}}, at)
 		require.Equal(t, []Transition{{Replica: testReplica, Reason: "VM b is leaving"}}, got)
-		require.Empty(t, tracker.Answered(answer(stateOf(testReplica), at), at))
+		require.Empty(t, tracker.HandlePollResult(answer(stateOf(testReplica), at), at))
 	})
 	t.Run("drained", func(t *testing.T) {
 		tracker := wholeTracker(t)
@@ -117,11 +117,11 @@
 		require.Len(t, tracker.SetReplicas([]cluster.Replica{r}, at), 1)
 		// A poll sent before the change, a late answer and a peer's old news
 		// all speak of generation 2 and must not confirm generation 3.
-		require.Empty(t, tracker.Answered(answer(stateOf(testReplica), at), at))
+		require.Empty(t, tracker.HandlePollResult(answer(stateOf(testReplica), at), at))
 		require.Empty(t, tracker.ConfirmServing("r1", 2, at, at))
 		require.Empty(t, tracker.Observe([]Observation{{Replica: "r1", Generation: 2, ConfirmedAt: at}}, at))
 		late := PollResult{Replica: "r1", Generation: 3, Sent: at, State: stateOf(testReplica)}
-		require.Empty(t, tracker.Answered(late, at))
+		require.Empty(t, tracker.HandlePollResult(late, at))
 		require.False(t, tracker.Healthy("r1", 3, at))
 	})
 	t.Run("broken up", func(t *testing.T) {
@@ -155,7 +155,7 @@
 	tracker := wholeTracker(t)
 	sent, now := testStart.Add(time.Second), testStart.Add(3*time.Second)
 	tracker.ConfirmServing("r1", 2, now, now)
-	require.Empty(t, tracker.Answered(PollResult{Replica: "r1", Generation: 2, Sent: sent, Err: errors.New("timeout")}, now))
+	require.Empty(t, tracker.HandlePollResult(PollResult{Replica: "r1", Generation: 2, Sent: sent, Err: errors.New("timeout")}, now))
 	require.True(t, tracker.Healthy("r1", 2, now))
 }
 
@@ -189,7 +189,7 @@
 	teller.SetReplicas([]cluster.Replica{testReplica}, testStart)
 	partial := stateOf(testReplica)
 	partial.Members = partial.Members[:2]
-	teller.Answered(answer(partial, testStart), testStart)
+	teller.HandlePollResult(answer(partial, testStart), testStart)
 	require.Equal(t, testStart, teller.appendStatus(nil, testStart)[0].OwnBrokenAt)
 	newer := testStart.Add(time.Second)
 	teller.Observe([]Observation{{Replica: "r1", Generation: 2, ConfirmedAt: newer}}, newer)
@@ -202,7 +202,7 @@
 	tracker := wholeTracker(t)
 	broken, at := stateOf(testReplica), testStart.Add(time.Second)
 	broken.Loaded = false
-	require.Len(t, tracker.Answered(answer(broken, at), at), 1)
+	require.Len(t, tracker.HandlePollResult(answer(broken, at), at), 1)
 	require.Equal(t, at, tracker.appendStatus(nil, at)[0].OwnBrokenAt)
 	require.Empty(t, tracker.Observe([]Observation{{Replica: "r1", Generation: 2, ConfirmedAt: at}}, at))
 	require.Equal(t, at, tracker.appendStatus(nil, at)[0].OwnBrokenAt, "the confirmation is not newer")
@@ -220,7 +220,7 @@
 	regrouped.Generation = 3
 	tracker.SetReplicas([]cluster.Replica{regrouped}, testStart)
 	late := answer(stateOf(testReplica), testStart.Add(time.Second))
-	require.Empty(t, tracker.Answered(late, testStart.Add(2*time.Second)))
+	require.Empty(t, tracker.HandlePollResult(late, testStart.Add(2*time.Second)))
 	status := tracker.appendStatus(nil, testStart.Add(2*time.Second))[0]
 	require.False(t, status.Healthy)
 	require.True(t, status.OwnBrokenAt.IsZero())
@@ -234,12 +234,12 @@
 	tracker.SetReplicas([]cluster.Replica{testReplica}, testStart)
 	require.Len(t, tracker.Due(yes, testStart), 1, "unconfirmed")
 	require.Empty(t, tracker.Due(yes, testStart.Add(time.Hour)), "one poll at a time")
-	tracker.Answered(answer(stateOf(testReplica), testStart), testStart)
+	tracker.HandlePollResult(answer(stateOf(testReplica), testStart), testStart)
 
 	require.Empty(t, tracker.Due(yes, testStart.Add(testBounds.PollQuiet-1)))
 	require.Empty(t, tracker.Due(no, testStart.Add(testBounds.PollQuiet)), "another node's duty")
 	tracker.Doubt("r1")
 	require.Len(t, tracker.Due(no, testStart.Add(1)), 1, "a request failed")
-	tracker.Answered(answer(stateOf(testReplica), testStart.Add(1)), testStart.Add(1))
+	tracker.HandlePollResult(answer(stateOf(testReplica), testStart.Add(1)), testStart.Add(1))
 	require.Len(t, tracker.Due(no, testStart.Add(testBounds.MaxAge-time.Second)), 1, "the node on duty is gone")
 }
