--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -147,7 +147,7 @@
 
 // Doubt asks for a poll at once, because a request on the replica failed.
 func (c *Checker) Doubt(id cluster.ReplicaID) {
-	c.with(c.shardOf(id), func(t *Tracker, _ time.Time) []Transition { t.Doubt(id); return nil })
+	c.with(c.shardOf(id), func(t *Tracker, _ time.Time) []Transition { t.RequestPoll(id); return nil })
 }
 
 // Whole reports whether the replica is whole at the given generation.
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -297,8 +297,8 @@
 	return out
 }
 
-// Doubt makes the replica due for a poll at once: a request on it failed.
-func (t *Tracker) Doubt(id cluster.ReplicaID) {
+// RequestPoll makes the replica due for a poll at once: a request on it failed.
+func (t *Tracker) RequestPoll(id cluster.ReplicaID) {
 	if e := t.entries[id]; e != nil {
 		e.doubted = true
 	}
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -238,7 +238,7 @@
 
 	require.Empty(t, tracker.Due(yes, testStart.Add(testBounds.PollQuiet-1)))
 	require.Empty(t, tracker.Due(no, testStart.Add(testBounds.PollQuiet)), "another node's duty")
-	tracker.Doubt("r1")
+	tracker.RequestPoll("r1")
 	require.Len(t, tracker.Due(no, testStart.Add(1)), 1, "a request failed")
 	tracker.HandlePollResult(answer(stateOf(testReplica), testStart.Add(1)), testStart.Add(1))
 	require.Len(t, tracker.Due(no, testStart.Add(testBounds.MaxAge-time.Second)), 1, "the node on duty is gone")
