--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -127,7 +127,7 @@
 	n.gateway = gateway.New(gateway.Options{
 		Node: n.set.Node, Front: openai.Front{}, Rules: n.rules, Router: presenceRouter{n.routing, n.health}, Services: n.vms, Admitter: n.admission, Claimer: gateway.StoreClaimer{Manager: n.claims},
 		Quarantine: n.suspects, Pools: n.pools, Streamer: engine.NewStreamer(n.pools, 0), Prober: n.prober, Log: n.log,
-		OnReplicaFailed: func(r cluster.Replica, _ string) { n.health.Doubt(r.ID) },
+		OnReplicaFailed: func(r cluster.Replica, _ string) { n.health.RequestPoll(r.ID) },
 		NewID:           newRequestID,
 		MaxBody:         req.MaxBody, Deadline: req.Deadline, CallTimeout: req.CallTimeout,
 	})
--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Doubt asks for a poll at once, because a request on the replica failed.
-func (c *Checker) Doubt(id cluster.ReplicaID) {
+// RequestPoll asks for a poll at once, because a request on the replica failed.
+func (c *Checker) RequestPoll(id cluster.ReplicaID) {
 	c.with(c.shardOf(id), func(t *Tracker, _ time.Time) []Transition { t.RequestPoll(id); return nil })
 }
 
--- a/internal/health/check_test.go
+++ b/internal/health/check_test.go
@@ -84,7 +84,7 @@
 		engines.set("a:1", &good)
 		time.Sleep(testBounds.PollBroken + tick)
 		engines.set("a:1", nil)
-		check.Doubt("r1")
+		check.RequestPoll("r1")
 		time.Sleep(tick)
 		synctest.Wait()
 		cancel()
