--- a/internal/health/bytes_test.go
+++ b/internal/health/bytes_test.go
@@ -98,7 +98,7 @@
 	}
 	total := bytes.Load()
 	perPoll := float64(total-wholeBytes) / polls
-	perSecond := perPoll * replicasPerNode / DefaultBounds().PollQuiet.Seconds()
+	perSecond := perPoll * replicasPerNode / DefaultBounds().PollIdle.Seconds()
 	t.Logf("brief state: %.0f bytes a poll, %.0f bytes a second at %.1f replicas a node", perPoll, perSecond, replicasPerNode)
 	require.Less(t, perSecond, budget)
 	// Whatever is still uncounted when the last answer is here would show now.
--- a/internal/health/check_test.go
+++ b/internal/health/check_test.go
@@ -75,7 +75,7 @@
 		bad := stateOf(testReplica)
 		bad.Members[2].Generation = 1
 		engines.set("a:1", &bad)
-		time.Sleep(testBounds.PollQuiet + tick)
+		time.Sleep(testBounds.PollIdle + tick)
 		synctest.Wait()
 		require.False(t, check.Whole("r1", 2))
 		require.False(t, check.Status()[0].OwnBrokenAt.IsZero())
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -25,9 +25,9 @@
 	MaxDigestAge time.Duration
 	// MemberLost is how long the serving VM may not have heard a member.
 	MemberLost time.Duration
-	// PollQuiet and PollBusy are the times between polls of a replica without
+	// PollIdle and PollBusy are the times between polls of a replica without
 	// and with recent answers; PollBroken is that of one that is not whole.
-	PollQuiet, PollBusy, PollBroken time.Duration
+	PollIdle, PollBusy, PollBroken time.Duration
 }
 
 // DefaultMaxAge keeps the polls of a node's share of quiet replicas of 32 VMs
@@ -40,7 +40,7 @@
 	part := maxAge / 8
 	return Bounds{
 		MaxAge: maxAge, MaxDigestAge: 15 * part, MemberLost: 3 * part,
-		PollQuiet: 3 * part, PollBusy: 5 * part, PollBroken: part,
+		PollIdle: 3 * part, PollBusy: 5 * part, PollBroken: part,
 	}
 }
 
@@ -386,9 +386,9 @@
 		return never
 	case !e.whole:
 		return t.bounds.PollBroken
-	case now.Sub(e.presenceAt) < t.bounds.PollQuiet:
+	case now.Sub(e.presenceAt) < t.bounds.PollIdle:
 		return t.bounds.PollBusy
 	default:
-		return t.bounds.PollQuiet
+		return t.bounds.PollIdle
 	}
 }
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -236,8 +236,8 @@
 	require.Empty(t, tracker.Due(yes, testStart.Add(time.Hour)), "one poll at a time")
 	tracker.HandlePollResult(answer(stateOf(testReplica), testStart), testStart)
 
-	require.Empty(t, tracker.Due(yes, testStart.Add(testBounds.PollQuiet-1)))
-	require.Empty(t, tracker.Due(no, testStart.Add(testBounds.PollQuiet)), "another node's duty")
+	require.Empty(t, tracker.Due(yes, testStart.Add(testBounds.PollIdle-1)))
+	require.Empty(t, tracker.Due(no, testStart.Add(testBounds.PollIdle)), "another node's duty")
 	tracker.RequestPoll("r1")
 	require.Len(t, tracker.Due(no, testStart.Add(1)), 1, "a request failed")
 	tracker.HandlePollResult(answer(stateOf(testReplica), testStart.Add(1)), testStart.Add(1))
