--- a/internal/health/check_test.go
+++ b/internal/health/check_test.go
@@ -82,7 +82,7 @@
 		require.Equal(t, "VM c is in r1 generation 1", check.Status()[0].Reason)
 
 		engines.set("a:1", &good)
-		time.Sleep(testBounds.PollBroken + tick)
+		time.Sleep(testBounds.PollUnhealthy + tick)
 		engines.set("a:1", nil)
 		check.RequestPoll("r1")
 		time.Sleep(tick)
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -26,8 +26,8 @@
 	// MemberLost is how long the serving VM may not have heard a member.
 	MemberLost time.Duration
 	// PollIdle and PollBusy are the times between polls of a replica without
-	// and with recent answers; PollBroken is that of one that is not whole.
-	PollIdle, PollBusy, PollBroken time.Duration
+	// and with recent answers; PollUnhealthy is that of one that is not whole.
+	PollIdle, PollBusy, PollUnhealthy time.Duration
 }
 
 // DefaultMaxAge keeps the polls of a node's share of quiet replicas of 32 VMs
@@ -40,7 +40,7 @@
 	part := maxAge / 8
 	return Bounds{
 		MaxAge: maxAge, MaxDigestAge: 15 * part, MemberLost: 3 * part,
-		PollIdle: 3 * part, PollBusy: 5 * part, PollBroken: part,
+		PollIdle: 3 * part, PollBusy: 5 * part, PollUnhealthy: part,
 	}
 }
 
@@ -385,7 +385,7 @@
 	case !onDuty && !nearlyOld:
 		return never
 	case !e.whole:
-		return t.bounds.PollBroken
+		return t.bounds.PollUnhealthy
 	case now.Sub(e.presenceAt) < t.bounds.PollIdle:
 		return t.bounds.PollBusy
 	default:
