--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -23,8 +23,8 @@
 	// MaxDigestAge is how old the last digest of all members may be while
 	// ordinary answers alone show presence.
 	MaxDigestAge time.Duration
-	// MemberLost is how long the serving VM may not have heard a member.
-	MemberLost time.Duration
+	// MaxMemberSilence is how long the serving VM may not have heard a member.
+	MaxMemberSilence time.Duration
 	// PollIdle and PollBusy are the times between polls of a replica without
 	// and with recent answers; PollUnhealthy is that of one that is not whole.
 	PollIdle, PollBusy, PollUnhealthy time.Duration
@@ -39,7 +39,7 @@
 func BoundsWithin(maxAge time.Duration) Bounds {
 	part := maxAge / 8
 	return Bounds{
-		MaxAge: maxAge, MaxDigestAge: 15 * part, MemberLost: 3 * part,
+		MaxAge: maxAge, MaxDigestAge: 15 * part, MaxMemberSilence: 3 * part,
 		PollIdle: 3 * part, PollBusy: 5 * part, PollUnhealthy: part,
 	}
 }
@@ -236,7 +236,7 @@
 			return time.Time{}, fmt.Sprintf("VM %s is missing", vm)
 		case d.Replica != r.ID || d.Generation != r.Generation:
 			return time.Time{}, fmt.Sprintf("VM %s is in %s generation %d", vm, d.Replica, d.Generation)
-		case seenAgo < 0 || seenAgo > t.bounds.MemberLost:
+		case seenAgo < 0 || seenAgo > t.bounds.MaxMemberSilence:
 			return time.Time{}, fmt.Sprintf("VM %s last heard %v ago", vm, seenAgo)
 		}
 		if at := a.Sent.Add(-seenAgo); at.Before(oldest) {
@@ -252,7 +252,7 @@
 		return time.Time{}, "a VM is missing or disagrees"
 	}
 	seenAgo := time.Duration(a.State.Summary.OldestMs) * time.Millisecond
-	if seenAgo < 0 || seenAgo > t.bounds.MemberLost {
+	if seenAgo < 0 || seenAgo > t.bounds.MaxMemberSilence {
 		return time.Time{}, fmt.Sprintf("a VM last heard %v ago", seenAgo)
 	}
 	return a.Sent.Add(-seenAgo), ""
