--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -104,7 +104,7 @@
 		n.neighbors = append(n.neighbors, grouping.NewTable(grouping.TableOptions{Zone: neighbor, Store: n.store, Log: n.log,
 			Peers: peerFetcher{n}, ShouldWatch: func() bool { return false }}))
 	}
-	n.health = health.New(health.Options{Engines: n.engines, Log: n.log, Bounds: health.BoundsWithin(n.set.Control.ConfirmWithin),
+	n.health = health.New(health.Options{Engines: n.engines, Log: n.log, Bounds: health.BoundsFor(n.set.Control.ConfirmWithin),
 		Duty: func(id cluster.ReplicaID) bool { return n.members.Duty("poll/"+string(id), 1) }})
 	n.controller = grouping.NewController(grouping.Options{
 		Zone: zone, Node: n.set.Node, Store: n.store, VMs: n.vms, Rules: n.rules, Engines: n.engines, Policy: placement.Weighted{},
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -34,9 +34,9 @@
 // within half of its 6 KB a second; docs/placement.md has the figures.
 const DefaultMaxAge = 8 * time.Second
 
-// BoundsWithin returns the bounds that go with the greatest age of a
+// BoundsFor returns the bounds that go with the greatest age of a
 // confirmation. A replica is polled so often that one lost poll does not matter.
-func BoundsWithin(maxAge time.Duration) Bounds {
+func BoundsFor(maxAge time.Duration) Bounds {
 	part := maxAge / 8
 	return Bounds{
 		MaxAge: maxAge, MaxDigestAge: 15 * part, MaxMemberSilence: 3 * part,
@@ -45,7 +45,7 @@
 }
 
 // DefaultBounds are the bounds within DefaultMaxAge.
-func DefaultBounds() Bounds { return BoundsWithin(DefaultMaxAge) }
+func DefaultBounds() Bounds { return BoundsFor(DefaultMaxAge) }
 
 // Transition is a change of a replica between whole and not whole.
 type Transition struct {
