--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -105,7 +105,7 @@
 			Peers: peerFetcher{n}, ShouldWatch: func() bool { return false }}))
 	}
 	n.health = health.New(health.Options{Engines: n.engines, Log: n.log, Bounds: health.BoundsFor(n.set.Control.ConfirmWithin),
-		Duty: func(id cluster.ReplicaID) bool { return n.members.Duty("poll/"+string(id), 1) }})
+		Responsible: func(id cluster.ReplicaID) bool { return n.members.Duty("poll/"+string(id), 1) }})
 	n.controller = grouping.NewController(grouping.Options{
 		Zone: zone, Node: n.set.Node, Store: n.store, VMs: n.vms, Rules: n.rules, Engines: n.engines, Policy: placement.Weighted{},
 		Log: n.log, Health: n.health, LeaseTTL: n.set.Control.PlacementLease,
--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -40,9 +40,9 @@
 	Engines Engines
 	Log     *slog.Logger
 	Bounds  Bounds
-	// Duty reports whether this node polls the replica; the zone's nodes split
+	// Responsible reports whether this node polls the replica; the zone's nodes split
 	// the replicas among them. nil means all.
-	Duty func(cluster.ReplicaID) bool
+	Responsible func(cluster.ReplicaID) bool
 }
 
 // Checker follows all committed replicas that it is given and says which are whole.
@@ -73,8 +73,8 @@
 	if opts.Bounds == (Bounds{}) {
 		opts.Bounds = DefaultBounds()
 	}
-	if opts.Duty == nil {
-		opts.Duty = func(cluster.ReplicaID) bool { return true }
+	if opts.Responsible == nil {
+		opts.Responsible = func(cluster.ReplicaID) bool { return true }
 	}
 	c := &Checker{
 		opts: opts, seed: maphash.MakeSeed(), slots: make(chan struct{}, parallelPolls),
@@ -197,7 +197,7 @@
 		s := &c.shards[i]
 		c.with(s, func(t *Tracker, now time.Time) []Transition { return t.Expire(now) })
 		s.mu.Lock()
-		due := s.tracker.Due(c.opts.Duty, time.Now())
+		due := s.tracker.Due(c.opts.Responsible, time.Now())
 		s.mu.Unlock()
 		for _, r := range due {
 			c.polls.Go(func() { c.poll(ctx, r) })
