--- a/cmd/controlbench/nodes.go
+++ b/cmd/controlbench/nodes.go
@@ -82,7 +82,7 @@
 		Node: name, Zone: cluster.ZoneID(fmt.Sprintf("serra-%d", zone)), Seeds: seeds,
 		PeerAddr: n.transport.Addr(), Transport: n.transport, Log: quiet,
 	})
-	n.tracker = suspect.New(suspect.Options{Node: name, TriggerHeartbeat: n.member.Nudge, Rank: n.member.Rank, Log: quiet})
+	n.tracker = suspect.New(suspect.Options{Node: name, TriggerHeartbeat: n.member.TriggerHeartbeat, Rank: n.member.Rank, Log: quiet})
 	n.member.AddSource(n.tracker.Section)
 	n.member.AddSource(loads(i))
 	n.member.SetRulesRevision(n.revision.Load)
@@ -90,7 +90,7 @@
 	n.member.OnDatagram(func(_ membership.Member, d *wirepb.Datagram) {
 		if d.RulesRevision > n.revision.Load() {
 			n.revision.Store(d.RulesRevision)
-			n.member.Nudge()
+			n.member.TriggerHeartbeat()
 		}
 	})
 }
@@ -144,7 +144,7 @@
 	if alone, err := n.tracker.Admit(context.Background(), fp); alone && err == nil {
 		n.tracker.Begin(fp, "replica-2", event, true)(suspect.Crashed)
 	}
-	n.member.Nudge()
+	n.member.TriggerHeartbeat()
 }
 
 func (n *node) hasRevision(event int64) bool { return n.revision.Load() >= event }
--- a/internal/daemon/feeds.go
+++ b/internal/daemon/feeds.go
@@ -35,7 +35,7 @@
 		n.wakeReview()
 	})
 	n.health.OnLoad(func(r cluster.Replica, load engine.Load) { n.routing.ReportLoad(r.ID, load, time.Now()) })
-	n.rules.OnChange(func(*rules.Set) { n.members.Nudge() })
+	n.rules.OnChange(func(*rules.Set) { n.members.TriggerHeartbeat() })
 	n.members.SetRulesRevision(n.rules.Revision)
 	n.members.OnDatagram(n.observe)
 	n.members.OnDatagram(n.suspects.Receive)
--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -122,7 +122,7 @@
 	n.admission = admission.New(admission.Options{Self: admission.Node{ID: n.set.Node, Zone: n.set.Zone}, LimitOf: n.limitOf, MaxWait: req.Deadline,
 		SharesCapacity: n.usesZone})
 	n.claims = claims.New(claims.Options{Store: n.store, Node: n.set.Node, Incarnation: n.incarnation, Retention: req.ClaimRetention, Log: n.log})
-	n.suspects = suspect.New(suspect.Options{Node: n.set.Node, Log: n.log, TriggerHeartbeat: n.members.Nudge, Peers: n.livePeers, Rank: n.members.Rank})
+	n.suspects = suspect.New(suspect.Options{Node: n.set.Node, Log: n.log, TriggerHeartbeat: n.members.TriggerHeartbeat, Peers: n.livePeers, Rank: n.members.Rank})
 	n.pools = engine.NewPools(engine.PoolOptions{})
 	n.gateway = gateway.New(gateway.Options{
 		Node: n.set.Node, Front: openai.Front{}, Rules: n.rules, Router: presenceRouter{n.routing, n.health}, Services: n.vms, Admitter: n.admission, Claimer: gateway.StoreClaimer{Manager: n.claims},
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -302,9 +302,9 @@
 	s.send(send)
 }
 
-// Nudge sends the sources' news soon, ahead of the next heartbeat: after a new
+// TriggerHeartbeat sends the sources' news soon, ahead of the next heartbeat: after a new
 // rules revision or a new quarantine. It never blocks.
-func (s *Service) Nudge() {
+func (s *Service) TriggerHeartbeat() {
 	select {
 	case s.nudged <- struct{}{}:
 	default:
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -226,7 +226,7 @@
 		}
 		nudge := func(seconds int) {
 			for range seconds * 10 {
-				ns.all[0].Nudge()
+				ns.all[0].TriggerHeartbeat()
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
--- a/internal/suspect/sim_test.go
+++ b/internal/suspect/sim_test.go
@@ -148,7 +148,7 @@
 			s.trackers = append(s.trackers, naive{})
 			continue
 		}
-		tracker := suspect.New(suspect.Options{Node: name, Peers: func() int { return len(m.Members()) }, Rank: m.Rank, TriggerHeartbeat: m.Nudge, Log: quiet})
+		tracker := suspect.New(suspect.Options{Node: name, Peers: func() int { return len(m.Members()) }, Rank: m.Rank, TriggerHeartbeat: m.TriggerHeartbeat, Log: quiet})
 		m.AddSource(tracker.Section)
 		m.OnDatagram(tracker.Receive)
 		s.trackers = append(s.trackers, tracker)
