--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -57,11 +57,11 @@
 // of the rotation.
 const entryRepeats = 4
 
-// Nudge decides whether to send an extra datagram now, ahead of the next
+// ExtraHeartbeat decides whether to send an extra datagram now, ahead of the next
 // heartbeat: after a new rules revision or quarantine. Its bytes come from a
 // budget of their own; when that is spent, the next heartbeat carries the news.
 // What is sent is charged by ChargeNudge.
-func (s *State) Nudge(now time.Time, revision int64) Send {
+func (s *State) ExtraHeartbeat(now time.Time, revision int64) Send {
 	rate := s.budget * nudgeShare
 	s.nudgeCredit = min(s.nudgeCredit+now.Sub(s.nudgedAt).Seconds()*rate, rate*nudgeBurst)
 	s.nudgedAt = now
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -185,7 +185,7 @@
 func (s *Service) sendNudge() {
 	revision := s.rulesRevision()
 	s.mu.Lock()
-	send := s.state.Nudge(s.now(), revision)
+	send := s.state.ExtraHeartbeat(s.now(), revision)
 	s.mu.Unlock()
 	size := s.send(send)
 	s.mu.Lock()
