--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -74,8 +74,8 @@
 	return Send{Addrs: s.pick(targets, affordable), Datagram: s.base(revision), Limit: nudgeBody}
 }
 
-// ChargeNudge takes a nudge of that many bytes, sent to so many targets, off the budget.
-func (s *State) ChargeNudge(bytes, targets int) {
+// ChargeExtraHeartbeat takes a nudge of that many bytes, sent to so many targets, off the budget.
+func (s *State) ChargeExtraHeartbeat(bytes, targets int) {
 	s.nudgeCredit -= float64(targets * (bytes + packetOverhead))
 }
 
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -189,7 +189,7 @@
 	s.mu.Unlock()
 	size := s.send(send)
 	s.mu.Lock()
-	s.state.ChargeNudge(size, len(send.Addrs))
+	s.state.ChargeExtraHeartbeat(size, len(send.Addrs))
 	s.mu.Unlock()
 }
 
