--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -79,9 +79,9 @@
 	s.nudgeCredit -= float64(targets * (bytes + packetOverhead))
 }
 
-// Farewell is the datagram that tells all live peers of the zone, at once, that
+// LeaveAnnouncement is the datagram that tells all live peers of the zone, at once, that
 // this node is leaving. It is sent once in a node's life, outside of the budget.
-func (s *State) Farewell(revision int64) Send {
+func (s *State) LeaveAnnouncement(revision int64) Send {
 	if s.namesake.superseded {
 		return Send{}
 	}
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -297,7 +297,7 @@
 	revision := s.rulesRevision()
 	s.mu.Lock()
 	s.state.Leave()
-	send := s.state.Farewell(revision)
+	send := s.state.LeaveAnnouncement(revision)
 	s.mu.Unlock()
 	s.send(send)
 }
