--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -36,9 +36,9 @@
 
 // Gossip decides whom the next gossip datagram goes to: the live peer of the zone that was
 // sent one longest ago. An empty Addrs means that there is none, or more than most.
-func (s *State) Gossip(most int) Send {
+func (s *State) Gossip(most int) Outgoing {
 	if s.namesake.superseded || s.self.Leaving {
-		return Send{}
+		return Outgoing{}
 	}
 	var next *member
 	peers := 0
@@ -52,11 +52,11 @@
 		}
 	}
 	if next == nil || peers > most {
-		return Send{}
+		return Outgoing{}
 	}
 	s.gossiped++
 	next.gossipedAt = s.gossiped
-	return Send{Addrs: []string{next.datagramAddr}, Datagram: s.briefDatagram(), Limit: gossipBody}
+	return Outgoing{Addrs: []string{next.datagramAddr}, Datagram: s.briefDatagram(), Limit: gossipBody}
 }
 
 func (s *State) briefDatagram() *wirepb.Datagram {
@@ -64,8 +64,8 @@
 }
 
 // Broadcast is a datagram to all live peers of the zone.
-func (s *State) Broadcast() Send {
-	send := Send{Datagram: s.briefDatagram(), Limit: gossipBody}
+func (s *State) Broadcast() Outgoing {
+	send := Outgoing{Datagram: s.briefDatagram(), Limit: gossipBody}
 	if s.namesake.superseded {
 		return send
 	}
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -12,8 +12,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// Send is the decision to send one datagram to some addresses.
-type Send struct {
+// Outgoing is the decision to send one datagram to some addresses.
+type Outgoing struct {
 	Addrs    []string
 	Datagram *wirepb.Datagram
 	// Limit bounds the encoded datagram with the sections of other packages, in bytes.
@@ -22,11 +22,11 @@
 
 // Tick ages the members and decides on the next heartbeat. revision is the rules
 // revision in force here. An empty Addrs means there is nobody to send to.
-func (s *State) Tick(now time.Time, revision int64) Send {
+func (s *State) Tick(now time.Time, revision int64) Outgoing {
 	s.tick++
 	s.age(now)
 	if s.namesake.superseded {
-		return Send{}
+		return Outgoing{}
 	}
 	allowed := s.budget * (1 - nudgeShare) * s.timing.Interval.Seconds()
 	if s.tick <= joinTicks {
@@ -34,7 +34,7 @@
 	}
 	addrs := s.pick(s.targets(), max(1, int(allowed/(minBody+packetOverhead))))
 	if len(addrs) == 0 {
-		return Send{}
+		return Outgoing{}
 	}
 	limit := min(max(int(allowed)/len(addrs)-packetOverhead, minBody), wire.MaxBody)
 	d := s.base(revision)
@@ -42,7 +42,7 @@
 	s.addEntries(d, limit)
 	s.addBeats(d, limit*beatShare/100, s.inOwnZone)
 	s.addBeats(d, proto.Size(d)+limit*farBeatShare/100, s.inOtherZone)
-	return Send{Addrs: addrs, Datagram: d, Limit: limit}
+	return Outgoing{Addrs: addrs, Datagram: d, Limit: limit}
 }
 
 // Shares of a heartbeat's room, in percent: how full it may get with entries,
@@ -61,17 +61,17 @@
 // heartbeat: after a new rules revision or quarantine. Its bytes come from a
 // budget of their own; when that is spent, the next heartbeat carries the news.
 // What is sent is charged by ChargeNudge.
-func (s *State) ExtraHeartbeat(now time.Time, revision int64) Send {
+func (s *State) ExtraHeartbeat(now time.Time, revision int64) Outgoing {
 	rate := s.budget * nudgeShare
 	s.nudgeCredit = min(s.nudgeCredit+now.Sub(s.nudgedAt).Seconds()*rate, rate*nudgeBurst)
 	s.nudgedAt = now
 	affordable := int(s.nudgeCredit / (nudgeBody + packetOverhead))
 	if affordable == 0 || s.namesake.superseded {
-		return Send{}
+		return Outgoing{}
 	}
 	targets := s.zonePeers(fanout)
 	targets = append(targets, s.linkTargets()...)
-	return Send{Addrs: s.pick(targets, affordable), Datagram: s.base(revision), Limit: nudgeBody}
+	return Outgoing{Addrs: s.pick(targets, affordable), Datagram: s.base(revision), Limit: nudgeBody}
 }
 
 // ChargeExtraHeartbeat takes a nudge of that many bytes, sent to so many targets, off the budget.
@@ -81,11 +81,11 @@
 
 // LeaveAnnouncement is the datagram that tells all live peers of the zone, at once, that
 // this node is leaving. It is sent once in a node's life, outside of the budget.
-func (s *State) LeaveAnnouncement(revision int64) Send {
+func (s *State) LeaveAnnouncement(revision int64) Outgoing {
 	if s.namesake.superseded {
-		return Send{}
+		return Outgoing{}
 	}
-	return Send{Addrs: s.pick(s.zonePeers(len(s.order)), maxMembers), Datagram: s.base(revision), Limit: wire.MaxBody}
+	return Outgoing{Addrs: s.pick(s.zonePeers(len(s.order)), maxMembers), Datagram: s.base(revision), Limit: wire.MaxBody}
 }
 
 func (s *State) base(revision int64) *wirepb.Datagram {
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -194,7 +194,7 @@
 }
 
 // send adds the sections, sends and returns the size of the body in bytes.
-func (s *Service) send(send Send) int {
+func (s *Service) send(send Outgoing) int {
 	if len(send.Addrs) == 0 {
 		return 0
 	}
@@ -206,7 +206,7 @@
 	return proto.Size(send.Datagram)
 }
 
-func (s *Service) transmit(send Send) {
+func (s *Service) transmit(send Outgoing) {
 	if err := s.transport.SendAll(send.Addrs, send.Datagram); err != nil {
 		// A peer's address that cannot be reached is no news: ageing tells.
 		s.log.Debug("datagram not sent", "err", err)
