--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -152,7 +152,7 @@
 			return m.Status
 		}
 	}
-	return membership.Unproved
+	return membership.Unconfirmed
 }
 
 // sees reports whether every node of observers holds status of every one of the others.
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -202,7 +202,7 @@
 // probe picks members of the zone that are not known to live: some of those only
 // heard of, whose answer makes them known, and one of the dead.
 func (s *State) probe() []target {
-	unproved := s.leastRecent(func(m *member) bool { return m.zone == s.self.Zone && m.status == Unproved })
+	unproved := s.leastRecent(func(m *member) bool { return m.zone == s.self.Zone && m.status == Unconfirmed })
 	dead := s.leastRecent(func(m *member) bool { return m.zone == s.self.Zone && m.status == Dead })
 	picked := unproved[:min(fanout, len(unproved))]
 	picked = append(picked, dead[:min(1, len(dead))]...)
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -12,10 +12,10 @@
 // Status is what a node believes of another one.
 type Status int
 
-// A member is Unproved until its heartbeat is seen to rise: an entry alone may
+// A member is Unconfirmed until its heartbeat is seen to rise: an entry alone may
 // speak of a node that died long ago.
 const (
-	Unproved Status = iota
+	Unconfirmed Status = iota
 	Alive
 	Suspect
 	Dead
