--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -54,7 +54,7 @@
 }
 
 // findNamesake asks nodes whether they hear a process under this node's name.
-func (n *Node) findNamesake(ctx context.Context, addrs []string) membership.Sighting {
+func (n *Node) findNamesake(ctx context.Context, addrs []string) membership.DuplicateStatus {
 	sighting := membership.Unanswered
 	for _, addr := range addrs {
 		heard, err := n.peers.Hears(ctx, addr, n.set.Node)
--- a/internal/membership/namesake.go
+++ b/internal/membership/namesake.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Sighting is what a look for another process under this node's name showed.
-type Sighting int
+// DuplicateStatus is what a look for another process under this node's name showed.
+type DuplicateStatus int
 
 const (
 	// Unanswered: nobody that was asked answered.
-	Unanswered Sighting = iota
+	Unanswered DuplicateStatus = iota
 	// Heard: somebody hears the other process.
 	Heard
 	// NotHeard: those who answered hear no such process any more.
@@ -20,7 +20,7 @@
 // FindNamesake asks the nodes at the addresses, ip:port of their connect-go services,
 // whether they hear a process under this node's name. This node has fallen silent, so
 // what they hear is the other one.
-type FindNamesake func(ctx context.Context, addrs []string) Sighting
+type FindNamesake func(ctx context.Context, addrs []string) DuplicateStatus
 
 const (
 	// lookEvery is the time between two looks: some of them fit into the time after
@@ -68,7 +68,7 @@
 // ever when the other is gone: no peer hears it, and no change of the rules is known to
 // be in force there. So it takes the name back, with a higher incarnation, once nobody
 // hears the other; and when nobody answers, after the time in which the dead are noticed.
-func (s *State) noteSighting(sighting Sighting, now time.Time) (speaks bool) {
+func (s *State) noteSighting(sighting DuplicateStatus, now time.Time) (speaks bool) {
 	n := &s.namesake
 	switch {
 	case !n.superseded:
