--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -55,7 +55,7 @@
 
 // findNamesake asks nodes whether they hear a process under this node's name.
 func (n *Node) findNamesake(ctx context.Context, addrs []string) membership.DuplicateStatus {
-	sighting := membership.Unanswered
+	sighting := membership.DuplicateUnknown
 	for _, addr := range addrs {
 		heard, err := n.peers.Hears(ctx, addr, n.set.Node)
 		switch {
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -99,7 +99,7 @@
 // finder asks the nodes at the addresses whether they hear a process of the name.
 func (ns *nodes) finder(name string) membership.FindNamesake {
 	return func(_ context.Context, addrs []string) membership.DuplicateStatus {
-		sighting := membership.Unanswered
+		sighting := membership.DuplicateUnknown
 		for _, n := range ns.all {
 			if !slices.Contains(addrs, n.addr) || n.dead {
 				continue
--- a/internal/membership/namesake.go
+++ b/internal/membership/namesake.go
@@ -9,8 +9,8 @@
 type DuplicateStatus int
 
 const (
-	// Unanswered: nobody that was asked answered.
-	Unanswered DuplicateStatus = iota
+	// DuplicateUnknown: nobody that was asked answered.
+	DuplicateUnknown DuplicateStatus = iota
 	// Heard: somebody hears the other process.
 	Heard
 	// NotHeard: those who answered hear no such process any more.
@@ -76,7 +76,7 @@
 	case sighting == Heard:
 		n.seen = now
 		return false
-	case sighting == Unanswered && now.Sub(n.seen) < s.timing.DeadAfter:
+	case sighting == DuplicateUnknown && now.Sub(n.seen) < s.timing.DeadAfter:
 		return false
 	}
 	s.self.Incarnation = n.incarnation + 1
