--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -62,7 +62,7 @@
 		case err != nil:
 			n.log.Warn("not told who has this node's name", "peer", addr, "err", err.Error())
 		case heard:
-			return membership.Heard
+			return membership.DuplicateAlive
 		default:
 			sighting = membership.NotHeard
 		}
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -105,7 +105,7 @@
 				continue
 			}
 			if n.hears(name) {
-				return membership.Heard
+				return membership.DuplicateAlive
 			}
 			sighting = membership.NotHeard
 		}
--- a/internal/membership/namesake.go
+++ b/internal/membership/namesake.go
@@ -11,8 +11,8 @@
 const (
 	// DuplicateUnknown: nobody that was asked answered.
 	DuplicateUnknown DuplicateStatus = iota
-	// Heard: somebody hears the other process.
-	Heard
+	// DuplicateAlive: somebody hears the other process.
+	DuplicateAlive
 	// NotHeard: those who answered hear no such process any more.
 	NotHeard
 )
@@ -73,7 +73,7 @@
 	switch {
 	case !n.superseded:
 		return false
-	case sighting == Heard:
+	case sighting == DuplicateAlive:
 		n.seen = now
 		return false
 	case sighting == DuplicateUnknown && now.Sub(n.seen) < s.timing.DeadAfter:
