--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -64,7 +64,7 @@
 		case heard:
 			return membership.DuplicateAlive
 		default:
-			sighting = membership.NotHeard
+			sighting = membership.DuplicateGone
 		}
 	}
 	return sighting
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -107,7 +107,7 @@
 			if n.hears(name) {
 				return membership.DuplicateAlive
 			}
-			sighting = membership.NotHeard
+			sighting = membership.DuplicateGone
 		}
 		return sighting
 	}
--- a/internal/membership/namesake.go
+++ b/internal/membership/namesake.go
@@ -13,8 +13,8 @@
 	DuplicateUnknown DuplicateStatus = iota
 	// DuplicateAlive: somebody hears the other process.
 	DuplicateAlive
-	// NotHeard: those who answered hear no such process any more.
-	NotHeard
+	// DuplicateGone: those who answered hear no such process any more.
+	DuplicateGone
 )
 
 // FindNamesake asks the nodes at the addresses, ip:port of their connect-go services,
