--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -97,7 +97,7 @@
 }
 
 // finder asks the nodes at the addresses whether they hear a process of the name.
-func (ns *nodes) finder(name string) membership.FindNamesake {
+func (ns *nodes) finder(name string) membership.CheckDuplicate {
 	return func(_ context.Context, addrs []string) membership.DuplicateStatus {
 		sighting := membership.DuplicateUnknown
 		for _, n := range ns.all {
--- a/internal/membership/namesake.go
+++ b/internal/membership/namesake.go
@@ -17,10 +17,10 @@
 	DuplicateGone
 )
 
-// FindNamesake asks the nodes at the addresses, ip:port of their connect-go services,
+// CheckDuplicate asks the nodes at the addresses, ip:port of their connect-go services,
 // whether they hear a process under this node's name. This node has fallen silent, so
 // what they hear is the other one.
-type FindNamesake func(ctx context.Context, addrs []string) DuplicateStatus
+type CheckDuplicate func(ctx context.Context, addrs []string) DuplicateStatus
 
 const (
 	// lookEvery is the time between two looks: some of them fit into the time after
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -54,7 +54,7 @@
 	SendBudget int
 	// FindNamesake looks for the process that has this node's name; without it a node
 	// that fell silent stays so until it is restarted.
-	FindNamesake FindNamesake
+	FindNamesake CheckDuplicate
 	// Gossip goes out between the heartbeats; the zero value sends none.
 	Gossip Gossip
 	Log    *slog.Logger
@@ -69,7 +69,7 @@
 	interval  time.Duration
 	nudged    chan struct{}
 
-	findNamesake FindNamesake
+	findNamesake CheckDuplicate
 	looks        sync.WaitGroup
 	gossip       Gossip
 	changes      changeLog
