--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -75,7 +75,7 @@
 	}
 	n.members = membership.New(membership.Options{
 		Node: n.set.Node, Zone: n.set.Zone, Incarnation: n.incarnation, Seeds: n.set.Peers.Seeds, PeerAddr: n.ControlAddr(),
-		Transport: n.transport, Interval: n.set.Peers.Heartbeat, FindNamesake: n.findNamesake, Log: n.log,
+		Transport: n.transport, Interval: n.set.Peers.Heartbeat, CheckDuplicate: n.findNamesake, Log: n.log,
 	})
 	n.rules = rulestore.New(rulestore.Options{Store: n.store, Peers: peerFetcher{n}, Log: n.log,
 		Watch: func() bool { return n.members.Duty("watch-rules", watchersPerZone) }})
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -87,7 +87,7 @@
 	require.NoError(ns.t, err)
 	n.Service = membership.New(membership.Options{
 		Node: cluster.NodeID(n.name), Zone: n.zone, Incarnation: incarnation, Seeds: append(seeds, ns.seeds...), PeerAddr: addr,
-		Transport: n.transport, Rand: rand.New(rand.NewPCG(uint64(zone), uint64(i))), Log: slog.New(slog.DiscardHandler), FindNamesake: ns.finder(n.name), Gossip: ns.gossip,
+		Transport: n.transport, Rand: rand.New(rand.NewPCG(uint64(zone), uint64(i))), Log: slog.New(slog.DiscardHandler), CheckDuplicate: ns.finder(n.name), Gossip: ns.gossip,
 	})
 	n.SetRulesRevision(func() int64 { return n.revision })
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -52,9 +52,9 @@
 	Timing   Timing
 	// SendBudget is bytes per second; zero means DefaultSendBudget.
 	SendBudget int
-	// FindNamesake looks for the process that has this node's name; without it a node
+	// CheckDuplicate looks for the process that has this node's name; without it a node
 	// that fell silent stays so until it is restarted.
-	FindNamesake CheckDuplicate
+	CheckDuplicate CheckDuplicate
 	// Gossip goes out between the heartbeats; the zero value sends none.
 	Gossip Gossip
 	Log    *slog.Logger
@@ -117,7 +117,7 @@
 		interval:  opts.Timing.withDefaults().Interval,
 		nudged:    make(chan struct{}, 1),
 
-		findNamesake: opts.FindNamesake,
+		findNamesake: opts.CheckDuplicate,
 		gossip:       opts.Gossip,
 
 		state:    NewState(self, opts.Seeds, opts.Timing, opts.SendBudget, opts.Rand, now),
