--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -82,6 +82,6 @@
 	now := time.Unix(1_800_000_000, 0)
 	s := filled(17, 25, now)
 	for b.Loop() {
-		holder = s.Duty("poll/assistente-fit-001", 1, now)
+		holder = s.Responsible("poll/assistente-fit-001", 1, now)
 	}
 }
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -72,9 +72,9 @@
 	return slices.ContainsFunc(s.order, func(m *member) bool { return m.zone == s.self.Zone && m.status == Alive })
 }
 
-// Duty reports whether this node is among the n holders of a duty in its zone.
+// Responsible reports whether this node is among the n holders of a duty in its zone.
 // Two nodes with different views may both hold it, or for a moment none.
-func (s *State) Duty(name string, n int, now time.Time) bool {
+func (s *State) Responsible(name string, n int, now time.Time) bool {
 	if !s.Settled(now) {
 		return false
 	}
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -264,7 +264,7 @@
 func (s *Service) Duty(name string, n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.Duty(name, n, s.now())
+	return s.state.Responsible(name, n, s.now())
 }
 
 // Owner returns the live node of this zone that the key falls to.
