--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -70,7 +70,7 @@
 		case <-ticker.C:
 		case <-l.changed:
 		}
-		duty := l.n.members.Duty("ledger", ledgerObservers)
+		duty := l.n.members.Responsible("ledger", ledgerObservers)
 		switch {
 		case duty && stop == nil:
 			stop = l.begin(ctx)
--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -78,7 +78,7 @@
 		Transport: n.transport, Interval: n.set.Peers.Heartbeat, CheckDuplicate: n.findNamesake, Log: n.log,
 	})
 	n.rules = rulestore.New(rulestore.Options{Store: n.store, Peers: peerFetcher{n}, Log: n.log,
-		Watch: func() bool { return n.members.Duty("watch-rules", watchersPerZone) }})
+		Watch: func() bool { return n.members.Responsible("watch-rules", watchersPerZone) }})
 	return nil
 }
 
@@ -99,17 +99,17 @@
 	n.engines = engine.NewClient(n.set.Platform.Timeout)
 	n.prober = engine.NewProber(gateway.DefaultProbeTimeout)
 	n.table = grouping.NewTable(grouping.TableOptions{Zone: zone, Store: n.store, Log: n.log, Peers: peerFetcher{n},
-		ShouldWatch: func() bool { return n.members.Duty("watch-grouping", watchersPerZone) }})
+		ShouldWatch: func() bool { return n.members.Responsible("watch-grouping", watchersPerZone) }})
 	for _, neighbor := range n.set.Control.NeighborZones {
 		n.neighbors = append(n.neighbors, grouping.NewTable(grouping.TableOptions{Zone: neighbor, Store: n.store, Log: n.log,
 			Peers: peerFetcher{n}, ShouldWatch: func() bool { return false }}))
 	}
 	n.health = health.New(health.Options{Engines: n.engines, Log: n.log, Bounds: health.BoundsFor(n.set.Control.ConfirmWithin),
-		Responsible: func(id cluster.ReplicaID) bool { return n.members.Duty("poll/"+string(id), 1) }})
+		Responsible: func(id cluster.ReplicaID) bool { return n.members.Responsible("poll/"+string(id), 1) }})
 	n.controller = grouping.NewController(grouping.Options{
 		Zone: zone, Node: n.set.Node, Store: n.store, VMs: n.vms, Rules: n.rules, Engines: n.engines, Policy: placement.Weighted{},
 		Log: n.log, Health: n.health, LeaseTTL: n.set.Control.PlacementLease,
-		Candidate:      func() bool { return n.members.Duty("place", placementCandidates) },
+		Candidate:      func() bool { return n.members.Responsible("place", placementCandidates) },
 		LoadsPerSecond: n.set.Control.LoadsPerMinute / time.Minute.Seconds(), LoadBurst: loadBurst,
 	})
 	n.ledger = newLedgerDuty(n)
--- a/internal/daemon/vms.go
+++ b/internal/daemon/vms.go
@@ -18,7 +18,7 @@
 func (n *Node) sharedVMs() *vmlist.Shared {
 	p := n.set.Platform
 	return &vmlist.Shared{Platform: vmlist.NewClient(p.VMList, p.Timeout), Peers: peerFetcher{n}, Interval: p.VMListEvery,
-		Duty: func() bool { return n.members.Duty("read-vms", vmListReaders) }}
+		Duty: func() bool { return n.members.Responsible("read-vms", vmListReaders) }}
 }
 
 // FetchVMs implements vmlist.PeerLists. It asks one live node at a time, one of
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -259,9 +259,9 @@
 	return s.state.Self()
 }
 
-// Duty reports whether this node is among the n holders of a duty in its zone.
+// Responsible reports whether this node is among the n holders of a duty in its zone.
 // For some moments two nodes may hold what one should, or none.
-func (s *Service) Duty(name string, n int) bool {
+func (s *Service) Responsible(name string, n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Responsible(name, n, s.now())
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -53,7 +53,7 @@
 		zone, others := ns.inZone("zone-a")
 		holder := func() (held []*node) {
 			for _, n := range zone {
-				if n.Duty("watch/rules", 1) {
+				if n.Responsible("watch/rules", 1) {
 					held = append(held, n)
 				}
 			}
@@ -138,7 +138,7 @@
 			require.True(t, knowSuccessor())
 		}
 		require.Equal(t, sent, old.transport.Counters().SentPackets)
-		require.False(t, old.Duty("anything", 99))
+		require.False(t, old.Responsible("anything", 99))
 		require.False(t, successor.Superseded())
 	})
 }
@@ -202,17 +202,17 @@
 		ns := start(t, 7, 1, 12)
 		ns.within(joinBound, "all see all", func() bool { return sees(ns.all, ns.all, membership.Alive) })
 		leaver := ns.all[0]
-		require.True(t, leaver.Duty("poll", 12))
+		require.True(t, leaver.Responsible("poll", 12))
 		leaver.Leave()
 		ns.within(200*time.Millisecond, "others hold all", func() bool {
 			for _, n := range ns.all[1:] {
-				if !n.Duty("poll", 11) {
+				if !n.Responsible("poll", 11) {
 					return false
 				}
 			}
 			return true
 		})
-		require.False(t, leaver.Duty("poll", 12))
+		require.False(t, leaver.Responsible("poll", 12))
 		require.True(t, sees(ns.all[1:], ns.all[:1], membership.Alive))
 	})
 }
