--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -61,11 +61,11 @@
 	return nodes
 }
 
-// Settled reports whether the node has heard a peer of its zone or waited long
+// Joined reports whether the node has heard a peer of its zone or waited long
 // enough to take itself for alone. Before that it holds no duty: after an outage
 // all nodes return at once, and each would otherwise take every duty of its zone
 // and press on the platform.
-func (s *State) Settled(now time.Time) bool {
+func (s *State) Joined(now time.Time) bool {
 	if now.Sub(s.started) >= s.timing.SuspectAfter || len(s.seeds) == 0 {
 		return true
 	}
@@ -75,7 +75,7 @@
 // Responsible reports whether this node is among the n holders of a duty in its zone.
 // Two nodes with different views may both hold it, or for a moment none.
 func (s *State) Responsible(name string, n int, now time.Time) bool {
-	if !s.Settled(now) {
+	if !s.Joined(now) {
 		return false
 	}
 	nodes := s.dutyNodes()
