--- a/internal/entry/region.go
+++ b/internal/entry/region.go
@@ -124,7 +124,7 @@
 	}
 	members := membership.New(membership.Options{
 		Node: r.set.Node, Zone: cluster.ZoneID(r.set.Region), Seeds: r.seeds(), PeerAddr: r.set.Feeds.Listen, Transport: transport, Log: r.log,
-		SendBudget: heartbeatBudget, Gossip: membership.Gossip{Source: r.core.LoadReport, Budget: gossipBudget, Life: loadReportLife},
+		SendBudget: heartbeatBudget, Gossip: membership.Gossip{Source: r.core.LoadReport, Budget: gossipBudget, TTL: loadReportLife},
 	})
 	members.AddSource(r.core.LoadReport)
 	members.OnDatagram(func(from membership.Member, d *wirepb.Datagram) {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -20,9 +20,9 @@
 	// Budget is bytes per second, IP and UDP headers included. The fewer the peers, the
 	// more often each hears.
 	Budget int
-	// Life is how long a peer counts what it is told. With so many peers that each would
+	// TTL is how long a peer counts what it is told. With so many peers that each would
 	// know it for less than a third of the time, none is sent; zero sends always.
-	Life time.Duration
+	TTL time.Duration
 }
 
 const (
@@ -128,10 +128,10 @@
 
 // MostPeers is the number of peers up to which gossip is sent.
 func (g Gossip) MostPeers() int {
-	if g.Life <= 0 {
+	if g.TTL <= 0 {
 		return maxMembers
 	}
-	return int(mostSilence * g.Life / g.pause(leastGossip))
+	return int(mostSilence * g.TTL / g.pause(leastGossip))
 }
 
 // pause is the time that a gossip datagram of so many bytes of body uses up.
