--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -102,7 +102,7 @@
 
 // sendGossip tells one peer after the other until ctx ends.
 func (s *Service) sendGossip(ctx context.Context) {
-	most := s.gossip.MostPeers()
+	most := s.gossip.MaxPeers()
 	for ctx.Err() == nil {
 		s.mu.Lock()
 		send := s.state.Gossip(most)
@@ -126,8 +126,8 @@
 // they tell.
 const mostSilence = 3
 
-// MostPeers is the number of peers up to which gossip is sent.
-func (g Gossip) MostPeers() int {
+// MaxPeers is the number of peers up to which gossip is sent.
+func (g Gossip) MaxPeers() int {
 	if g.TTL <= 0 {
 		return maxMembers
 	}
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -78,7 +78,7 @@
 		for i := range c.nodes - 1 {
 			s.Receive(&wirepb.Datagram{Node: fmt.Sprint("node-", i), Zone: "zone", Incarnation: 1, Sequence: 1, DatagramAddr: fmt.Sprintf("10.0.1.%d:7000", i)}, now)
 		}
-		most := membership.Gossip{Budget: gossipBudget, TTL: time.Second}.MostPeers()
+		most := membership.Gossip{Budget: gossipBudget, TTL: time.Second}.MaxPeers()
 		require.Equal(t, c.sent, len(s.Gossip(most).Addrs) > 0, "%d nodes", c.nodes)
 	}
 }
