--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -263,7 +263,7 @@
 	}
 	suspectAfter, deadAfter := s.timing.SuspectAfter, s.timing.DeadAfter
 	if m.zone != s.self.Zone {
-		suspectAfter, deadAfter = s.timing.RemoteSuspectAfter, s.timing.FarDeadAfter
+		suspectAfter, deadAfter = s.timing.RemoteSuspectAfter, s.timing.RemoteDeadAfter
 	}
 	silent := now.Sub(m.heard)
 	switch {
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -8,9 +8,9 @@
 	Interval time.Duration
 	// SuspectAfter and DeadAfter age members of the node's own zone.
 	SuspectAfter, DeadAfter time.Duration
-	// RemoteSuspectAfter and FarDeadAfter age members of other zones, whose
+	// RemoteSuspectAfter and RemoteDeadAfter age members of other zones, whose
 	// heartbeats arrive through third nodes and at longer intervals.
-	RemoteSuspectAfter, FarDeadAfter time.Duration
+	RemoteSuspectAfter, RemoteDeadAfter time.Duration
 	// ForgetAfter drops a dead member, except the last contactsPerZone of its zone.
 	ForgetAfter time.Duration
 }
@@ -30,7 +30,7 @@
 	setDefault(&t.SuspectAfter, DefaultSuspectAfter)
 	setDefault(&t.DeadAfter, DefaultDeadAfter)
 	setDefault(&t.RemoteSuspectAfter, DefaultFarSuspectAfter)
-	setDefault(&t.FarDeadAfter, DefaultFarDeadAfter)
+	setDefault(&t.RemoteDeadAfter, DefaultFarDeadAfter)
 	setDefault(&t.ForgetAfter, DefaultForgetAfter)
 	return t
 }
