--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -20,7 +20,7 @@
 	DefaultInterval        = time.Second
 	DefaultSuspectAfter    = 8 * time.Second
 	DefaultDeadAfter       = 16 * time.Second
-	DefaultFarSuspectAfter = 45 * time.Second
+	DefaultRemoteSuspectAfter = 45 * time.Second
 	DefaultFarDeadAfter    = 90 * time.Second
 	DefaultForgetAfter     = 10 * time.Minute
 )
@@ -29,7 +29,7 @@
 	setDefault(&t.Interval, DefaultInterval)
 	setDefault(&t.SuspectAfter, DefaultSuspectAfter)
 	setDefault(&t.DeadAfter, DefaultDeadAfter)
-	setDefault(&t.RemoteSuspectAfter, DefaultFarSuspectAfter)
+	setDefault(&t.RemoteSuspectAfter, DefaultRemoteSuspectAfter)
 	setDefault(&t.RemoteDeadAfter, DefaultFarDeadAfter)
 	setDefault(&t.ForgetAfter, DefaultForgetAfter)
 	return t
