--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -14,7 +14,7 @@
 const (
 	joinBound = 30 * time.Second
 	deadBound = membership.DefaultDeadAfter + 5*time.Second
-	farBound  = membership.DefaultFarDeadAfter + 10*time.Second
+	farBound  = membership.DefaultRemoteDeadAfter + 10*time.Second
 	healBound = 20 * time.Second
 )
 
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -21,7 +21,7 @@
 	DefaultSuspectAfter    = 8 * time.Second
 	DefaultDeadAfter       = 16 * time.Second
 	DefaultRemoteSuspectAfter = 45 * time.Second
-	DefaultFarDeadAfter    = 90 * time.Second
+	DefaultRemoteDeadAfter    = 90 * time.Second
 	DefaultForgetAfter     = 10 * time.Minute
 )
 
@@ -30,7 +30,7 @@
 	setDefault(&t.SuspectAfter, DefaultSuspectAfter)
 	setDefault(&t.DeadAfter, DefaultDeadAfter)
 	setDefault(&t.RemoteSuspectAfter, DefaultRemoteSuspectAfter)
-	setDefault(&t.RemoteDeadAfter, DefaultFarDeadAfter)
+	setDefault(&t.RemoteDeadAfter, DefaultRemoteDeadAfter)
 	setDefault(&t.ForgetAfter, DefaultForgetAfter)
 	return t
 }
