--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -30,7 +30,7 @@
 // HealthChecks provides the results of the health checks run by the zone's nodes. With them,
 // the holder does not poll the engines of healthy replicas itself.
 type HealthChecks interface {
-	Whole(id cluster.ReplicaID, generation int64) bool
+	Healthy(id cluster.ReplicaID, generation int64) bool
 }
 
 // Options configures a Controller. Zone, Node, Store, VMs, Rules, Engines, Policy and Log are
--- a/internal/grouping/reconcile.go
+++ b/internal/grouping/reconcile.go
@@ -38,7 +38,7 @@
 }
 
 func (c *Controller) confirmedHealthy(view *engineView, r cluster.Replica, want engine.Assignment) bool {
-	return c.opts.Health != nil && c.opts.Health.Whole(r.ID, r.Generation) &&
+	return c.opts.Health != nil && c.opts.Health.Healthy(r.ID, r.Generation) &&
 		view.hasState && view.state.Loaded && orderFor(view.state.Assignment, want, true) == ""
 }
 
--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -150,8 +150,8 @@
 	c.with(c.shardOf(id), func(t *Tracker, _ time.Time) []Transition { t.RequestPoll(id); return nil })
 }
 
-// Whole reports whether the replica is whole at the given generation.
-func (c *Checker) Whole(id cluster.ReplicaID, generation int64) bool {
+// Healthy reports whether the replica is whole at the given generation.
+func (c *Checker) Healthy(id cluster.ReplicaID, generation int64) bool {
 	s := c.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/health/check_test.go
+++ b/internal/health/check_test.go
@@ -68,8 +68,8 @@
 		engines.set("a:1", &good)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		require.True(t, check.Whole("r1", 2))
-		require.False(t, check.Whole("r1", 1))
+		require.True(t, check.Healthy("r1", 2))
+		require.False(t, check.Healthy("r1", 1))
 		require.True(t, check.Status()[0].Healthy)
 
 		bad := stateOf(testReplica)
@@ -77,7 +77,7 @@
 		engines.set("a:1", &bad)
 		time.Sleep(testBounds.PollIdle + tick)
 		synctest.Wait()
-		require.False(t, check.Whole("r1", 2))
+		require.False(t, check.Healthy("r1", 2))
 		require.False(t, check.Status()[0].OwnBrokenAt.IsZero())
 		require.Equal(t, "VM c is in r1 generation 1", check.Status()[0].Reason)
 
