--- a/internal/wire/wirepb/wirepbconnect/fennel.connect.go
+++ b/internal/wire/wirepb/wirepbconnect/fennel.connect.go
@@ -2,9 +2,9 @@
 //
 // Source: fennel.proto
 
-// Messages between the processes of one fennelcourse system. Field numbers are
-// never reused; unknown fields are ignored, so that nodes of neighbouring
-// versions run side by side.
+// Messages exchanged by the processes of one fennelcourse system. Field numbers are
+// never reused and unknown fields are ignored, so that nodes of adjacent versions
+// can run side by side.
 package wirepbconnect
 
 import (
@@ -71,11 +71,11 @@
 
 // PeerServiceClient is a client for the fennel.v1.PeerService service.
 type PeerServiceClient interface {
-	// FetchRules returns the rules in force, as a delta against have_revision when the peer still holds it.
+	// FetchRules returns the rules in force, as a delta against have_revision if the peer still has it.
 	FetchRules(context.Context, *connect.Request[wirepb.FetchRulesRequest]) (*connect.Response[wirepb.FetchRulesResponse], error)
-	// FetchGrouping returns the newest committed grouping of a zone that the peer knows.
+	// FetchGrouping returns the newest committed grouping of a zone known to the peer.
 	FetchGrouping(context.Context, *connect.Request[wirepb.FetchGroupingRequest]) (*connect.Response[wirepb.FetchGroupingResponse], error)
-	// FetchVMs returns the newest VM list that the peer knows.
+	// FetchVMs returns the newest VM list known to the peer.
 	FetchVMs(context.Context, *connect.Request[wirepb.FetchVMsRequest]) (*connect.Response[wirepb.FetchVMsResponse], error)
 }
 
@@ -135,11 +135,11 @@
 
 // PeerServiceHandler is an implementation of the fennel.v1.PeerService service.
 type PeerServiceHandler interface {
-	// FetchRules returns the rules in force, as a delta against have_revision when the peer still holds it.
+	// FetchRules returns the rules in force, as a delta against have_revision if the peer still has it.
 	FetchRules(context.Context, *connect.Request[wirepb.FetchRulesRequest]) (*connect.Response[wirepb.FetchRulesResponse], error)
-	// FetchGrouping returns the newest committed grouping of a zone that the peer knows.
+	// FetchGrouping returns the newest committed grouping of a zone known to the peer.
 	FetchGrouping(context.Context, *connect.Request[wirepb.FetchGroupingRequest]) (*connect.Response[wirepb.FetchGroupingResponse], error)
-	// FetchVMs returns the newest VM list that the peer knows.
+	// FetchVMs returns the newest VM list known to the peer.
 	FetchVMs(context.Context, *connect.Request[wirepb.FetchVMsRequest]) (*connect.Response[wirepb.FetchVMsResponse], error)
 }
 
@@ -200,10 +200,10 @@
 // OperatorServiceClient is a client for the fennel.v1.OperatorService service.
 type OperatorServiceClient interface {
 	GetRules(context.Context, *connect.Request[wirepb.GetRulesRequest]) (*connect.Response[wirepb.GetRulesResponse], error)
-	// ApplyRules accepts the file if base_revision is still the newest.
+	// ApplyRules accepts the file if base_revision is still the newest revision.
 	ApplyRules(context.Context, *connect.Request[wirepb.ApplyRulesRequest]) (*connect.Response[wirepb.ApplyRulesResponse], error)
 	RulesHistory(context.Context, *connect.Request[wirepb.RulesHistoryRequest]) (*connect.Response[wirepb.RulesHistoryResponse], error)
-	// RulesInForce says from how many nodes of how many a revision is in force.
+	// RulesInForce reports on how many of the nodes a revision is in force.
 	RulesInForce(context.Context, *connect.Request[wirepb.RulesInForceRequest]) (*connect.Response[wirepb.RulesInForceResponse], error)
 	Status(context.Context, *connect.Request[wirepb.StatusRequest]) (*connect.Response[wirepb.StatusResponse], error)
 	Explain(context.Context, *connect.Request[wirepb.ExplainRequest]) (*connect.Response[wirepb.ExplainResponse], error)
@@ -315,10 +315,10 @@
 // OperatorServiceHandler is an implementation of the fennel.v1.OperatorService service.
 type OperatorServiceHandler interface {
 	GetRules(context.Context, *connect.Request[wirepb.GetRulesRequest]) (*connect.Response[wirepb.GetRulesResponse], error)
-	// ApplyRules accepts the file if base_revision is still the newest.
+	// ApplyRules accepts the file if base_revision is still the newest revision.
 	ApplyRules(context.Context, *connect.Request[wirepb.ApplyRulesRequest]) (*connect.Response[wirepb.ApplyRulesResponse], error)
 	RulesHistory(context.Context, *connect.Request[wirepb.RulesHistoryRequest]) (*connect.Response[wirepb.RulesHistoryResponse], error)
-	// RulesInForce says from how many nodes of how many a revision is in force.
+	// RulesInForce reports on how many of the nodes a revision is in force.
 	RulesInForce(context.Context, *connect.Request[wirepb.RulesInForceRequest]) (*connect.Response[wirepb.RulesInForceResponse], error)
 	Status(context.Context, *connect.Request[wirepb.StatusRequest]) (*connect.Response[wirepb.StatusResponse], error)
 	Explain(context.Context, *connect.Request[wirepb.ExplainRequest]) (*connect.Response[wirepb.ExplainResponse], error)
@@ -429,8 +429,8 @@
 
 // FeedServiceClient is a client for the fennel.v1.FeedService service.
 type FeedServiceClient interface {
-	// Follow sends all entries and then each change. It ends when the node's own copy
-	// may be old.
+	// Follow sends all entries and then each change. The stream ends when the node's own
+	// copy may be stale.
 	Follow(context.Context, *connect.Request[wirepb.FollowRequest]) (*connect.ServerStreamForClient[wirepb.FollowResponse], error)
 }
 
@@ -466,8 +466,8 @@
 
 // FeedServiceHandler is an implementation of the fennel.v1.FeedService service.
 type FeedServiceHandler interface {
-	// Follow sends all entries and then each change. It ends when the node's own copy
-	// may be old.
+	// Follow sends all entries and then each change. The stream ends when the node's own
+	// copy may be stale.
 	Follow(context.Context, *connect.Request[wirepb.FollowRequest], *connect.ServerStream[wirepb.FollowResponse]) error
 }
 
