--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -1,9 +1,9 @@
-// Package conns keeps connections to backend servers for reuse.
+// Package conns pools connections to backend servers.
 //
-// Each connection has a transport of its own that dials once. A shared transport
-// would send some requests again by itself when a kept connection turns out to be
-// closed; a call that may run once only would run twice, and no count of sends
-// would show it. Here nothing is sent that the caller of RoundTrip did not ask for.
+// Each connection has its own http.Transport, which dials only once. A shared
+// transport retries some requests by itself if an idle connection turns out to be
+// closed; a call that may run at most once would then run twice, and no counter would
+// show the second send. Here every send is one that the caller of RoundTrip asked for.
 package conns
 
 import (
@@ -25,52 +25,53 @@
 	"github.com/fennelcourse/fennelcourse/internal/sockets"
 )
 
-// Times of connections.
+// Connection timeouts and pool size.
 const (
-	// dialTimeout is well above a round trip between zones (2 ms) and a lost
-	// opening packet (1 s until it is sent again).
+	// dialTimeout is well above a round trip between zones (2 ms) and leaves time for
+	// one lost SYN packet, which is retransmitted after 1 s.
 	dialTimeout = 1500 * time.Millisecond
-	// defaultKeep is how long a connection is kept whose server names no time.
-	defaultKeep = 5 * time.Second
-	// keepSlack is how much earlier than its server a connection is given up, so
-	// that a request does not cross the server's close.
-	keepSlack = time.Second
-	shards    = 16
+	// defaultIdleTimeout applies to connections whose server sends no Keep-Alive timeout.
+	defaultIdleTimeout = 5 * time.Second
+	// idleTimeoutMargin is subtracted from the server's Keep-Alive timeout, so that no
+	// request is sent while the server closes the connection.
+	idleTimeoutMargin = time.Second
+	shardCount        = 16
 )
 
-// Peer is the process at the other end. Another process at the same address, or
-// another start under the same id, is another peer: it must not get what is kept
-// for the first.
+// Peer identifies the process at the other end of a connection. Another process at the
+// same address, or a restart under the same id, is a different peer and must not get
+// connections of the first one.
 type Peer struct {
 	Server cluster.VMID
 	Addr   string
-	StartedUnixMs   int64
+	// StartedUnixMs is the start time of the process in Unix milliseconds.
+	StartedUnixMs int64
 }
 
-// NotSentError is a request of which no byte left this node.
+// NotSentError reports a request of which no byte left this node.
 type NotSentError struct {
 	Addr string
-	// Refused is true when the address answered that nothing listens there.
+	// Refused is set if the connection was refused: nothing listens at the address.
 	Refused bool
 	Err     error
 }
 
-// Error implements error.
+// Error returns the address and the cause.
 func (e *NotSentError) Error() string { return "not sent to " + e.Addr + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// errSpent is the answer to a second dial of a connection's transport.
-var errSpent = errors.New("the kept connection is closed")
+// errConnClosed is returned by the second dial of a connection's transport.
+var errConnClosed = errors.New("the idle connection was closed")
 
 var (
 	dialsTotal  = metrics.NewCounter("fennel_conns_dials_total")
 	reusedTotal = metrics.NewCounter("fennel_conns_reused_total")
 )
 
-// Pool keeps idle connections by peer.
-type Pool struct{ shards [shards]shard }
+// Pool holds idle connections by peer, in shards with a lock each.
+type Pool struct{ shards [shardCount]shard }
 
 type shard struct {
 	mu   sync.Mutex
@@ -86,20 +87,20 @@
 	return p
 }
 
-// Conn is one connection, or the right to make one. It carries one request at a time.
+// Conn is one connection, which is dialed on first use. It carries one request at a time.
 type Conn struct {
-	peer      Peer
-	transport *http.Transport
-	dialed    atomic.Bool
-	uses      int
-	keep      time.Duration
-	idleSince time.Time
+	peer        Peer
+	transport   *http.Transport
+	dialed      atomic.Bool
+	uses        int
+	idleTimeout time.Duration
+	idleSince   time.Time
 }
 
 // Reused reports whether the connection has carried a request before.
 func (c *Conn) Reused() bool { return c.uses > 1 }
 
-// Get returns a kept connection to the peer that has been idle for at most maxIdle,
+// Get returns an idle connection to the peer that has been idle for at most maxIdle,
 // or a new one.
 func (p *Pool) Get(peer Peer, maxIdle time.Duration, now time.Time) *Conn {
 	if c := p.takeIdle(peer, maxIdle, now); c != nil {
@@ -107,12 +108,13 @@
 		reusedTotal.Inc()
 		return c
 	}
-	c := &Conn{peer: peer, keep: defaultKeep, uses: 1}
+	c := &Conn{peer: peer, idleTimeout: defaultIdleTimeout, uses: 1}
 	c.transport = &http.Transport{DialContext: c.dial, DisableCompression: true, MaxIdleConnsPerHost: 1, ReadBufferSize: 4 << 10, WriteBufferSize: 4 << 10}
 	return c
 }
 
-// takeIdle takes the connection that was used last: it is the likeliest to work.
+// takeIdle removes and returns the most recently used connection, which is the most
+// likely to be still open.
 func (p *Pool) takeIdle(peer Peer, maxIdle time.Duration, now time.Time) *Conn {
 	s := p.shard(peer)
 	s.mu.Lock()
@@ -122,7 +124,7 @@
 		c := list[len(list)-1]
 		list = list[:len(list)-1]
 		s.idle[peer] = list
-		if idle := now.Sub(c.idleSince); idle <= min(maxIdle, c.keep) {
+		if idle := now.Sub(c.idleSince); idle <= min(maxIdle, c.idleTimeout) {
 			return c
 		}
 		c.Close()
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// Put keeps a connection whose last answer was read to its end.
+// Put returns a connection to the pool. Its last response must have been read to the end.
 func (p *Pool) Put(c *Conn, now time.Time) {
 	c.idleSince = now
 	s := p.shard(c.peer)
@@ -140,11 +142,11 @@
 	s.idle[c.peer] = append(s.idle[c.peer], c)
 }
 
-// Close closes all kept connections.
+// Close closes all idle connections.
 func (p *Pool) Close() { p.Sweep(func(Peer) bool { return false }, time.Time{}) }
 
-// Sweep closes connections that were idle for too long and those to peers that
-// are not known any more.
+// Sweep closes connections that were idle for too long and those to peers that are no
+// longer known.
 func (p *Pool) Sweep(known func(Peer) bool, now time.Time) {
 	for i := range p.shards {
 		s := &p.shards[i]
@@ -152,7 +154,7 @@
 		for peer, list := range s.idle {
 			kept := list[:0]
 			for _, c := range list {
-				if known(peer) && now.Sub(c.idleSince) <= c.keep {
+				if known(peer) && now.Sub(c.idleSince) <= c.idleTimeout {
 					kept = append(kept, c)
 					continue
 				}
@@ -168,40 +170,40 @@
 }
 
 func (p *Pool) shard(peer Peer) *shard {
-	return &p.shards[xxhash.Sum64String(peer.Addr)%shards]
+	return &p.shards[xxhash.Sum64String(peer.Addr)%shardCount]
 }
 
-// dial makes the one connection.
+// dial opens the connection; a second dial fails.
 func (c *Conn) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if c.dialed.Swap(true) {
-		return nil, errSpent
+		return nil, errConnClosed
 	}
 	dialsTotal.Inc()
 	return sockets.Dialer(dialTimeout).DialContext(ctx, network, addr)
 }
 
-// RoundTrip sends one request. A failure is a *NotSentError when no byte of it can
-// have left this node; any other may have reached the peer.
+// RoundTrip sends one request. The error is a *NotSentError if no byte of the request
+// can have left this node; after any other error the request may have reached the peer.
 func (c *Conn) RoundTrip(req *http.Request) (*http.Response, error) {
-	var got atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { got.Store(true) }}
+	var gotConn atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { gotConn.Store(true) }}
 	resp, err := c.transport.RoundTrip(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
 	if err != nil {
-		if !got.Load() {
+		if !gotConn.Load() {
 			return nil, &NotSentError{Addr: c.peer.Addr, Refused: isRefused(err), Err: err}
 		}
 		return nil, err
 	}
-	if keep, ok := keepAliveTimeout(resp.Header.Get("Keep-Alive")); ok {
-		c.keep = max(keep-keepSlack, 0)
+	if timeout, ok := keepAliveTimeout(resp.Header.Get("Keep-Alive")); ok {
+		c.idleTimeout = max(timeout-idleTimeoutMargin, 0)
 	}
 	return resp, nil
 }
 
-// Close drops the connection.
+// Close closes the connection if no request is in flight on it.
 func (c *Conn) Close() { c.transport.CloseIdleConnections() }
 
-// keepAliveTimeout reads the server's word on how long it keeps idle connections.
+// keepAliveTimeout parses the timeout parameter of a Keep-Alive header.
 func keepAliveTimeout(header string) (time.Duration, bool) {
 	for _, part := range strings.Split(header, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// serve answers every request and counts the connections.
+// serve starts a server that answers every request and counts its connections.
 func serve(t *testing.T, header http.Header) (conns.Peer, *atomic.Int64, *httptest.Server) {
 	t.Helper()
 	var opened atomic.Int64
@@ -39,7 +39,7 @@
 	return conns.Peer{Server: "i-1", Addr: strings.TrimPrefix(server.URL, "http://")}, &opened, server
 }
 
-// exchange sends one request on a connection and reads the answer.
+// exchange sends one request on a connection and reads the response.
 func exchange(t *testing.T, c *conns.Conn, peer conns.Peer) error {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+peer.Addr+"/", http.NoBody)
@@ -53,7 +53,7 @@
 	return resp.Body.Close()
 }
 
-func TestKeptConnectionIsUsedAgain(t *testing.T) {
+func TestIdleConnectionIsReused(t *testing.T) {
 	peer, opened, _ := serve(t, http.Header{"Keep-Alive": {"timeout=10"}})
 	pool := conns.NewPool()
 	defer pool.Close()
@@ -66,9 +66,9 @@
 	require.EqualValues(t, 1, opened.Load())
 
 	for name, get := range map[string]func() *conns.Conn{
-		"idle for longer than the caller allows":         func() *conns.Conn { return pool.Get(peer, time.Second, now.Add(2*time.Second)) },
-		"idle for nearly as long as its server keeps it": func() *conns.Conn { return pool.Get(peer, time.Minute, now.Add(9500*time.Millisecond)) },
-		"another process at the address": func() *conns.Conn {
+		"idle for longer than the caller allows":          func() *conns.Conn { return pool.Get(peer, time.Second, now.Add(2*time.Second)) },
+		"idle for nearly the server's Keep-Alive timeout": func() *conns.Conn { return pool.Get(peer, time.Minute, now.Add(9500*time.Millisecond)) },
+		"another process at the same address": func() *conns.Conn {
 			return pool.Get(conns.Peer{Server: "i-1", Addr: peer.Addr, StartedUnixMs: 2}, time.Minute, now)
 		},
 	} {
@@ -81,9 +81,9 @@
 	}
 }
 
-// The server has closed a kept connection. Nothing was sent on it, and whoever
-// wants to send hears so, and that it may take another.
-func TestClosedKeptConnectionSentNothing(t *testing.T) {
+// The server has closed an idle connection. The sender must learn that the request was
+// not sent, and that it can use another connection.
+func TestSendOnClosedIdleConnectionIsNotSent(t *testing.T) {
 	peer, _, server := serve(t, nil)
 	pool := conns.NewPool()
 	defer pool.Close()
@@ -97,7 +97,7 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-func TestRefusedConnectionSaysSo(t *testing.T) {
+func TestRefusedConnectionIsReported(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
@@ -108,7 +108,7 @@
 	require.True(t, notSent.Refused)
 }
 
-func TestSweepClosesWhatNobodyMayUse(t *testing.T) {
+func TestSweepClosesConnectionsToUnknownPeers(t *testing.T) {
 	peer, opened, _ := serve(t, nil)
 	pool := conns.NewPool()
 	defer pool.Close()
--- a/internal/conns/errors.go
+++ b/internal/conns/errors.go
@@ -8,6 +8,6 @@
 
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// IsClosed reports whether err says that a kept connection was closed before the
+// IsClosed reports whether err says that an idle connection was closed before the
 // request was sent on it.
-func IsClosed(err error) bool { return errors.Is(err, errSpent) }
+func IsClosed(err error) bool { return errors.Is(err, errConnClosed) }
