--- a/internal/health/bytes_test.go
+++ b/internal/health/bytes_test.go
@@ -17,12 +17,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// countingListener counts the bytes of all its connections, both ways.
+// countingListener counts the bytes of all its connections in both directions.
 //
-// Bytes are counted before they are handed on: written ones before the peer can
-// have them, read ones before the server can act on them. Once a client holds a
-// whole answer, everything up to its last byte is counted, however the
-// goroutines take turns.
+// Written bytes are counted before the peer can receive them, and read bytes before the
+// server can act on them. Once a client has a complete response, all bytes up to its last
+// one are counted, regardless of how the goroutines are scheduled.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -51,12 +50,12 @@
 	return n, err
 }
 
-// A node of the design size has 4,500/420 replicas on its duty and 6 KB a second
-// for all control. Half of it must carry the polls of quiet replicas of 32 VMs.
-func TestPollsFitTheBudget(t *testing.T) {
+// At the design size a node polls 4,500/420 replicas and has 6 KB/s for all control
+// traffic. The polls of idle replicas of 32 VMs must stay within half of it.
+func TestPollsStayWithinBandwidthBudget(t *testing.T) {
 	const (
 		replicasPerNode = 4500.0 / 420
-		budget          = 3000.0 // bytes a second
+		budget          = 3000.0 // bytes per second
 		polls           = 20
 	)
 	r := cluster.Replica{ID: "serra-a.assistente-fit.1a2b3c.4d", Group: "assistente-fit", Zone: "serra-a", Generation: 123}
@@ -86,22 +85,22 @@
 	defer client.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
 
-	whole, err := client.State(t.Context(), addr)
+	full, err := client.State(t.Context(), addr)
 	require.NoError(t, err)
-	require.Len(t, whole.Members, 32)
-	wholeBytes := bytes.Load()
-	t.Logf("whole state: %d bytes a poll", wholeBytes)
+	require.Len(t, full.Members, 32)
+	fullBytes := bytes.Load()
+	t.Logf("full state: %d bytes per poll", fullBytes)
 	for range polls {
 		brief, err := client.BriefState(t.Context(), addr)
 		require.NoError(t, err)
 		require.Equal(t, engine.ReplicaHash(r), brief.Summary.Hash)
 	}
 	total := bytes.Load()
-	perPoll := float64(total-wholeBytes) / polls
+	perPoll := float64(total-fullBytes) / polls
 	perSecond := perPoll * replicasPerNode / DefaultBounds().PollIdle.Seconds()
-	t.Logf("brief state: %.0f bytes a poll, %.0f bytes a second at %.1f replicas a node", perPoll, perSecond, replicasPerNode)
+	t.Logf("brief state: %.0f bytes per poll, %.0f bytes per second at %.1f replicas per node", perPoll, perSecond, replicasPerNode)
 	require.Less(t, perSecond, budget)
-	// Whatever is still uncounted when the last answer is here would show now.
+	// Bytes that were not yet counted when the last response arrived would show now.
 	server.Close()
-	require.Equal(t, total, bytes.Load(), "bytes were counted after their answer was read")
+	require.Equal(t, total, bytes.Load(), "bytes were counted after their response was read")
 }
--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -16,59 +16,59 @@
 
 const (
 	shardCount = 16
-	// tick is how often ages are looked at and due polls are sent.
-	tick = 250 * time.Millisecond
-	// parallelPolls bounds the polls in flight.
-	parallelPolls = 32
+	// tickInterval is the time between two checks for expired confirmations and due polls.
+	tickInterval = 250 * time.Millisecond
+	// maxParallelPolls limits the number of polls in flight.
+	maxParallelPolls = 32
 )
 
 var (
-	pollsSent     = metrics.NewCounter("fennel_health_polls_total")
-	pollsFailed   = metrics.NewCounter("fennel_health_polls_failed_total")
-	turnedWhole   = metrics.NewCounter("fennel_health_whole_total")
-	turnedUnwhole = metrics.NewCounter("fennel_health_not_whole_total")
+	pollsSent       = metrics.NewCounter("fennel_health_polls_total")
+	pollsFailed     = metrics.NewCounter("fennel_health_polls_failed_total")
+	becameHealthy   = metrics.NewCounter("fennel_health_whole_total")
+	becameUnhealthy = metrics.NewCounter("fennel_health_not_whole_total")
 )
 
-// Engines asks a serving VM for its state, whole or in brief; engine.Client is one.
+// Engines fetches a serving VM's state, in full or in brief. engine.Client implements it.
 type Engines interface {
 	State(ctx context.Context, addr string) (engine.State, error)
 	BriefState(ctx context.Context, addr string) (engine.State, error)
 }
 
-// Options sets up a Check. Engines and Log are required.
+// Options configures a Checker. Engines and Log are required.
 type Options struct {
 	Engines Engines
 	Log     *slog.Logger
 	Bounds  Bounds
-	// Responsible reports whether this node polls the replica; the zone's nodes split
-	// the replicas among them. nil means all.
+	// Responsible reports whether this node polls the replica; the zone's nodes divide
+	// the replicas among themselves. nil means all replicas.
 	Responsible func(cluster.ReplicaID) bool
 }
 
-// Checker follows all committed replicas that it is given and says which are whole.
+// Checker tracks the committed replicas and decides which of them are healthy.
 type Checker struct {
-	opts   Options
-	seed   maphash.Seed
-	shards [shardCount]shard
-	slots  chan struct{}
-	polls  sync.WaitGroup
+	opts      Options
+	seed      maphash.Seed
+	shards    [shardCount]shard
+	pollSlots chan struct{}
+	polls     sync.WaitGroup
 
-	mu      sync.Mutex // guards the fields below
-	addrs   map[cluster.VMID]string
-	tables  map[cluster.ZoneID][]cluster.Replica
-	onWhole []func(cluster.Replica, bool, string)
-	onLoad  []func(cluster.Replica, engine.Load)
+	mu       sync.Mutex // guards the fields below
+	addrs    map[cluster.VMID]string
+	replicas map[cluster.ZoneID][]cluster.Replica
+	onChange []func(cluster.Replica, bool, string)
+	onLoad   []func(cluster.Replica, engine.Load)
 }
 
-// shard is a Tracker of some of the replicas. emit is held while transitions are
-// worked out and told, so that listeners see them in order; mu guards the Tracker.
+// shard tracks a part of the replicas. notifyMu is held while transitions are computed
+// and listeners are notified, so that listeners see them in order; mu guards the Tracker.
 type shard struct {
-	emit    sync.Mutex
-	mu      sync.Mutex
-	tracker *Tracker
+	notifyMu sync.Mutex
+	mu       sync.Mutex
+	tracker  *Tracker
 }
 
-// New returns a Check; Run starts its polls.
+// New returns a Checker. Run starts the polls.
 func New(opts Options) *Checker {
 	if opts.Bounds == (Bounds{}) {
 		opts.Bounds = DefaultBounds()
@@ -77,8 +77,8 @@
 		opts.Responsible = func(cluster.ReplicaID) bool { return true }
 	}
 	c := &Checker{
-		opts: opts, seed: maphash.MakeSeed(), slots: make(chan struct{}, parallelPolls),
-		addrs: make(map[cluster.VMID]string), tables: make(map[cluster.ZoneID][]cluster.Replica),
+		opts: opts, seed: maphash.MakeSeed(), pollSlots: make(chan struct{}, maxParallelPolls),
+		addrs: make(map[cluster.VMID]string), replicas: make(map[cluster.ZoneID][]cluster.Replica),
 	}
 	for i := range c.shards {
 		c.shards[i].tracker = NewTracker(opts.Bounds)
@@ -86,27 +86,28 @@
 	return c
 }
 
-// OnChange registers fn to be told when a replica becomes whole or ceases to be,
-// in order for each replica. Register before Run; fn must not block.
-func (c *Checker) OnChange(fn func(replica cluster.Replica, whole bool, reason string)) {
+// OnChange registers fn to be called when a replica becomes healthy or unhealthy, in
+// order for each replica. Register before Run; fn must not block.
+func (c *Checker) OnChange(fn func(replica cluster.Replica, healthy bool, reason string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.onWhole = append(c.onWhole, fn)
+	c.onChange = append(c.onChange, fn)
 }
 
-// OnLoad registers fn to be told each load report. Register before Run; fn must not block.
+// OnLoad registers fn to be called with each load report. Register before Run; fn must
+// not block.
 func (c *Checker) OnLoad(fn func(replica cluster.Replica, load engine.Load)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onLoad = append(c.onLoad, fn)
 }
 
-// SetGrouping takes the committed table of one zone.
+// SetGrouping sets the committed replicas of one zone.
 func (c *Checker) SetGrouping(g cluster.Grouping) {
 	c.mu.Lock()
-	c.tables[g.Zone] = g.Replicas
+	c.replicas[g.Zone] = g.Replicas
 	var parts [shardCount][]cluster.Replica
-	for _, replicas := range c.tables {
+	for _, replicas := range c.replicas {
 		for _, r := range replicas {
 			i := c.shardIndex(r.ID)
 			parts[i] = append(parts[i], r)
@@ -114,11 +115,11 @@
 	}
 	c.mu.Unlock()
 	for i := range c.shards {
-		c.with(&c.shards[i], func(t *Tracker, now time.Time) []Transition { return t.SetReplicas(parts[i], now) })
+		c.update(&c.shards[i], func(t *Tracker, now time.Time) []Transition { return t.SetReplicas(parts[i], now) })
 	}
 }
 
-// SetVMs takes the platform's VM list of all zones.
+// SetVMs sets the platform's VM list, which covers all zones.
 func (c *Checker) SetVMs(list cluster.VMList) {
 	c.mu.Lock()
 	for _, vm := range list.VMs {
@@ -126,31 +127,32 @@
 	}
 	c.mu.Unlock()
 	for i := range c.shards {
-		c.with(&c.shards[i], func(t *Tracker, now time.Time) []Transition { return t.SetVMs(list, now) })
+		c.update(&c.shards[i], func(t *Tracker, now time.Time) []Transition { return t.SetVMs(list, now) })
 	}
 }
 
-// ConfirmServing notes that the replica's serving VM answered an ordinary
-// request for the given generation, with a token generated at the given time.
+// ConfirmServing records that the replica's serving VM answered an ordinary request in
+// the given generation, with a token generated at the given time.
 func (c *Checker) ConfirmServing(id cluster.ReplicaID, generation int64, at time.Time) {
-	c.with(c.shardOf(id), func(t *Tracker, now time.Time) []Transition { return t.ConfirmServing(id, generation, at, now) })
+	c.update(c.shardOf(id), func(t *Tracker, now time.Time) []Transition { return t.ConfirmServing(id, generation, at, now) })
 }
 
-// Observe takes what another node saw of replicas.
+// Observe records another node's reports about replicas.
 func (c *Checker) Observe(observations []Observation) {
 	for _, o := range observations {
-		c.with(c.shardOf(o.Replica), func(t *Tracker, now time.Time) []Transition {
+		c.update(c.shardOf(o.Replica), func(t *Tracker, now time.Time) []Transition {
 			return t.Observe([]Observation{o}, now)
 		})
 	}
 }
 
-// RequestPoll asks for a poll at once, because a request on the replica failed.
+// RequestPoll requests a poll of the replica at the next tick, because a request on it
+// failed.
 func (c *Checker) RequestPoll(id cluster.ReplicaID) {
-	c.with(c.shardOf(id), func(t *Tracker, _ time.Time) []Transition { t.RequestPoll(id); return nil })
+	c.update(c.shardOf(id), func(t *Tracker, _ time.Time) []Transition { t.RequestPoll(id); return nil })
 }
 
-// Healthy reports whether the replica is whole at the given generation.
+// Healthy reports whether the replica is healthy in the given generation.
 func (c *Checker) Healthy(id cluster.ReplicaID, generation int64) bool {
 	s := c.shardOf(id)
 	s.mu.Lock()
@@ -158,7 +160,7 @@
 	return s.tracker.Healthy(id, generation, time.Now())
 }
 
-// Status returns all committed replicas ordered by id.
+// Status returns the status of all committed replicas, ordered by id.
 func (c *Checker) Status() []ReplicaStatus {
 	var out []ReplicaStatus
 	now := time.Now()
@@ -177,13 +179,14 @@
 	return out
 }
 
-// Run polls and expires until ctx ends, and returns when all polls have ended.
+// Run polls replicas and expires confirmations until ctx is done. It returns when all
+// polls have ended.
 func (c *Checker) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	defer c.polls.Wait()
 	for {
-		c.round(ctx)
+		c.runOnce(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -192,10 +195,10 @@
 	}
 }
 
-func (c *Checker) round(ctx context.Context) {
+func (c *Checker) runOnce(ctx context.Context) {
 	for i := range c.shards {
 		s := &c.shards[i]
-		c.with(s, func(t *Tracker, now time.Time) []Transition { return t.Expire(now) })
+		c.update(s, func(t *Tracker, now time.Time) []Transition { return t.Expire(now) })
 		s.mu.Lock()
 		due := s.tracker.Due(c.opts.Responsible, time.Now())
 		s.mu.Unlock()
@@ -206,27 +209,27 @@
 }
 
 func (c *Checker) poll(ctx context.Context, r cluster.Replica) {
-	c.slots <- struct{}{}
-	defer func() { <-c.slots }()
+	c.pollSlots <- struct{}{}
+	defer func() { <-c.pollSlots }()
 	c.mu.Lock()
 	addr := c.addrs[r.Serving]
 	loadListeners := c.onLoad
 	c.mu.Unlock()
-	answer := PollResult{Replica: r.ID, Generation: r.Generation, Sent: time.Now()}
+	result := PollResult{Replica: r.ID, Generation: r.Generation, Sent: time.Now()}
 	pollsSent.Inc()
-	answer.State, answer.Err = c.ask(ctx, r, addr)
-	if answer.Err != nil {
+	result.State, result.Err = c.fetchState(ctx, r, addr)
+	if result.Err != nil {
 		pollsFailed.Inc()
 	}
-	c.with(c.shardOf(r.ID), func(t *Tracker, now time.Time) []Transition { return t.HandlePollResult(answer, now) })
-	if answer.Err == nil && answer.State.Assignment.Replica == r.ID {
+	c.update(c.shardOf(r.ID), func(t *Tracker, now time.Time) []Transition { return t.HandlePollResult(result, now) })
+	if result.Err == nil && result.State.Assignment.Replica == r.ID {
 		for _, fn := range loadListeners {
-			fn(r, answer.State.Load)
+			fn(r, result.State.Load)
 		}
 	}
 }
 
-func (c *Checker) ask(ctx context.Context, r cluster.Replica, addr string) (engine.State, error) {
+func (c *Checker) fetchState(ctx context.Context, r cluster.Replica, addr string) (engine.State, error) {
 	if addr == "" {
 		return engine.State{}, &engine.CallError{Kind: engine.CallNotSent, Op: "state", Addr: string(r.Serving), Err: errNoAddr}
 	}
@@ -234,14 +237,14 @@
 	if err != nil || state.Summary == nil || state.Summary.Hash == engine.ReplicaHash(r) {
 		return state, err
 	}
-	// Somebody disagrees: the whole state says who.
+	// A member is missing or in another generation: the full state shows which.
 	return c.opts.Engines.State(ctx, addr)
 }
 
-// with runs fn on a shard's Tracker and tells the transitions.
-func (c *Checker) with(s *shard, fn func(t *Tracker, now time.Time) []Transition) {
-	s.emit.Lock()
-	defer s.emit.Unlock()
+// update runs fn on a shard's Tracker and notifies the listeners of its transitions.
+func (c *Checker) update(s *shard, fn func(t *Tracker, now time.Time) []Transition) {
+	s.notifyMu.Lock()
+	defer s.notifyMu.Unlock()
 	s.mu.Lock()
 	transitions := fn(s.tracker, time.Now())
 	s.mu.Unlock()
@@ -249,18 +252,18 @@
 		return
 	}
 	c.mu.Lock()
-	listeners := c.onWhole
+	listeners := c.onChange
 	c.mu.Unlock()
 	for _, tr := range transitions {
-		c.tell(tr, listeners)
+		c.notify(tr, listeners)
 	}
 }
 
-func (c *Checker) tell(tr Transition, listeners []func(cluster.Replica, bool, string)) {
+func (c *Checker) notify(tr Transition, listeners []func(cluster.Replica, bool, string)) {
 	if tr.Healthy {
-		turnedWhole.Inc()
+		becameHealthy.Inc()
 	} else {
-		turnedUnwhole.Inc()
+		becameUnhealthy.Inc()
 	}
 	for _, fn := range listeners {
 		fn(tr.Replica, tr.Healthy, tr.Reason)
--- a/internal/health/check_test.go
+++ b/internal/health/check_test.go
@@ -46,54 +46,54 @@
 	}
 }
 
-// A member dies while the replica is idle, and the whole replica falls silent
-// later. Callers must not be sent there once the next poll has shown it.
-func TestCheckPollsAndTells(t *testing.T) {
+// A member fails while the replica is idle; later the serving VM stops responding. The
+// replica must become unhealthy with the next poll, so that no requests are sent to it.
+func TestCheckerPollsAndNotifies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{state: make(map[string]engine.State)}
-		check := New(Options{Engines: engines, Log: slog.New(slog.DiscardHandler)})
-		var told []Transition
+		checker := New(Options{Engines: engines, Log: slog.New(slog.DiscardHandler)})
+		var transitions []Transition
 		loads := 0
-		check.OnChange(func(r cluster.Replica, whole bool, reason string) {
-			told = append(told, Transition{Replica: r, Healthy: whole, Reason: reason})
+		checker.OnChange(func(r cluster.Replica, healthy bool, reason string) {
+			transitions = append(transitions, Transition{Replica: r, Healthy: healthy, Reason: reason})
 		})
-		check.OnLoad(func(cluster.Replica, engine.Load) { loads++ })
+		checker.OnLoad(func(cluster.Replica, engine.Load) { loads++ })
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
-		go func() { check.Run(ctx); close(done) }()
+		go func() { checker.Run(ctx); close(done) }()
 
-		check.SetVMs(cluster.VMList{AsOf: time.Now(), VMs: []cluster.VM{{ID: "a", Addr: "a:1", State: cluster.VMLive}}})
-		check.SetGrouping(cluster.Grouping{Zone: "z", Revision: 5, Replicas: []cluster.Replica{testReplica}})
+		checker.SetVMs(cluster.VMList{AsOf: time.Now(), VMs: []cluster.VM{{ID: "a", Addr: "a:1", State: cluster.VMLive}}})
+		checker.SetGrouping(cluster.Grouping{Zone: "z", Revision: 5, Replicas: []cluster.Replica{testReplica}})
 		good := stateOf(testReplica)
 		engines.set("a:1", &good)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		require.True(t, check.Healthy("r1", 2))
-		require.False(t, check.Healthy("r1", 1))
-		require.True(t, check.Status()[0].Healthy)
+		require.True(t, checker.Healthy("r1", 2))
+		require.False(t, checker.Healthy("r1", 1))
+		require.True(t, checker.Status()[0].Healthy)
 
 		bad := stateOf(testReplica)
 		bad.Members[2].Generation = 1
 		engines.set("a:1", &bad)
-		time.Sleep(testBounds.PollIdle + tick)
+		time.Sleep(testBounds.PollIdle + tickInterval)
 		synctest.Wait()
-		require.False(t, check.Healthy("r1", 2))
-		require.False(t, check.Status()[0].OwnBrokenAt.IsZero())
-		require.Equal(t, "VM c is in r1 generation 1", check.Status()[0].Reason)
+		require.False(t, checker.Healthy("r1", 2))
+		require.False(t, checker.Status()[0].OwnBrokenAt.IsZero())
+		require.Equal(t, "VM c is in r1 generation 1", checker.Status()[0].Reason)
 
 		engines.set("a:1", &good)
-		time.Sleep(testBounds.PollUnhealthy + tick)
+		time.Sleep(testBounds.PollUnhealthy + tickInterval)
 		engines.set("a:1", nil)
-		check.RequestPoll("r1")
-		time.Sleep(tick)
+		checker.RequestPoll("r1")
+		time.Sleep(tickInterval)
 		synctest.Wait()
 		cancel()
 		<-done
-		var whole []bool
-		for _, tr := range told {
-			whole = append(whole, tr.Healthy)
+		var healthy []bool
+		for _, tr := range transitions {
+			healthy = append(healthy, tr.Healthy)
 		}
-		require.Equal(t, []bool{true, false, true, false}, whole)
+		require.Equal(t, []bool{true, false, true, false}, healthy)
 		require.Positive(t, loads)
 	})
 }
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -1,9 +1,9 @@
-// Package health decides which committed replicas are whole. It is apart from
-// routing: routing only learns whole or not, and the loads.
+// Package health decides which committed replicas are healthy. It is separate from
+// routing, which only receives healthy or unhealthy and the load of each replica.
 //
-// A replica is whole while every one of its VMs has confirmed the committed
-// (replica, generation) not longer ago than Bounds.MaxAge, no member is leaving,
-// and nobody has reported a missing or disagreeing member since.
+// A replica is healthy if each of its VMs has confirmed the committed (replica,
+// generation) within the last Bounds.MaxAge, no member is leaving, and no node has since
+// reported a member as missing or in another generation.
 package health
 
 import (
@@ -15,27 +15,28 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// Bounds are the ages that the check allows.
+// Bounds holds the maximum ages of evidence and the poll intervals.
 type Bounds struct {
-	// MaxAge is how old a confirmation may be before the replica counts as not
-	// whole; it bounds how long a silent loss of a VM can go unnoticed.
+	// MaxAge is the maximum age of a confirmation; after that the replica is unhealthy.
+	// It limits how long the loss of a VM can go undetected if nothing reports it.
 	MaxAge time.Duration
-	// MaxDigestAge is how old the last digest of all members may be while
-	// ordinary answers alone show presence.
+	// MaxDigestAge is the maximum age of the last digest of all members while only
+	// responses to ordinary requests confirm the replica.
 	MaxDigestAge time.Duration
-	// MaxMemberSilence is how long the serving VM may not have heard a member.
+	// MaxMemberSilence is the longest time for which the serving VM may not have heard
+	// from a member.
 	MaxMemberSilence time.Duration
-	// PollIdle and PollBusy are the times between polls of a replica without
-	// and with recent answers; PollUnhealthy is that of one that is not whole.
+	// PollIdle and PollBusy are the poll intervals of a replica without and with recent
+	// responses; PollUnhealthy is the interval of an unhealthy one.
 	PollIdle, PollBusy, PollUnhealthy time.Duration
 }
 
-// DefaultMaxAge keeps the polls of a node's share of quiet replicas of 32 VMs
-// within half of its 6 KB a second; docs/placement.md has the figures.
+// DefaultMaxAge keeps the polls of a node's share of idle replicas of 32 VMs within half
+// of its budget of 6 KB/s; docs/placement.md has the figures.
 const DefaultMaxAge = 8 * time.Second
 
-// BoundsFor returns the bounds that go with the greatest age of a
-// confirmation. A replica is polled so often that one lost poll does not matter.
+// BoundsFor derives the bounds from the maximum age of a confirmation. Replicas are
+// polled often enough that one lost poll does not make them unhealthy.
 func BoundsFor(maxAge time.Duration) Bounds {
 	part := maxAge / 8
 	return Bounds{
@@ -44,60 +45,61 @@
 	}
 }
 
-// DefaultBounds are the bounds within DefaultMaxAge.
+// DefaultBounds returns the bounds for DefaultMaxAge.
 func DefaultBounds() Bounds { return BoundsFor(DefaultMaxAge) }
 
-// Transition is a change of a replica between whole and not whole.
+// Transition is a change of a replica between healthy and unhealthy.
 type Transition struct {
 	Replica cluster.Replica
-	Healthy   bool
+	Healthy bool
 	Reason  string
 }
 
-// PollResult is the outcome of one poll of a replica's serving VM.
+// PollResult is the result of one poll of a replica's serving VM.
 type PollResult struct {
 	Replica cluster.ReplicaID
-	// Generation is the committed one when the poll was sent.
+	// Generation is the committed generation at the time the poll was sent.
 	Generation int64
 	Sent       time.Time
 	State      engine.State
 	Err        error
 }
 
-// Observation is what another node says of a replica.
+// Observation is another node's report about a replica.
 type Observation struct {
 	Replica    cluster.ReplicaID
 	Generation int64
-	// ConfirmedAt is zero if the peer never saw the replica whole.
+	// ConfirmedAt is zero if the peer never saw the replica healthy.
 	ConfirmedAt time.Time
-	// BrokenAt is when the peer last saw a member missing or disagreeing; zero if
-	// it knows of a newer confirmation, or never did.
+	// BrokenAt is when the peer last saw a member missing or in another generation. It is
+	// zero if the peer never did or knows of a newer confirmation.
 	BrokenAt time.Time
 	Load     *engine.Load
 }
 
-// entry is the knowledge about one committed replica. Evidence about another
-// generation than the committed one never enters it.
+// entry is the evidence about one committed replica. Evidence about a generation other
+// than the committed one is ignored.
 type entry struct {
-	replica    cluster.Replica
-	digestAt   time.Time // when all members were last known to confirm
-	presenceAt time.Time // when an ordinary answer last showed the replica at work
-	// ownDigestAt and ownBrokenAt are what this node itself found by polling.
-	ownDigestAt time.Time
-	ownBrokenAt time.Time
-	brokenAt    time.Time
-	broken      string
-	leaving     string // the member that the VM list says is leaving
-	load        engine.Load
-	whole       bool
-	reason      string
-	polling     bool
-	doubted     bool // a request failed on it: poll at once
-	polledAt    time.Time
+	replica   cluster.Replica
+	digestAt  time.Time // when all members last confirmed the replica
+	servingAt time.Time // when the serving VM last answered an ordinary request
+	// ownDigestAt and ownBrokenAt are the results of this node's own polls.
+	ownDigestAt   time.Time
+	ownBrokenAt   time.Time
+	brokenAt      time.Time
+	brokenReason  string
+	leavingReason string // names a member that is leaving according to the VM list
+	load          engine.Load
+	healthy       bool
+	reason        string
+	polling       bool
+	pollRequested bool // a request on the replica failed: poll immediately
+	polledAt      time.Time
 }
 
-// Tracker is the pure core of the check: events and the time in, transitions
-// out. It is not safe for concurrent use; Check runs several, each under a lock.
+// Tracker is the decision logic of the checker, without clock or I/O: it takes events and
+// the time and returns transitions. It is not safe for concurrent use; Checker runs
+// several, each under a lock.
 type Tracker struct {
 	bounds  Bounds
 	entries map[cluster.ReplicaID]*entry
@@ -109,7 +111,7 @@
 	return &Tracker{bounds: b, entries: make(map[cluster.ReplicaID]*entry), leaving: make(map[cluster.VMID]bool)}
 }
 
-// SetReplicas takes the committed replicas. A new generation starts unconfirmed.
+// SetReplicas sets the committed replicas. A new generation starts unconfirmed.
 func (t *Tracker) SetReplicas(replicas []cluster.Replica, now time.Time) []Transition {
 	var out []Transition
 	next := make(map[cluster.ReplicaID]*entry, len(replicas))
@@ -121,25 +123,26 @@
 			continue
 		}
 		e := &entry{replica: r, reason: reasonUnconfirmed}
-		if old != nil && old.whole {
+		if old != nil && old.healthy {
 			out = append(out, Transition{Replica: r, Reason: reasonUnconfirmed})
 		}
 		next[r.ID] = e
 	}
 	for id, old := range t.entries {
-		if next[id] == nil && old.whole {
+		if next[id] == nil && old.healthy {
 			out = append(out, Transition{Replica: old.replica, Reason: "broken up"})
 		}
 	}
 	t.entries = next
 	for _, e := range t.entries {
-		e.leaving = t.leavingMember(e.replica)
+		e.leavingReason = t.leavingMember(e.replica)
 	}
 	return append(out, t.Expire(now)...)
 }
 
-// SetVMs takes the platform's VM list: the second witness. A VM that is not
-// listed breaks nothing while it answers, because the list lags.
+// SetVMs updates the set of leaving VMs from the platform's VM list. A VM that is missing
+// from the list does not make its replica unhealthy while it answers, because the list
+// lags behind.
 func (t *Tracker) SetVMs(list cluster.VMList, now time.Time) []Transition {
 	clear(t.leaving)
 	for _, vm := range list.VMs {
@@ -148,7 +151,7 @@
 		}
 	}
 	for _, e := range t.entries {
-		e.leaving = t.leavingMember(e.replica)
+		e.leavingReason = t.leavingMember(e.replica)
 	}
 	return t.Expire(now)
 }
@@ -162,40 +165,40 @@
 	return ""
 }
 
-// HandlePollResult takes the outcome of a poll.
-func (t *Tracker) HandlePollResult(a PollResult, now time.Time) []Transition {
-	e := t.entries[a.Replica]
+// HandlePollResult updates the replica with the result of a poll.
+func (t *Tracker) HandlePollResult(result PollResult, now time.Time) []Transition {
+	e := t.entries[result.Replica]
 	if e == nil {
 		return nil
 	}
 	e.polling = false
-	if e.replica.Generation != a.Generation {
+	if e.replica.Generation != result.Generation {
 		return nil
 	}
-	if a.Err != nil {
-		return t.unanswered(e, a, now)
+	if result.Err != nil {
+		return t.handlePollFailure(e, result, now)
 	}
-	if !a.State.Load.AsOf.Before(e.load.AsOf) {
-		e.load = a.State.Load
+	if !result.State.Load.AsOf.Before(e.load.AsOf) {
+		e.load = result.State.Load
 	}
-	oldest, problem := t.judge(e.replica, a)
+	oldest, problem := t.checkMembers(e.replica, result)
 	if problem != "" {
-		e.ownBrokenAt = later(e.ownBrokenAt, a.Sent)
-		return t.breakEntry(e, problem, a.Sent, now)
+		e.ownBrokenAt = later(e.ownBrokenAt, result.Sent)
+		return t.markBroken(e, problem, result.Sent, now)
 	}
 	e.digestAt = later(e.digestAt, oldest)
 	e.ownDigestAt = later(e.ownDigestAt, oldest)
-	return t.refresh(e, now)
+	return t.reevaluate(e, now)
 }
 
-// unanswered breaks the replica unless an ordinary answer came after the poll
-// was sent: then the engine is slow to answer polls but at work. It is not told
-// to peers as a break, because the fault may lie between this node and the VM.
-func (t *Tracker) unanswered(e *entry, a PollResult, now time.Time) []Transition {
-	if e.presenceAt.After(a.Sent) {
+// handlePollFailure makes the replica unhealthy unless a response to an ordinary request
+// came after the poll was sent: then the engine works and only answers polls slowly. The
+// failure is not reported to peers, because it may lie between this node and the VM.
+func (t *Tracker) handlePollFailure(e *entry, result PollResult, now time.Time) []Transition {
+	if e.servingAt.After(result.Sent) {
 		return nil
 	}
-	return t.breakEntry(e, "serving VM does not answer", a.Sent, now)
+	return t.markBroken(e, "serving VM does not answer", result.Sent, now)
 }
 
 func later(a, b time.Time) time.Time {
@@ -205,26 +208,26 @@
 	return a
 }
 
-// judge returns when all members had confirmed, by the serving VM's state, or
-// what speaks against it.
-func (t *Tracker) judge(r cluster.Replica, a PollResult) (time.Time, string) {
-	have := a.State.Assignment
+// checkMembers returns the time at which, according to the serving VM's state, all members
+// last confirmed the replica, or the problem that the state shows.
+func (t *Tracker) checkMembers(r cluster.Replica, result PollResult) (time.Time, string) {
+	assignment := result.State.Assignment
 	switch {
-	case a.State.VM != r.Serving:
-		return time.Time{}, fmt.Sprintf("address of %s is answered by %s", r.Serving, a.State.VM)
-	case have.Replica != r.ID || have.Generation != r.Generation:
-		return time.Time{}, fmt.Sprintf("VM %s is in %s generation %d", r.Serving, have.Replica, have.Generation)
-	case !a.State.Loaded:
+	case result.State.VM != r.Serving:
+		return time.Time{}, fmt.Sprintf("address of %s is answered by %s", r.Serving, result.State.VM)
+	case assignment.Replica != r.ID || assignment.Generation != r.Generation:
+		return time.Time{}, fmt.Sprintf("VM %s is in %s generation %d", r.Serving, assignment.Replica, assignment.Generation)
+	case !result.State.Loaded:
 		return time.Time{}, fmt.Sprintf("VM %s is loading", r.Serving)
 	}
-	if a.State.Summary != nil {
-		return t.judgeSummary(r, a)
+	if result.State.Summary != nil {
+		return t.checkSummary(r, result)
 	}
-	digests := make(map[cluster.VMID]engine.MemberDigest, len(a.State.Members))
-	for _, d := range a.State.Members {
+	digests := make(map[cluster.VMID]engine.MemberDigest, len(result.State.Members))
+	for _, d := range result.State.Members {
 		digests[d.VM] = d
 	}
-	oldest := a.Sent
+	oldest := result.Sent
 	for _, vm := range r.Members {
 		d, ok := digests[vm]
 		if !ok && vm == r.Serving {
@@ -239,42 +242,42 @@
 		case seenAgo < 0 || seenAgo > t.bounds.MaxMemberSilence:
 			return time.Time{}, fmt.Sprintf("VM %s last heard %v ago", vm, seenAgo)
 		}
-		if at := a.Sent.Add(-seenAgo); at.Before(oldest) {
+		if at := result.Sent.Add(-seenAgo); at.Before(oldest) {
 			oldest = at
 		}
 	}
 	return oldest, ""
 }
 
-// judgeSummary is judge for a brief state, in which the hash speaks for the members.
-func (t *Tracker) judgeSummary(r cluster.Replica, a PollResult) (time.Time, string) {
-	if a.State.Summary.Hash != engine.ReplicaHash(r) {
+// checkSummary is checkMembers for a brief state, in which a hash stands for the members.
+func (t *Tracker) checkSummary(r cluster.Replica, result PollResult) (time.Time, string) {
+	if result.State.Summary.Hash != engine.ReplicaHash(r) {
 		return time.Time{}, "a VM is missing or disagrees"
 	}
-	seenAgo := time.Duration(a.State.Summary.OldestMs) * time.Millisecond
+	seenAgo := time.Duration(result.State.Summary.OldestMs) * time.Millisecond
 	if seenAgo < 0 || seenAgo > t.bounds.MaxMemberSilence {
 		return time.Time{}, fmt.Sprintf("a VM last heard %v ago", seenAgo)
 	}
-	return a.Sent.Add(-seenAgo), ""
+	return result.Sent.Add(-seenAgo), ""
 }
 
-// ConfirmServing takes the sign of an ordinary answer: the serving VM generated
-// tokens at the given time for the given generation, which needs every member.
+// ConfirmServing records a response to an ordinary request: the serving VM generated
+// tokens at the given time in the given generation, which needs every member.
 func (t *Tracker) ConfirmServing(id cluster.ReplicaID, generation int64, at, now time.Time) []Transition {
 	e := t.entries[id]
 	if e == nil || e.replica.Generation != generation || at.After(now) {
 		return nil
 	}
-	if !at.After(e.presenceAt) {
+	if !at.After(e.servingAt) {
 		return nil
 	}
-	e.presenceAt = at
-	return t.refresh(e, now)
+	e.servingAt = at
+	return t.reevaluate(e, now)
 }
 
-// Observe takes what other nodes saw. A report of a break counts from when it was
-// seen until a confirmation that is newer: a peer without the duty to poll may
-// tell an old one for as long as it has not heard better.
+// Observe records other nodes' reports. A reported failure counts from the time it was
+// observed until a newer confirmation: a peer that does not poll the replica may repeat
+// an old failure until it hears of a newer confirmation.
 func (t *Tracker) Observe(observations []Observation, now time.Time) []Transition {
 	var out []Transition
 	for _, o := range observations {
@@ -286,68 +289,68 @@
 			e.load = *o.Load
 		}
 		if !o.BrokenAt.IsZero() && !o.BrokenAt.After(now) {
-			out = append(out, t.breakEntry(e, "a peer saw it broken", o.BrokenAt, now)...)
+			out = append(out, t.markBroken(e, "a peer saw it broken", o.BrokenAt, now)...)
 			continue
 		}
 		if o.ConfirmedAt.After(e.digestAt) && !o.ConfirmedAt.After(now) {
 			e.digestAt = o.ConfirmedAt
 		}
-		out = append(out, t.refresh(e, now)...)
+		out = append(out, t.reevaluate(e, now)...)
 	}
 	return out
 }
 
-// RequestPoll makes the replica due for a poll at once: a request on it failed.
+// RequestPoll makes the replica due for a poll immediately, after a request on it failed.
 func (t *Tracker) RequestPoll(id cluster.ReplicaID) {
 	if e := t.entries[id]; e != nil {
-		e.doubted = true
+		e.pollRequested = true
 	}
 }
 
-// Expire drops confirmations that have grown too old.
+// Expire re-evaluates all replicas, as confirmations expire with time.
 func (t *Tracker) Expire(now time.Time) []Transition {
 	var out []Transition
 	for _, e := range t.entries {
-		out = append(out, t.refresh(e, now)...)
+		out = append(out, t.reevaluate(e, now)...)
 	}
 	return out
 }
 
-func (t *Tracker) breakEntry(e *entry, reason string, at, now time.Time) []Transition {
-	if at.After(e.brokenAt) || e.broken == "" {
-		e.brokenAt, e.broken = at, reason
+func (t *Tracker) markBroken(e *entry, reason string, at, now time.Time) []Transition {
+	if at.After(e.brokenAt) || e.brokenReason == "" {
+		e.brokenAt, e.brokenReason = at, reason
 	}
-	return t.refresh(e, now)
+	return t.reevaluate(e, now)
 }
 
 const (
 	reasonUnconfirmed = "not confirmed yet"
-	never             = time.Duration(math.MaxInt64)
+	noPoll            = time.Duration(math.MaxInt64)
 )
 
-// refresh judges the entry by its evidence and returns a transition if it changed.
-func (t *Tracker) refresh(e *entry, now time.Time) []Transition {
-	whole, reason := t.verdict(e, now)
-	changed := whole != e.whole
-	e.whole, e.reason = whole, reason
+// reevaluate evaluates the entry again and returns a transition if its state changed.
+func (t *Tracker) reevaluate(e *entry, now time.Time) []Transition {
+	healthy, reason := t.evaluate(e, now)
+	changed := healthy != e.healthy
+	e.healthy, e.reason = healthy, reason
 	if !changed {
 		return nil
 	}
-	return []Transition{{Replica: e.replica, Healthy: whole, Reason: reason}}
+	return []Transition{{Replica: e.replica, Healthy: healthy, Reason: reason}}
 }
 
-func (t *Tracker) verdict(e *entry, now time.Time) (bool, string) {
-	if e.broken != "" && e.digestAt.After(e.brokenAt) {
-		e.broken = ""
+func (t *Tracker) evaluate(e *entry, now time.Time) (bool, string) {
+	if e.brokenReason != "" && e.digestAt.After(e.brokenAt) {
+		e.brokenReason = ""
 	}
 	digestAge := now.Sub(e.digestAt)
 	switch {
 	case e.replica.Leaving:
 		return false, "replica is leaving"
-	case e.leaving != "":
-		return false, e.leaving
-	case e.broken != "":
-		return false, e.broken
+	case e.leavingReason != "":
+		return false, e.leavingReason
+	case e.brokenReason != "":
+		return false, e.brokenReason
 	case e.digestAt.IsZero():
 		return false, reasonUnconfirmed
 	case digestAge > t.bounds.MaxDigestAge:
@@ -359,34 +362,34 @@
 	}
 }
 
-// confirmedAt is the newest confirmation of any kind.
-func (e *entry) confirmedAt() time.Time { return later(e.digestAt, e.presenceAt) }
+// confirmedAt returns the time of the newest confirmation of any kind.
+func (e *entry) confirmedAt() time.Time { return later(e.digestAt, e.servingAt) }
 
-// Due returns the replicas that this node should poll now and marks them as
-// being polled. Replicas of other nodes' duty are polled only when their
-// confirmation is about to run out: the node on duty may be gone.
-func (t *Tracker) Due(duty func(cluster.ReplicaID) bool, now time.Time) []cluster.Replica {
+// Due returns the replicas that this node should poll now and marks them as being
+// polled. Replicas that other nodes are responsible for are polled only if their
+// confirmation is about to expire, since the responsible node may have failed.
+func (t *Tracker) Due(responsible func(cluster.ReplicaID) bool, now time.Time) []cluster.Replica {
 	var out []cluster.Replica
 	for id, e := range t.entries {
-		if e.polling || now.Sub(e.polledAt) < t.interval(e, duty(id), now) {
+		if e.polling || now.Sub(e.polledAt) < t.interval(e, responsible(id), now) {
 			continue
 		}
-		e.polling, e.doubted, e.polledAt = true, false, now
+		e.polling, e.pollRequested, e.polledAt = true, false, now
 		out = append(out, e.replica)
 	}
 	return out
 }
 
-func (t *Tracker) interval(e *entry, onDuty bool, now time.Time) time.Duration {
-	nearlyOld := now.Sub(e.confirmedAt()) > t.bounds.MaxAge*2/3 || now.Sub(e.digestAt) > t.bounds.MaxDigestAge*2/3
+func (t *Tracker) interval(e *entry, responsible bool, now time.Time) time.Duration {
+	nearlyExpired := now.Sub(e.confirmedAt()) > t.bounds.MaxAge*2/3 || now.Sub(e.digestAt) > t.bounds.MaxDigestAge*2/3
 	switch {
-	case e.doubted:
+	case e.pollRequested:
 		return 0
-	case !onDuty && !nearlyOld:
-		return never
-	case !e.whole:
+	case !responsible && !nearlyExpired:
+		return noPoll
+	case !e.healthy:
 		return t.bounds.PollUnhealthy
-	case now.Sub(e.presenceAt) < t.bounds.PollIdle:
+	case now.Sub(e.servingAt) < t.bounds.PollIdle:
 		return t.bounds.PollBusy
 	default:
 		return t.bounds.PollIdle
