--- a/internal/e2e/namesake_test.go
+++ b/internal/e2e/namesake_test.go
@@ -17,12 +17,12 @@
 	first := s.startNode("serra-a-2", "serra-a", "", "")
 	s.awaitAllHeard()
 	copied := s.startNode("serra-a-2", "serra-a", "", "")
-	first.await(`(msg="another process runs under this node's name, falling silent")`)
+	first.await(`(msg="another process runs under this node's name, this node stops sending")`)
 	require.Contains(t, s.metrics(first), "fennel_membership_superseded 1")
 	s.nodes = []*node{first}
 	out, _ := s.ctl("status")
 	require.Contains(t, out, "not ready: a newer process runs under this node's name")
 	copied.kill()
-	first.await(`(msg="nobody else runs under this node's name any more, speaking again")`)
+	first.await(`(msg="no other process runs under this node's name any more, this node resumes sending")`)
 	require.Contains(t, s.metrics(first), "fennel_membership_superseded 0")
 }
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// filled returns a state that has heard every other node of the system once.
-func filled(zones, perZone int, now time.Time) *membership.State {
+// populatedState returns a state that has received one heartbeat of every other node.
+func populatedState(zones, perZone int, now time.Time) *membership.State {
 	self := membership.Self{Node: "entry-serra-00-00", Zone: "serra-00", Incarnation: 1, DatagramAddr: "10.0.0.1:7000"}
 	s := membership.NewState(self, nil, membership.Timing{}, 0, rand.New(rand.NewPCG(1, 1)), now)
 	for z := range zones {
@@ -33,14 +33,14 @@
 	}
 }
 
-// BenchmarkTick is one heartbeat's decision; bytes/member is the heap that a
-// member holds.
+// BenchmarkTick measures one heartbeat's decision; bytes/member is the heap used per
+// member.
 func BenchmarkTick(b *testing.B) {
 	for _, zones := range []int{1, 17} {
 		b.Run(fmt.Sprintf("zones=%d/nodes=%d", zones, zones*25), func(b *testing.B) {
 			now := time.Unix(1_800_000_000, 0)
 			before := heapAlloc()
-			s := filled(zones, 25, now)
+			s := populatedState(zones, 25, now)
 			perMember := float64(heapAlloc()-before) / float64(zones*25-1)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -58,10 +58,10 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkReceive is taking in one heartbeat that passes on 24 others.
+// BenchmarkReceive measures the processing of a heartbeat that forwards 24 others.
 func BenchmarkReceive(b *testing.B) {
 	now := time.Unix(1_800_000_000, 0)
-	s := filled(17, 25, now)
+	s := populatedState(17, 25, now)
 	d := heartbeat(0, 1, 1)
 	for i := range 24 {
 		d.BeatIds = append(d.BeatIds, uint32(i))
@@ -75,13 +75,13 @@
 	}
 }
 
-var holder bool
+var responsible bool
 
-// BenchmarkDuty is one question whether this node holds a duty.
-func BenchmarkDuty(b *testing.B) {
+// BenchmarkResponsible measures one call of Responsible.
+func BenchmarkResponsible(b *testing.B) {
 	now := time.Unix(1_800_000_000, 0)
-	s := filled(17, 25, now)
+	s := populatedState(17, 25, now)
 	for b.Loop() {
-		holder = s.Responsible("poll/assistente-fit-001", 1, now)
+		responsible = s.Responsible("poll/assistente-fit-001", 1, now)
 	}
 }
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -20,16 +20,16 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wiretest"
 )
 
-// nodes is some zones of nodes on one in-memory network and the fake clock.
+// nodes is a system of zones with nodes on an in-memory network with a fake clock.
 type nodes struct {
 	t     *testing.T
 	net   *wiretest.Net
 	keys  *wire.Keyring
 	seeds []string
 	all   []*node
-	// system names the system; empty for none.
+	// system is the name of the system, or empty.
 	system string
-	// gossip is what the nodes tell between heartbeats.
+	// gossip configures the nodes' datagrams between heartbeats.
 	gossip membership.Gossip
 }
 
@@ -45,14 +45,14 @@
 	dead      bool
 }
 
-// start brings up perZone nodes in each zone. Each zone's first node is a seed.
+// start starts perZone nodes in each zone. Each zone's first node is a seed.
 func start(t *testing.T, seed uint64, zones, perZone int) *nodes {
 	t.Helper()
 	return startSystem(t, wiretest.New(seed), "", zones, perZone, addrOf)
 }
 
-// startSystem brings up a named system's nodes on a network that other systems may
-// share, at the addresses given.
+// startSystem starts a named system's nodes at the given addresses on a network that other
+// systems may share.
 func startSystem(t *testing.T, net *wiretest.Net, system string, zones, perZone int, addrOf func(zone, i int) string) *nodes {
 	t.Helper()
 	keys, err := wire.NewKeyring(wire.Key{ID: 1, Secret: []byte("0123456789abcdef")})
@@ -78,8 +78,8 @@
 
 func (ns *nodes) run(zone, i int, addr string) *node { return ns.runAs(zone, i, addr, 0) }
 
-// runAs starts a node with an incarnation, 0 for the time of the start, and with seeds
-// beside the system's own.
+// runAs starts a node with an incarnation (0 means the start time) and with seeds in
+// addition to the system's own.
 func (ns *nodes) runAs(zone, i int, addr string, incarnation uint64, seeds ...string) *node {
 	n := &node{name: fmt.Sprintf("node-%c%d", 'a'+zone, i), zone: cluster.ZoneID(fmt.Sprintf("zone-%c", 'a'+zone)), addr: addr}
 	var err error
@@ -87,7 +87,7 @@
 	require.NoError(ns.t, err)
 	n.Service = membership.New(membership.Options{
 		Node: cluster.NodeID(n.name), Zone: n.zone, Incarnation: incarnation, Seeds: append(seeds, ns.seeds...), PeerAddr: addr,
-		Transport: n.transport, Rand: rand.New(rand.NewPCG(uint64(zone), uint64(i))), Log: slog.New(slog.DiscardHandler), CheckDuplicate: ns.finder(n.name), Gossip: ns.gossip,
+		Transport: n.transport, Rand: rand.New(rand.NewPCG(uint64(zone), uint64(i))), Log: slog.New(slog.DiscardHandler), CheckDuplicate: ns.duplicateCheck(n.name), Gossip: ns.gossip,
 	})
 	n.SetRulesRevision(func() int64 { return n.revision })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,10 +96,10 @@
 	return n
 }
 
-// finder asks the nodes at the addresses whether they hear a process of the name.
-func (ns *nodes) finder(name string) membership.CheckDuplicate {
+// duplicateCheck asks the nodes at the addresses whether they hear a process with the name.
+func (ns *nodes) duplicateCheck(name string) membership.CheckDuplicate {
 	return func(_ context.Context, addrs []string) membership.DuplicateStatus {
-		sighting := membership.DuplicateUnknown
+		status := membership.DuplicateUnknown
 		for _, n := range ns.all {
 			if !slices.Contains(addrs, n.addr) || n.dead {
 				continue
@@ -107,13 +107,13 @@
 			if n.hears(name) {
 				return membership.DuplicateAlive
 			}
-			sighting = membership.DuplicateGone
+			status = membership.DuplicateGone
 		}
-		return sighting
+		return status
 	}
 }
 
-// hears reports whether a node of the name lives as far as this one knows.
+// hears reports whether this node considers the named node alive.
 func (n *node) hears(name string) bool {
 	if n.name == name {
 		return !n.Superseded()
@@ -126,7 +126,7 @@
 	return false
 }
 
-// kill ends a node as SIGKILL does: no farewell.
+// kill ends a node as SIGKILL does, without a leave announcement.
 func (n *node) kill() {
 	n.dead = true
 	n.stop()
@@ -155,7 +155,7 @@
 	return membership.Unconfirmed
 }
 
-// sees reports whether every node of observers holds status of every one of the others.
+// sees reports whether every observer has the given status for each of the others.
 func sees(observers, others []*node, status membership.Status) bool {
 	for _, o := range observers {
 		for _, n := range others {
@@ -167,7 +167,8 @@
 	return true
 }
 
-// within passes fake time until ok, and fails after limit. It returns the time taken.
+// within advances the fake clock until ok returns true and returns the time taken. It fails
+// the test after limit.
 func (ns *nodes) within(limit time.Duration, what string, ok func() bool) time.Duration {
 	ns.t.Helper()
 	began := time.Now()
@@ -192,7 +193,7 @@
 	return inside, outside
 }
 
-// ipUDPHeaders is what each packet costs beyond its payload.
+// ipUDPHeaders is the size of the IP and UDP headers of a packet.
 const ipUDPHeaders = 28
 
 type wireCount struct{ bytes, packets uint64 }
@@ -206,8 +207,8 @@
 	return int(w.bytes - before.bytes + ipUDPHeaders*(w.packets-before.packets))
 }
 
-// greedySource always has as much to say as it may.
-func greedySource(budget int) membership.Section {
+// fullSource always uses its complete budget.
+func fullSource(budget int) membership.Section {
 	mark := &wirepb.QuarantineMark{Fingerprint: make([]byte, 16), ExpiresInMs: 900_000}
 	var section membership.Section
 	for {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -10,34 +10,35 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// Gossip tells the peers of the zone one source's state between the heartbeats.
+// Gossip configures datagrams that carry one source's state to the peers of the zone
+// between heartbeats.
 //
-// What a node runs on a replica changes within a few hundred milliseconds. Nodes that
-// hear of each other once a second send the same replica more than it can take, so
-// gossip goes out as often as its bytes allow.
+// A node's load on a replica changes within a few hundred milliseconds. Nodes that learn
+// each other's load only once a second overload the same replica, so gossip is sent as
+// often as its bandwidth budget allows.
 type Gossip struct {
 	Source Source
-	// Budget is bytes per second, IP and UDP headers included. The fewer the peers, the
-	// more often each hears.
+	// Budget is in bytes per second, including IP and UDP headers. With fewer peers, each
+	// one receives gossip more often.
 	Budget int
-	// TTL is how long a peer counts what it is told. With so many peers that each would
-	// know it for less than a third of the time, none is sent; zero sends always.
+	// TTL is how long receivers use a report. With so many peers that each would have a
+	// valid report less than a third of the time, none is sent. Zero means no such limit.
 	TTL time.Duration
 }
 
 const (
-	// gossipGap is the least time between two gossip datagrams.
-	gossipGap = 25 * time.Millisecond
-	// gossipIdle is the time until the next look while there is no peer to send to.
-	gossipIdle = 250 * time.Millisecond
-	// gossipBody bounds the body of a gossip datagram.
-	gossipBody = 400
+	// minGossipInterval is the minimum time between two gossip datagrams.
+	minGossipInterval = 25 * time.Millisecond
+	// gossipIdleInterval is the time until the next attempt if there is no peer to send to.
+	gossipIdleInterval = 250 * time.Millisecond
+	// maxGossipBody limits the body of a gossip datagram, in bytes.
+	maxGossipBody = 400
 )
 
-// Gossip decides whom the next gossip datagram goes to: the live peer of the zone that was
-// sent one longest ago. An empty Addrs means that there is none, or more than most.
-func (s *State) Gossip(most int) Outgoing {
-	if s.namesake.superseded || s.self.Leaving {
+// Gossip returns the next gossip datagram, for the live peer of the zone that was sent one
+// least recently. Addrs is empty if there is no such peer or there are more than maxPeers.
+func (s *State) Gossip(maxPeers int) Outgoing {
+	if s.duplicate.superseded || s.self.Leaving {
 		return Outgoing{}
 	}
 	var next *member
@@ -47,26 +48,26 @@
 			continue
 		}
 		peers++
-		if next == nil || m.gossipedAt < next.gossipedAt {
+		if next == nil || m.lastGossip < next.lastGossip {
 			next = m
 		}
 	}
-	if next == nil || peers > most {
+	if next == nil || peers > maxPeers {
 		return Outgoing{}
 	}
-	s.gossiped++
-	next.gossipedAt = s.gossiped
-	return Outgoing{Addrs: []string{next.datagramAddr}, Datagram: s.briefDatagram(), Limit: gossipBody}
+	s.gossipCount++
+	next.lastGossip = s.gossipCount
+	return Outgoing{Addrs: []string{next.datagramAddr}, Datagram: s.briefDatagram(), Limit: maxGossipBody}
 }
 
 func (s *State) briefDatagram() *wirepb.Datagram {
 	return &wirepb.Datagram{Node: string(s.self.Node), Zone: string(s.self.Zone), Incarnation: s.self.Incarnation, Brief: true}
 }
 
-// Broadcast is a datagram to all live peers of the zone.
+// Broadcast returns a datagram for all live peers of the zone.
 func (s *State) Broadcast() Outgoing {
-	send := Outgoing{Datagram: s.briefDatagram(), Limit: gossipBody}
-	if s.namesake.superseded {
+	send := Outgoing{Datagram: s.briefDatagram(), Limit: maxGossipBody}
+	if s.duplicate.superseded {
 		return send
 	}
 	for _, m := range s.order {
@@ -77,8 +78,9 @@
 	return send
 }
 
-// Broadcast sends a section to all live peers of the zone at once. It costs a datagram
-// for each: it is for what is rare and urgent. Datagrams are lost.
+// Broadcast sends a section to all live peers of the zone immediately. It costs one
+// datagram per peer, so use it only for rare and urgent updates. Delivery is not
+// guaranteed.
 func (s *Service) Broadcast(section Section) {
 	s.mu.Lock()
 	send := s.state.Broadcast()
@@ -90,9 +92,9 @@
 	s.transmit(send)
 }
 
-// knows returns the live member that sent a gossip datagram. One from a process that no
-// heartbeat was heard of says nothing: there is no address to answer to.
-func (s *State) knows(d *wirepb.Datagram, now time.Time) (Member, bool) {
+// sender returns the member that sent a datagram. It returns false for a process from which
+// no heartbeat was received: gossip has no address, so its sender cannot be contacted.
+func (s *State) sender(d *wirepb.Datagram, now time.Time) (Member, bool) {
 	m := s.members[cluster.NodeID(d.Node)]
 	if m == nil || m.incarnation != d.Incarnation {
 		return Member{}, false
@@ -100,18 +102,18 @@
 	return m.view(now), true
 }
 
-// sendGossip tells one peer after the other until ctx ends.
+// sendGossip sends gossip to one peer after the other until ctx is done.
 func (s *Service) sendGossip(ctx context.Context) {
-	most := s.gossip.MaxPeers()
+	maxPeers := s.gossip.MaxPeers()
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		send := s.state.Gossip(most)
+		send := s.state.Gossip(maxPeers)
 		s.mu.Unlock()
-		pause := gossipIdle
+		pause := gossipIdleInterval
 		if len(send.Addrs) > 0 {
 			fill(send.Datagram, send.Limit, []Source{s.gossip.Source}, s.log)
 			s.transmit(send)
-			pause = s.gossip.pause(proto.Size(send.Datagram))
+			pause = s.gossip.interval(proto.Size(send.Datagram))
 		}
 		if !wait(ctx, pause) {
 			return
@@ -119,22 +121,23 @@
 	}
 }
 
-// leastGossip is the body of a gossip datagram that tells of a few values.
-const leastGossip = 80
+// minGossipBody is the size of a gossip body that reports a few values.
+const minGossipBody = 80
 
-// mostSilence is the longest time between two datagrams to one peer, in lives of what
-// they tell.
-const mostSilence = 3
+// maxGossipSilence is the maximum time between two gossip datagrams to one peer, as a
+// multiple of Gossip.TTL.
+const maxGossipSilence = 3
 
-// MaxPeers is the number of peers up to which gossip is sent.
+// MaxPeers returns the number of peers up to which gossip is sent.
 func (g Gossip) MaxPeers() int {
 	if g.TTL <= 0 {
 		return maxMembers
 	}
-	return int(mostSilence * g.TTL / g.pause(leastGossip))
+	return int(maxGossipSilence * g.TTL / g.interval(minGossipBody))
 }
 
-// pause is the time that a gossip datagram of so many bytes of body uses up.
-func (g Gossip) pause(body int) time.Duration {
-	return max(gossipGap, time.Duration(float64(body+packetOverhead)/float64(g.Budget)*float64(time.Second)))
+// interval returns the time for which a datagram with that many bytes of body uses up the
+// budget.
+func (g Gossip) interval(body int) time.Duration {
+	return max(minGossipInterval, time.Duration(float64(body+packetOverhead)/float64(g.Budget)*float64(time.Second)))
 }
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -19,11 +19,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wiretest"
 )
 
-// gossipBudget is the bytes per second that the nodes of these tests spend on gossip.
+// gossipBudget is the gossip budget of the nodes in these tests, in bytes per second.
 const gossipBudget = 1900
 
-// startTalking brings up nodes of one zone that tell each other what one request runs on.
-func startTalking(t *testing.T, perZone int) *nodes {
+// startGossiping starts nodes of one zone that send each other a load of one request.
+func startGossiping(t *testing.T, perZone int) *nodes {
 	t.Helper()
 	ns := startSystem(t, wiretest.New(9), "", 0, 0, addrOf)
 	ns.gossip = membership.Gossip{Budget: gossipBudget, Source: func(int) membership.Section {
@@ -37,14 +37,13 @@
 	return ns
 }
 
-// A request takes about a second. Nodes that hear of each other's once a second send the
-// same replica more than it can take, and its callers wait while other replicas idle. With
-// gossip each of three peers hears at least twice between two heartbeats, the bytes
-// allowed are not exceeded, and nobody is left out.
-func TestGossipBringsLoadsBetweenHeartbeats(t *testing.T) {
+// Requests take about a second. If nodes learn each other's load only once a second, they
+// overload one replica while others are idle. With gossip, each of three peers must get at
+// least two updates between heartbeats, within the bandwidth budget.
+func TestGossipDeliversLoadsBetweenHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const seconds = 20
-		ns := startTalking(t, 4)
+		ns := startGossiping(t, 4)
 		var mu sync.Mutex
 		heard := make(map[cluster.NodeID]int)
 		ns.all[0].OnDatagram(func(from membership.Member, d *wirepb.Datagram) {
@@ -67,8 +66,9 @@
 	})
 }
 
-// Gossip that reaches each of many peers once in half a minute must not be paid for: what it tells counts for a second.
-func TestGossipStopsWhereItReachesPeersTooSeldom(t *testing.T) {
+// With many peers gossip reaches each only once in half a minute, while its content is valid
+// for one second. It must not be sent then.
+func TestGossipIsDisabledForTooManyPeers(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
 		sent  bool
@@ -78,35 +78,35 @@
 		for i := range c.nodes - 1 {
 			s.Receive(&wirepb.Datagram{Node: fmt.Sprint("node-", i), Zone: "zone", Incarnation: 1, Sequence: 1, DatagramAddr: fmt.Sprintf("10.0.1.%d:7000", i)}, now)
 		}
-		most := membership.Gossip{Budget: gossipBudget, TTL: time.Second}.MaxPeers()
-		require.Equal(t, c.sent, len(s.Gossip(most).Addrs) > 0, "%d nodes", c.nodes)
+		maxPeers := membership.Gossip{Budget: gossipBudget, TTL: time.Second}.MaxPeers()
+		require.Equal(t, c.sent, len(s.Gossip(maxPeers).Addrs) > 0, "%d nodes", c.nodes)
 	}
 }
 
-// A gossip datagram names no address. Were one of a process believed of which no heartbeat was
-// heard, a process that has been replaced could go on to say what runs where.
-func TestGossipOfStrangersSaysNothing(t *testing.T) {
+// A gossip datagram contains no address. If one were accepted from a process without a
+// known heartbeat, a process that was replaced could still report its load.
+func TestGossipFromUnknownNodeIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ns := startTalking(t, 2)
+		ns := startGossiping(t, 2)
 		var heard atomic.Bool
 		ns.all[0].OnDatagram(func(from membership.Member, _ *wirepb.Datagram) {
-			if from.Node == "stranger" {
+			if from.Node == "unknown" {
 				heard.Store(true)
 			}
 		})
-		stranger, err := wire.NewTransport(ns.net.Attach("10.9.9.9:7000"), wire.Options{Keys: ns.keys, Log: slog.New(slog.DiscardHandler)})
+		unknown, err := wire.NewTransport(ns.net.Attach("10.9.9.9:7000"), wire.Options{Keys: ns.keys, Log: slog.New(slog.DiscardHandler)})
 		require.NoError(t, err)
-		defer func() { require.NoError(t, stranger.Close()) }()
-		brief := &wirepb.Datagram{Node: "stranger", Zone: "zone-a", Incarnation: 1, Brief: true, LoadIds: []uint32{7}, LoadCounts: []uint32{99}}
-		require.NoError(t, stranger.SendAll([]string{ns.all[0].addr}, brief))
+		defer func() { require.NoError(t, unknown.Close()) }()
+		brief := &wirepb.Datagram{Node: "unknown", Zone: "zone-a", Incarnation: 1, Brief: true, LoadIds: []uint32{7}, LoadCounts: []uint32{99}}
+		require.NoError(t, unknown.SendAll([]string{ns.all[0].addr}, brief))
 		time.Sleep(time.Second)
 		synctest.Wait()
 		require.False(t, heard.Load())
-		require.NotContains(t, ns.all[0].names(), "stranger")
+		require.NotContains(t, ns.all[0].names(), "unknown")
 	})
 }
 
-// names are the nodes that this one knows.
+// names returns the nodes that this one knows.
 func (n *node) names() (out []string) {
 	for _, m := range n.Members() {
 		out = append(out, string(m.Node))
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -12,83 +12,85 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// Outgoing is the decision to send one datagram to some addresses.
+// Outgoing is one datagram and the addresses to send it to.
 type Outgoing struct {
 	Addrs    []string
 	Datagram *wirepb.Datagram
-	// Limit bounds the encoded datagram with the sections of other packages, in bytes.
+	// Limit is the maximum encoded size in bytes, including the sections of other packages.
 	Limit int
 }
 
-// Tick ages the members and decides on the next heartbeat. revision is the rules
-// revision in force here. An empty Addrs means there is nobody to send to.
+// Tick updates the members' statuses and returns the next heartbeat. revision is the rules
+// revision in force on this node. Addrs is empty if there is no target.
 func (s *State) Tick(now time.Time, revision int64) Outgoing {
 	s.tick++
-	s.age(now)
-	if s.namesake.superseded {
+	s.updateStatuses(now)
+	if s.duplicate.superseded {
 		return Outgoing{}
 	}
-	allowed := s.budget * (1 - nudgeShare) * s.timing.Interval.Seconds()
+	allowed := s.budget * (1 - extraShare) * s.timing.Interval.Seconds()
 	if s.tick <= joinTicks {
 		allowed *= joinFactor
 	}
-	addrs := s.pick(s.targets(), max(1, int(allowed/(minBody+packetOverhead))))
+	addrs := s.takeTargets(s.targets(), max(1, int(allowed/(minBody+packetOverhead))))
 	if len(addrs) == 0 {
 		return Outgoing{}
 	}
 	limit := min(max(int(allowed)/len(addrs)-packetOverhead, minBody), wire.MaxBody)
-	d := s.base(revision)
-	d.AskedIds, s.strangers = s.strangers, nil
+	d := s.baseDatagram(revision)
+	d.AskedIds, s.unknownBeatIDs = s.unknownBeatIDs, nil
 	s.addEntries(d, limit)
 	s.addBeats(d, limit*beatShare/100, s.inOwnZone)
-	s.addBeats(d, proto.Size(d)+limit*farBeatShare/100, s.inOtherZone)
+	s.addBeats(d, proto.Size(d)+limit*remoteBeatShare/100, s.inOtherZone)
 	return Outgoing{Addrs: addrs, Datagram: d, Limit: limit}
 }
 
-// Shares of a heartbeat's room, in percent: how full it may get with entries,
-// then with heartbeats of the zone, and what heartbeats of other zones add.
+// Shares of a heartbeat's size limit, in percent: the fill level up to which changed
+// entries are added, the fill level up to which heartbeats of the own zone are added, and
+// the additional space for heartbeats of other zones.
 const (
-	entryShare   = 55
-	beatShare    = 80
-	farBeatShare = 10
+	entryShare      = 55
+	beatShare       = 80
+	remoteBeatShare = 10
 )
 
-// entryRepeats is in how many heartbeats a changed member's entry goes out ahead
+// prioritySends is the number of heartbeats in which a changed member's entry is sent ahead
 // of the rotation.
-const entryRepeats = 4
+const prioritySends = 4
 
-// ExtraHeartbeat decides whether to send an extra datagram now, ahead of the next
-// heartbeat: after a new rules revision or quarantine. Its bytes come from a
-// budget of their own; when that is spent, the next heartbeat carries the news.
-// What is sent is charged by ChargeNudge.
+// ExtraHeartbeat returns a datagram to send before the next regular heartbeat, after a new
+// rules revision or quarantine. Extra heartbeats have a budget of their own; when it is
+// used up, the next regular heartbeat carries the update. ChargeExtraHeartbeat deducts
+// what was sent.
 func (s *State) ExtraHeartbeat(now time.Time, revision int64) Outgoing {
-	rate := s.budget * nudgeShare
-	s.nudgeCredit = min(s.nudgeCredit+now.Sub(s.nudgedAt).Seconds()*rate, rate*nudgeBurst)
-	s.nudgedAt = now
-	affordable := int(s.nudgeCredit / (nudgeBody + packetOverhead))
-	if affordable == 0 || s.namesake.superseded {
+	rate := s.budget * extraShare
+	s.extraCredit = min(s.extraCredit+now.Sub(s.extraCreditAt).Seconds()*rate, rate*extraBurst)
+	s.extraCreditAt = now
+	affordable := int(s.extraCredit / (maxExtraBody + packetOverhead))
+	if affordable == 0 || s.duplicate.superseded {
 		return Outgoing{}
 	}
 	targets := s.zonePeers(fanout)
 	targets = append(targets, s.linkTargets()...)
-	return Outgoing{Addrs: s.pick(targets, affordable), Datagram: s.base(revision), Limit: nudgeBody}
+	return Outgoing{Addrs: s.takeTargets(targets, affordable), Datagram: s.baseDatagram(revision), Limit: maxExtraBody}
 }
 
-// ChargeExtraHeartbeat takes a nudge of that many bytes, sent to so many targets, off the budget.
+// ChargeExtraHeartbeat deducts an extra heartbeat of that many bytes, sent to that many
+// targets, from the budget.
 func (s *State) ChargeExtraHeartbeat(bytes, targets int) {
-	s.nudgeCredit -= float64(targets * (bytes + packetOverhead))
+	s.extraCredit -= float64(targets * (bytes + packetOverhead))
 }
 
-// LeaveAnnouncement is the datagram that tells all live peers of the zone, at once, that
-// this node is leaving. It is sent once in a node's life, outside of the budget.
+// LeaveAnnouncement returns the datagram that informs all live peers of the zone that this
+// node is leaving. It is sent once per process and does not count against the budget.
 func (s *State) LeaveAnnouncement(revision int64) Outgoing {
-	if s.namesake.superseded {
+	if s.duplicate.superseded {
 		return Outgoing{}
 	}
-	return Outgoing{Addrs: s.pick(s.zonePeers(len(s.order)), maxMembers), Datagram: s.base(revision), Limit: wire.MaxBody}
+	return Outgoing{Addrs: s.takeTargets(s.zonePeers(len(s.order)), maxMembers), Datagram: s.baseDatagram(revision), Limit: wire.MaxBody}
 }
 
-func (s *State) base(revision int64) *wirepb.Datagram {
+func (s *State) baseDatagram(revision int64) *wirepb.Datagram {
 	return &wirepb.Datagram{
 		Node:          string(s.self.Node),
 		Zone:          string(s.self.Zone),
@@ -97,33 +99,33 @@
 		RulesRevision: revision,
 		DatagramAddr:  s.self.DatagramAddr,
 		PeerAddr:      s.self.PeerAddr,
-		// Stamped by the transport; set here so that the size is counted.
+		// Overwritten by the transport; set here so that their size is counted.
 		Sequence:   s.tick<<sequenceBits | 1,
 		SentUnixMs: maxUnixMs,
 		System:     maxSystem,
 	}
 }
 
-// Upper bounds of stamped fields, for counting bytes.
+// Upper bounds of the fields set by the transport, for size estimates.
 const (
 	sequenceBits = 4
 	maxUnixMs    = 1<<42 - 1
 	maxSystem    = 1<<32 - 1
 )
 
-// target is an address to send to, with the member behind it if it is known.
+// target is an address to send to, and its member if known.
 type target struct {
 	addr   string
 	member *member
 }
 
-// pick takes the first n targets and notes that they were sent to.
-func (s *State) pick(targets []target, n int) []string {
+// takeTargets returns the addresses of the first n targets and records that they were sent to.
+func (s *State) takeTargets(targets []target, n int) []string {
 	targets = targets[:min(n, len(targets))]
 	addrs := make([]string, 0, len(targets))
 	for _, t := range targets {
 		if t.member != nil {
-			t.member.sentTo = s.tick
+			t.member.sentTick = s.tick
 		}
 		addrs = append(addrs, t.addr)
 	}
@@ -138,16 +140,16 @@
 	return targets
 }
 
-// targets lists whom the next heartbeat goes to, most important first.
+// targets lists the targets of the next heartbeat, most important first.
 func (s *State) targets() []target {
 	targets := s.zonePeers(fanout)
-	for _, addr := range s.askers {
+	for _, addr := range s.requesters {
 		targets = append(targets, target{addr: addr})
 	}
-	s.askers = nil
+	s.requesters = nil
 	targets = append(targets, s.linkTargets()...)
-	targets = append(targets, s.probe()...)
-	targets = append(targets, s.seed()...)
+	targets = append(targets, s.probeTargets()...)
+	targets = append(targets, s.seedTargets()...)
 	if s.staleAddr != "" {
 		targets = append(targets, target{addr: s.staleAddr})
 		s.staleAddr = ""
@@ -155,10 +157,10 @@
 	return targets
 }
 
-// zonePeers picks the live peers of the zone that were sent to least recently,
-// all of them when they are few.
+// zonePeers returns the n live or suspect peers of the zone that were sent to least
+// recently, or all of them if there are at most allToAll.
 func (s *State) zonePeers(n int) []target {
-	peers := s.leastRecent(func(m *member) bool {
+	peers := s.leastRecentlySent(func(m *member) bool {
 		return m.zone == s.self.Zone && (m.status == Alive || m.status == Suspect)
 	})
 	if len(peers) > max(n, allToAll) {
@@ -167,22 +169,22 @@
 	return targetsOf(peers)
 }
 
-// linkTargets picks one member of each other zone that this node talks to. Two
-// nodes of a zone hold each link, so that links cost the same however many
-// nodes there are. A zone without a live member is tried all the same: that is
-// how the end of a cut is noticed.
+// linkTargets returns one member of each other zone that this node has a link to. Each
+// link is held by nodesPerLink nodes of a zone, so its cost does not depend on the number
+// of nodes. Zones without a live member are contacted as well, which is how the end of a
+// partition is detected.
 func (s *State) linkTargets() []target {
 	var picked []*member
-	nodes := s.dutyNodes()
+	nodes := s.eligibleNodes()
 	for _, zone := range s.otherZones() {
-		if place(nodes, s.self.Node, "link/"+string(zone)) >= min(linkHolders, len(nodes)) {
+		if rank(nodes, s.self.Node, "link/"+string(zone)) >= min(nodesPerLink, len(nodes)) {
 			continue
 		}
-		candidates := s.leastRecent(func(m *member) bool {
+		candidates := s.leastRecentlySent(func(m *member) bool {
 			return m.zone == zone && m.status == Alive && !m.leaving
 		})
 		if len(candidates) == 0 {
-			candidates = s.leastRecent(func(m *member) bool { return m.zone == zone })
+			candidates = s.leastRecentlySent(func(m *member) bool { return m.zone == zone })
 		}
 		picked = append(picked, candidates[0])
 	}
@@ -199,20 +201,20 @@
 	return zones
 }
 
-// probe picks members of the zone that are not known to live: some of those only
-// heard of, whose answer makes them known, and one of the dead.
-func (s *State) probe() []target {
-	unproved := s.leastRecent(func(m *member) bool { return m.zone == s.self.Zone && m.status == Unconfirmed })
-	dead := s.leastRecent(func(m *member) bool { return m.zone == s.self.Zone && m.status == Dead })
-	picked := unproved[:min(fanout, len(unproved))]
+// probeTargets returns members of the zone that are not known to be alive: some unconfirmed
+// ones, whose answer confirms them, and one dead one.
+func (s *State) probeTargets() []target {
+	unconfirmed := s.leastRecentlySent(func(m *member) bool { return m.zone == s.self.Zone && m.status == Unconfirmed })
+	dead := s.leastRecentlySent(func(m *member) bool { return m.zone == s.self.Zone && m.status == Dead })
+	picked := unconfirmed[:min(fanout, len(unconfirmed))]
 	picked = append(picked, dead[:min(1, len(dead))]...)
 	return targetsOf(picked)
 }
 
-// seed picks seeds at which no live member is known: several with each heartbeat
-// until a peer of the zone is heard, since a node does not know which seed is of
-// its zone, and then one now and then.
-func (s *State) seed() []target {
+// seedTargets returns seeds whose address is not that of a live member. Until a peer of the
+// zone is heard it returns several per heartbeat, since a node does not know which seeds
+// are in its zone; afterwards it returns one every seedRetryTicks heartbeats.
+func (s *State) seedTargets() []target {
 	zoneAlive := false
 	heard := make(map[string]bool)
 	for _, m := range s.order {
@@ -221,11 +223,11 @@
 			heard[m.datagramAddr] = true
 		}
 	}
-	n := seedsAtOnce
+	n := seedsPerHeartbeat
 	if zoneAlive {
 		n = 1
 	}
-	if zoneAlive && s.tick%seedEvery != 0 {
+	if zoneAlive && s.tick%seedRetryTicks != 0 {
 		return nil
 	}
 	var picked []target
@@ -242,17 +244,17 @@
 	return picked
 }
 
-// leastRecent returns the members that pass, those not sent to for longest first,
-// equals in random order.
-func (s *State) leastRecent(pass func(*member) bool) []*member {
+// leastRecentlySent returns the members that match, least recently sent to first and in
+// random order if equal.
+func (s *State) leastRecentlySent(match func(*member) bool) []*member {
 	var found []*member
 	for _, m := range s.order {
-		if pass(m) {
+		if match(m) {
 			found = append(found, m)
 		}
 	}
 	s.rng.Shuffle(len(found), func(i, j int) { found[i], found[j] = found[j], found[i] })
-	slices.SortStableFunc(found, func(a, b *member) int { return compareUint(a.sentTo, b.sentTo) })
+	slices.SortStableFunc(found, func(a, b *member) int { return compareUint(a.sentTick, b.sentTick) })
 	return found
 }
 
@@ -270,35 +272,34 @@
 func (s *State) inOwnZone(m *member) bool   { return m.zone == s.self.Zone }
 func (s *State) inOtherZone(m *member) bool { return m.zone != s.self.Zone }
 
-// addBeats passes on heartbeats of members that live, those told least recently
-// first, while the datagram stays within limit.
-func (s *State) addBeats(d *wirepb.Datagram, limit int, pass func(*member) bool) {
-	live := s.liveBy(pass, func(m *member) uint64 { return m.toldBeat })
+// addBeats adds the heartbeats of live members, least recently forwarded first, while the
+// datagram stays within limit.
+func (s *State) addBeats(d *wirepb.Datagram, limit int, match func(*member) bool) {
+	live := s.liveMembers(match, func(m *member) uint64 { return m.beatSentTick })
 	room := limit - proto.Size(d) - beatListsSize
 	for _, m := range live {
-		behind := m.revision - d.RulesRevision
-		room -= 4 + protowire.SizeVarint(m.sequence) + protowire.SizeVarint(protowire.EncodeZigZag(behind))
+		revisionDelta := m.revision - d.RulesRevision
+		room -= 4 + protowire.SizeVarint(m.sequence) + protowire.SizeVarint(protowire.EncodeZigZag(revisionDelta))
 		if room < 0 {
 			return
 		}
 		d.BeatIds = append(d.BeatIds, m.beatID)
 		d.BeatSequences = append(d.BeatSequences, m.sequence)
-		d.BeatRevisions = append(d.BeatRevisions, behind)
-		m.toldBeat = s.tick
+		d.BeatRevisions = append(d.BeatRevisions, revisionDelta)
+		m.beatSentTick = s.tick
 	}
 }
 
-// beatListsSize is the tags and lengths of the three packed lists.
+// beatListsSize is the size of the tags and lengths of the three packed lists.
 const beatListsSize = 3 * 4
 
-// addEntries adds the entry of the live member told least recently if the
-// datagram stays within limit, and those that changed since they were told while
-// it stays within entryShare of it.
+// addEntries adds the entry that comes first by priority if the datagram stays within
+// limit, and then recently changed entries while it stays within entryShare of limit.
 func (s *State) addEntries(d *wirepb.Datagram, limit int) {
-	live := s.liveBy(func(*member) bool { return true }, (*member).entryRank)
+	live := s.liveMembers(func(*member) bool { return true }, (*member).entryPriority)
 	size := proto.Size(d)
 	for i, m := range live {
-		if i > 0 && m.entryTells >= entryRepeats {
+		if i > 0 && m.entrySends >= prioritySends {
 			return
 		}
 		e := m.entry()
@@ -307,30 +308,30 @@
 			return
 		}
 		d.Members = append(d.Members, e)
-		m.toldEntry = s.tick
-		m.entryTells++
+		m.entrySentTick = s.tick
+		m.entrySends++
 	}
 }
 
 // entriesField is the field number of Datagram.members.
 const entriesField = 10
 
-// entryRank orders entries for telling: changed ones first, then by when they were told last.
-func (m *member) entryRank() uint64 {
-	if m.entryTells < entryRepeats {
-		return uint64(m.entryTells)
+// entryPriority orders entries for sending: changed ones first, then the least recently sent.
+func (m *member) entryPriority() uint64 {
+	if m.entrySends < prioritySends {
+		return uint64(m.entrySends)
 	}
-	return entryRepeats + m.toldEntry
+	return prioritySends + m.entrySentTick
 }
 
-func (s *State) liveBy(pass func(*member) bool, told func(*member) uint64) []*member {
+func (s *State) liveMembers(match func(*member) bool, lastSent func(*member) uint64) []*member {
 	var live []*member
 	for _, m := range s.order {
-		if (m.status == Alive || m.status == Suspect) && pass(m) {
+		if (m.status == Alive || m.status == Suspect) && match(m) {
 			live = append(live, m)
 		}
 	}
 	s.rng.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
-	slices.SortStableFunc(live, func(a, b *member) int { return compareUint(told(a), told(b)) })
+	slices.SortStableFunc(live, func(a, b *member) int { return compareUint(lastSent(a), lastSent(b)) })
 	return live
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -9,11 +9,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// Status is what a node believes of another one.
+// Status is a node's view of another node.
 type Status int
 
-// A member is Unconfirmed until its heartbeat is seen to rise: an entry alone may
-// speak of a node that died long ago.
+// A member is Unconfirmed until its heartbeat sequence is seen to increase, since an entry
+// alone may describe a node that failed long ago.
 const (
 	Unconfirmed Status = iota
 	Alive
@@ -21,7 +21,7 @@
 	Dead
 )
 
-// String returns the status as it appears in logs.
+// String returns the status as written to logs and metrics.
 func (s Status) String() string {
 	switch s {
 	case Alive:
@@ -45,16 +45,17 @@
 	PeerAddr string
 	Status   Status
 	Leaving  bool
-	// RulesRevision is the revision in force there when it was last heard.
+	// RulesRevision is the revision in force on the node at its last known heartbeat.
 	RulesRevision int64
-	// HeardAgo is the time since its heartbeat last rose here, by whichever path;
-	// negative when it never did.
+	// HeardAgo is the time since a new heartbeat of the node arrived, directly or through
+	// other nodes; negative if none did.
 	HeardAgo time.Duration
-	// DirectAgo is the time since a datagram of its own arrived; negative when none did.
+	// DirectAgo is the time since a datagram arrived from the node itself; negative if none
+	// did.
 	DirectAgo time.Duration
 }
 
-// member is an entry of State.
+// member is what State knows about another node.
 type member struct {
 	node         cluster.NodeID
 	zone         cluster.ZoneID
@@ -62,7 +63,7 @@
 	datagramAddr string
 	peerAddr     string
 	beatID       uint32
-	// sequence is the newest known; heard is when it last rose.
+	// sequence is the highest known; heard is when it last increased.
 	sequence uint64
 	heard    time.Time
 	direct   time.Time
@@ -70,20 +71,20 @@
 	leaving  bool
 	revision int64
 	status   Status
-	// sentTo is the number of the heartbeat last sent to it.
-	sentTo uint64
-	// gossipedAt is the number of the gossip datagram last sent to it.
-	gossipedAt uint64
-	// toldEntry and toldBeat are the numbers of the heartbeats that last carried
-	// its entry and its beat.
-	toldEntry, toldBeat uint64
-	// entryTells counts the heartbeats that carried its entry since it changed.
-	entryTells int
+	// sentTick is the number of the last heartbeat sent to it.
+	sentTick uint64
+	// lastGossip is the number of the last gossip datagram sent to it.
+	lastGossip uint64
+	// entrySentTick and beatSentTick are the numbers of the heartbeats that last carried
+	// its entry and its sequence.
+	entrySentTick, beatSentTick uint64
+	// entrySends counts the heartbeats that carried its entry since its last change.
+	entrySends int
 }
 
-// beatID names one incarnation of a node in four bytes. Should two nodes ever
-// share an id, only the first is passed on, and the other one's heartbeats count
-// when they arrive directly.
+// beatID identifies one incarnation of a node in four bytes. If the ids of two nodes
+// collide, only the first node's heartbeats are forwarded, and the other's count when they
+// arrive directly.
 func beatID(node cluster.NodeID, incarnation uint64) uint32 {
 	var d xxhash.Digest
 	d.ResetWithSeed(incarnation)
--- a/internal/membership/namesake.go
+++ b/internal/membership/namesake.go
@@ -5,106 +5,109 @@
 	"time"
 )
 
-// DuplicateStatus is what a look for another process under this node's name showed.
+// DuplicateStatus is the result of a check for another process with this node's name.
 type DuplicateStatus int
 
 const (
-	// DuplicateUnknown: nobody that was asked answered.
+	// DuplicateUnknown means that none of the contacted nodes answered.
 	DuplicateUnknown DuplicateStatus = iota
-	// DuplicateAlive: somebody hears the other process.
+	// DuplicateAlive means that a node receives heartbeats from the other process.
 	DuplicateAlive
-	// DuplicateGone: those who answered hear no such process any more.
+	// DuplicateGone means that the nodes that answered no longer receive any.
 	DuplicateGone
 )
 
-// CheckDuplicate asks the nodes at the addresses, ip:port of their connect-go services,
-// whether they hear a process under this node's name. This node has fallen silent, so
-// what they hear is the other one.
+// CheckDuplicate asks the nodes at the addresses (ip:port of their connect-go services)
+// whether they receive heartbeats under this node's name. This node has stopped sending,
+// so such heartbeats come from the other process.
 type CheckDuplicate func(ctx context.Context, addrs []string) DuplicateStatus
 
 const (
-	// lookEvery is the time between two looks: some of them fit into the time after
+	// duplicateCheckInterval is the time between two checks; several fit into the time after
 	// which a silent node counts as dead (16 s).
-	lookEvery = 5 * time.Second
-	// lookPeers is how many other nodes are asked beside the namesake itself: one of
-	// them alone may be cut off, or have just started.
-	lookPeers = 3
-	// lookTimeout bounds one look.
-	lookTimeout = 3 * time.Second
+	duplicateCheckInterval = 5 * time.Second
+	// duplicateCheckPeers is the number of other nodes asked besides the duplicate itself; a
+	// single one may be partitioned or just started.
+	duplicateCheckPeers = 3
+	// duplicateCheckTimeout limits the duration of one check.
+	duplicateCheckTimeout = 3 * time.Second
 )
 
-// namesake is another process that runs under this node's name.
-type namesake struct {
-	// superseded is true while this node keeps silent because of it.
+// duplicate is another process that runs under this node's name.
+type duplicate struct {
+	// superseded is set while this node sends nothing because of the other process.
 	superseded  bool
 	incarnation uint64
 	peerAddr    string
-	// seen is when it was last known to live, looked when it was last looked for.
-	seen, looked time.Time
+	// seenAt is when it was last known to be alive; checkedAt is when the last check began.
+	seenAt, checkedAt time.Time
 }
 
-// lookFor returns whom to ask for the namesake now; none when it is not time.
-func (s *State) lookFor(now time.Time) (addrs []string) {
-	n := &s.namesake
-	if !n.superseded || now.Sub(n.looked) < lookEvery {
+// duplicateCheckTargets returns the addresses to ask about the duplicate now, or none if no
+// check is due.
+func (s *State) duplicateCheckTargets(now time.Time) (addrs []string) {
+	d := &s.duplicate
+	if !d.superseded || now.Sub(d.checkedAt) < duplicateCheckInterval {
 		return nil
 	}
-	n.looked = now
-	if n.peerAddr != "" {
-		addrs = append(addrs, n.peerAddr)
+	d.checkedAt = now
+	if d.peerAddr != "" {
+		addrs = append(addrs, d.peerAddr)
 	}
-	others := s.leastRecent(func(m *member) bool { return m.peerAddr != "" && !m.leaving })
-	for _, m := range others[:min(lookPeers, len(others))] {
+	others := s.leastRecentlySent(func(m *member) bool { return m.peerAddr != "" && !m.leaving })
+	for _, m := range others[:min(duplicateCheckPeers, len(others))] {
 		addrs = append(addrs, m.peerAddr)
-		m.sentTo = s.tick
+		m.sentTick = s.tick
 	}
 	return addrs
 }
 
-// noteSighting takes what a look showed, and reports whether this node speaks again.
+// recordDuplicateStatus records the result of a check and reports whether this node resumes
+// sending.
 //
-// Two processes under one name come from a settings file that was copied, or from a
-// VM that was replaced while it was frozen. The one that fell silent would stay so for
-// ever when the other is gone: no peer hears it, and no change of the rules is known to
-// be in force there. So it takes the name back, with a higher incarnation, once nobody
-// hears the other; and when nobody answers, after the time in which the dead are noticed.
-func (s *State) noteSighting(sighting DuplicateStatus, now time.Time) (speaks bool) {
-	n := &s.namesake
+// Two processes get the same name from a copied settings file, or when a VM is replaced
+// while it is frozen. Without this check the superseded one would never send again after
+// the other is gone: no peer would hear it, and no rules change would be known to be in
+// force on it. So it takes the name back, with a higher incarnation, once no node hears
+// the other process, or once no node has answered for the time after which a silent node
+// counts as dead.
+func (s *State) recordDuplicateStatus(status DuplicateStatus, now time.Time) (resumed bool) {
+	d := &s.duplicate
 	switch {
-	case !n.superseded:
+	case !d.superseded:
 		return false
-	case sighting == DuplicateAlive:
-		n.seen = now
+	case status == DuplicateAlive:
+		d.seenAt = now
 		return false
-	case sighting == DuplicateUnknown && now.Sub(n.seen) < s.timing.DeadAfter:
+	case status == DuplicateUnknown && now.Sub(d.seenAt) < s.timing.DeadAfter:
 		return false
 	}
-	s.self.Incarnation = n.incarnation + 1
-	s.namesake = namesake{}
+	s.self.Incarnation = d.incarnation + 1
+	s.duplicate = duplicate{}
 	return true
 }
 
-// lookForNamesake asks for the process that has this node's name, when it is time.
-func (s *Service) lookForNamesake(ctx context.Context) {
-	if s.findNamesake == nil {
+// checkForDuplicate starts a check for the process that has this node's name, if one is due.
+func (s *Service) checkForDuplicate(ctx context.Context) {
+	if s.checkDuplicate == nil {
 		return
 	}
 	s.mu.Lock()
-	addrs := s.state.lookFor(s.now())
+	addrs := s.state.duplicateCheckTargets(s.now())
 	s.mu.Unlock()
 	if len(addrs) == 0 {
 		return
 	}
-	s.looks.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	s.background.Go(func() {
+		ctx, cancel := context.WithTimeout(ctx, duplicateCheckTimeout)
 		defer cancel()
-		sighting := s.findNamesake(ctx, addrs)
+		status := s.checkDuplicate(ctx, addrs)
 		s.mu.Lock()
-		speaks := s.state.noteSighting(sighting, s.now())
+		resumed := s.state.recordDuplicateStatus(status, s.now())
 		incarnation := s.state.Self().Incarnation
 		s.mu.Unlock()
-		if speaks {
-			s.log.Info("nobody else runs under this node's name any more, speaking again", "incarnation", incarnation, "asked", len(addrs))
+		if resumed {
+			s.log.Info("no other process runs under this node's name any more, this node resumes sending", "incarnation", incarnation, "asked", len(addrs))
 		}
 	})
 }
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -9,8 +9,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// score ranks a node for a key: rendezvous hashing. When a node goes, only the
-// keys it held move.
+// score ranks a node for a key by rendezvous hashing: when a node leaves, only its own
+// keys move.
 func score(node cluster.NodeID, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -29,9 +29,9 @@
 	return a < b
 }
 
-// place returns how many of the nodes come before self for the key; all of them
-// when self is not among them.
-func place(nodes []cluster.NodeID, self cluster.NodeID, key string) int {
+// rank returns how many of the nodes come before self for the key, or the number of nodes
+// if self is not among them.
+func rank(nodes []cluster.NodeID, self cluster.NodeID, key string) int {
 	before, present := 0, false
 	for _, n := range nodes {
 		switch {
@@ -47,10 +47,10 @@
 	return before
 }
 
-// dutyNodes are the nodes of the own zone that may hold duties.
-func (s *State) dutyNodes() []cluster.NodeID {
+// eligibleNodes returns the nodes of this zone that can be responsible for a task.
+func (s *State) eligibleNodes() []cluster.NodeID {
 	var nodes []cluster.NodeID
-	if !s.self.Leaving && !s.namesake.superseded {
+	if !s.self.Leaving && !s.duplicate.superseded {
 		nodes = append(nodes, s.self.Node)
 	}
 	for _, m := range s.order {
@@ -61,10 +61,10 @@
 	return nodes
 }
 
-// Joined reports whether the node has heard a peer of its zone or waited long
-// enough to take itself for alone. Before that it holds no duty: after an outage
-// all nodes return at once, and each would otherwise take every duty of its zone
-// and press on the platform.
+// Joined reports whether the node has heard a peer of its zone or waited long enough to
+// assume that there is none. Until then it is responsible for no task: after an outage all
+// nodes start at once, and each would otherwise take every task of its zone and overload
+// the platform.
 func (s *State) Joined(now time.Time) bool {
 	if now.Sub(s.started) >= s.timing.SuspectAfter || len(s.seeds) == 0 {
 		return true
@@ -72,21 +72,21 @@
 	return slices.ContainsFunc(s.order, func(m *member) bool { return m.zone == s.self.Zone && m.status == Alive })
 }
 
-// Responsible reports whether this node is among the n holders of a duty in its zone.
-// Two nodes with different views may both hold it, or for a moment none.
+// Responsible reports whether this node is one of the n nodes of its zone responsible for
+// the named task. Nodes with different views may temporarily exceed n or fall short of it.
 func (s *State) Responsible(name string, n int, now time.Time) bool {
 	if !s.Joined(now) {
 		return false
 	}
-	nodes := s.dutyNodes()
-	return place(nodes, s.self.Node, name) < min(n, len(nodes))
+	nodes := s.eligibleNodes()
+	return rank(nodes, s.self.Node, name) < min(n, len(nodes))
 }
 
-// Owner returns the node of this zone that ranks highest for the key; empty when
-// none may hold it.
+// Owner returns the node of this zone that ranks highest for the key; empty if no node is
+// eligible.
 func (s *State) Owner(key string) cluster.NodeID {
 	var owner cluster.NodeID
-	for _, n := range s.dutyNodes() {
+	for _, n := range s.eligibleNodes() {
 		if owner == "" || outranks(n, owner, key) {
 			owner = n
 		}
@@ -94,6 +94,6 @@
 	return owner
 }
 
-// Rank returns this node's place among the live nodes of its zone for the key, 0
-// being the owner. A node that may hold no duty comes after all others.
-func (s *State) Rank(key string) int { return place(s.dutyNodes(), s.self.Node, key) }
+// Rank returns this node's rank among the eligible nodes of its zone for the key; 0 is the
+// owner. A node that is not eligible comes after all others.
+func (s *State) Rank(key string) int { return rank(s.eligibleNodes(), s.self.Node, key) }
--- a/internal/membership/section.go
+++ b/internal/membership/section.go
@@ -8,28 +8,28 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// Section is what another package adds to a heartbeat.
+// Section holds the fields that another package adds to a datagram.
 type Section struct {
 	Replicas    []*wirepb.ReplicaStatus
 	Quarantines []*wirepb.QuarantineMark
 	Crashes     []*wirepb.CrashMark
 	Suspects    []*wirepb.SuspectMark
 	Demands     []*wirepb.TeamDemand
-	// LoadIDs and LoadCounts are the node's own requests on replicas.
+	// LoadIDs and LoadCounts are the node's own requests in flight per replica.
 	LoadIDs, LoadCounts []uint32
-	// Asked is true once the node has had a request.
+	// Asked is set once the node has received a request.
 	Asked bool
-	// StalledIDs are replicas that the node found to stand still, WorkingIDs those of
-	// which it then found all members to answer.
+	// StalledIDs are replicas that the node found stalled; WorkingIDs are replicas that
+	// were reported as stalled but whose members all answer this node.
 	StalledIDs, WorkingIDs []uint32
 }
 
-// Source returns what to say in the next datagram, within budget bytes of
-// encoding (see SectionSize). Datagrams are lost: a source says again what must
-// arrive. It must not block.
+// Source returns the section for the next datagram, of at most budget encoded bytes (see
+// SectionSize). Datagrams can be lost, so a source must repeat what has to arrive. It must
+// not block.
 type Source func(budget int) Section
 
-// SectionSize is the encoded size of a section in a datagram, in bytes.
+// SectionSize returns the encoded size of a section in a datagram, in bytes.
 func SectionSize(s Section) int {
 	return proto.Size(&wirepb.Datagram{
 		Replicas: s.Replicas, Quarantines: s.Quarantines, Crashes: s.Crashes,
@@ -37,8 +37,8 @@
 	})
 }
 
-// fill asks each source in turn. Each may use an equal part of the room left, so
-// that what an early source leaves unused goes to the later ones.
+// fill adds the sections of the sources in order. Each source gets an equal part of the
+// space that is left, so space unused by earlier sources is available to later ones.
 func fill(d *wirepb.Datagram, limit int, sources []Source, log *slog.Logger) {
 	room := limit - proto.Size(d)
 	for i, source := range sources {
@@ -49,7 +49,7 @@
 		section := source(budget)
 		size := SectionSize(section)
 		if size > budget {
-			log.Error("heartbeat section left out", "source", i, "bytes", size, "budget", budget)
+			log.Error("heartbeat section exceeds its budget and was omitted", "source", i, "bytes", size, "budget", budget)
 			continue
 		}
 		room -= size
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -1,11 +1,10 @@
-// Package membership lets the nodes of a system know each other and share small
-// state, by heartbeat datagrams and without any service of their own.
+// Package membership provides node discovery, failure detection and the exchange of small
+// state between the nodes of a system, by heartbeat datagrams and without a central service.
 //
-// A node sends its heartbeat to a few peers of its zone each second, in turn, and
-// passes on the newest heartbeats it knows of others. Two nodes of a zone hold the
-// link to each other zone. Nothing here is agreed upon: views differ for a while,
-// and whoever uses them must stay correct when two nodes hold one duty. See
-// docs/membership.md.
+// Each second a node sends its heartbeat to a few peers of its zone, in rotation, and
+// forwards the newest heartbeats it knows of other nodes. Two nodes of a zone hold the link
+// to each other zone. There is no consensus: views can differ temporarily, and callers must
+// stay correct if two nodes are responsible for the same task. See docs/membership.md.
 package membership
 
 import (
@@ -22,7 +21,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// Transport carries the datagrams; wire.Transport is one.
+// Transport sends and receives datagrams. wire.Transport implements it.
 type Transport interface {
 	SendAll(addrs []string, d *wirepb.Datagram) error
 	Handle(h wire.Handler)
@@ -34,58 +33,60 @@
 type Options struct {
 	Node cluster.NodeID
 	Zone cluster.ZoneID
-	// Incarnation must be higher than that of the node's former process: its
-	// start time in ns. Zero means now.
+	// Incarnation must be higher than that of the node's previous process; it is the
+	// process's start time in ns. Zero means now.
 	Incarnation uint64
-	// Seeds are datagram addresses, ip:port, of some nodes of each zone.
+	// Seeds are the datagram addresses (ip:port) of some nodes of each zone.
 	Seeds []string
 	// PeerAddr is the ip:port of this node's connect-go services.
 	PeerAddr string
-	// DatagramAddr is where peers reach this node; empty means Transport.Addr.
+	// DatagramAddr is the address at which peers reach this node; empty means
+	// Transport.Addr.
 	DatagramAddr string
 	Transport    Transport
-	// Clock and Rand are replaced in tests; nil means the real ones.
+	// Clock and Rand are set in tests; nil means time.Now and a random seed.
 	Clock func() time.Time
 	Rand  *rand.Rand
-	// Interval between heartbeats; zero means DefaultInterval. Timing sets the other times.
+	// Interval is the time between heartbeats; zero means that of Timing, whose zero fields
+	// have defaults.
 	Interval time.Duration
 	Timing   Timing
-	// SendBudget is bytes per second; zero means DefaultSendBudget.
+	// SendBudget is in bytes per second; zero means DefaultSendBudget.
 	SendBudget int
-	// CheckDuplicate looks for the process that has this node's name; without it a node
-	// that fell silent stays so until it is restarted.
+	// CheckDuplicate checks for another process with this node's name. If it is nil, a
+	// superseded node sends nothing until it is restarted.
 	CheckDuplicate CheckDuplicate
-	// Gossip goes out between the heartbeats; the zero value sends none.
+	// Gossip configures datagrams between heartbeats; the zero value disables them.
 	Gossip Gossip
 	Log    *slog.Logger
 }
 
-// Service is the running membership of one node. All methods are safe for
-// concurrent use.
+// Service runs the membership protocol of one node. All methods are safe for concurrent
+// use.
 type Service struct {
 	transport Transport
 	now       func() time.Time
 	log       *slog.Logger
 	interval  time.Duration
-	nudged    chan struct{}
+	triggered chan struct{}
 
-	findNamesake CheckDuplicate
-	looks        sync.WaitGroup
-	gossip       Gossip
-	changes      changeLog
+	checkDuplicate CheckDuplicate
+	background     sync.WaitGroup
+	gossip         Gossip
+	changes        changeLog
 
-	// mu guards state and is never held while sending or calling out.
+	// mu guards state and is not held during sends and callbacks.
 	mu    sync.Mutex
 	state *State
 
-	// subMu guards what other packages registered.
+	// subMu guards the callbacks registered by other packages.
 	subMu       sync.RWMutex
 	subscribers []func(from Member, d *wirepb.Datagram)
 	sources     []Source
 	revision    func() int64
 }
 
-// New returns a service that knows only its seeds; Run starts it.
+// New returns a service that knows only its seeds. Run starts it.
 func New(opts Options) *Service {
 	if opts.Clock == nil {
 		opts.Clock = time.Now
@@ -115,10 +116,10 @@
 		now:       opts.Clock,
 		log:       opts.Log,
 		interval:  opts.Timing.withDefaults().Interval,
-		nudged:    make(chan struct{}, 1),
+		triggered: make(chan struct{}, 1),
 
-		findNamesake: opts.CheckDuplicate,
-		gossip:       opts.Gossip,
+		checkDuplicate: opts.CheckDuplicate,
+		gossip:         opts.Gossip,
 
 		state:    NewState(self, opts.Seeds, opts.Timing, opts.SendBudget, opts.Rand, now),
 		revision: func() int64 { return 0 },
@@ -128,18 +129,18 @@
 	return s
 }
 
-// nudgeGap is the least time between two nudges.
-const nudgeGap = 100 * time.Millisecond
+// minExtraInterval is the minimum time between two extra heartbeats.
+const minExtraInterval = 100 * time.Millisecond
 
-// Run sends heartbeats until ctx ends.
+// Run sends heartbeats until ctx is done.
 func (s *Service) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.interval)
 	defer ticker.Stop()
-	defer s.looks.Wait()
+	defer s.background.Wait()
 	if s.gossip.Source != nil {
-		s.looks.Go(func() { s.sendGossip(ctx) })
+		s.background.Go(func() { s.sendGossip(ctx) })
 	}
-	var lastNudge time.Time
+	var lastExtra time.Time
 	s.heartbeat()
 	for {
 		select {
@@ -147,18 +148,18 @@
 			return
 		case <-ticker.C:
 			s.heartbeat()
-			s.lookForNamesake(ctx)
-		case <-s.nudged:
-			if !wait(ctx, nudgeGap-s.now().Sub(lastNudge)) {
+			s.checkForDuplicate(ctx)
+		case <-s.triggered:
+			if !wait(ctx, minExtraInterval-s.now().Sub(lastExtra)) {
 				return
 			}
-			lastNudge = s.now()
-			s.sendNudge()
+			lastExtra = s.now()
+			s.sendExtraHeartbeat()
 		}
 	}
 }
 
-// wait returns false when ctx ended first.
+// wait waits for d and returns false if ctx is done first.
 func wait(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -177,12 +178,12 @@
 	send := s.state.Tick(s.now(), revision)
 	changes := s.state.TakeChanges()
 	s.mu.Unlock()
-	s.changes.note(changes, s.log)
-	s.changes.write(s.log)
+	s.changes.record(changes, s.log)
+	s.changes.flush(s.log)
 	s.send(send)
 }
 
-func (s *Service) sendNudge() {
+func (s *Service) sendExtraHeartbeat() {
 	revision := s.rulesRevision()
 	s.mu.Lock()
 	send := s.state.ExtraHeartbeat(s.now(), revision)
@@ -193,7 +194,7 @@
 	s.mu.Unlock()
 }
 
-// send adds the sections, sends and returns the size of the body in bytes.
+// send adds the sections, sends the datagram and returns the size of its body in bytes.
 func (s *Service) send(send Outgoing) int {
 	if len(send.Addrs) == 0 {
 		return 0
@@ -208,8 +209,8 @@
 
 func (s *Service) transmit(send Outgoing) {
 	if err := s.transport.SendAll(send.Addrs, send.Datagram); err != nil {
-		// A peer's address that cannot be reached is no news: ageing tells.
-		s.log.Debug("datagram not sent", "err", err)
+		// An unreachable peer is detected by its silence.
+		s.log.Debug("sending a datagram failed", "err", err)
 	}
 }
 
@@ -222,11 +223,11 @@
 	}
 	changes := s.state.TakeChanges()
 	superseded := s.state.Superseded()
-	from, known := s.state.knows(d, now)
+	from, known := s.state.sender(d, now)
 	s.mu.Unlock()
-	s.changes.note(changes, s.log)
+	s.changes.record(changes, s.log)
 	if superseded && !wasSuperseded {
-		s.log.Error("another process runs under this node's name, falling silent", "node", d.Node)
+		s.log.Error("another process runs under this node's name, this node stops sending", "node", d.Node)
 	}
 	if !known {
 		return
@@ -245,54 +246,53 @@
 	s.state.ReceiveStale(d)
 }
 
-// Members returns the other nodes known here, ordered by name.
+// Members returns the other nodes known to this one, ordered by name.
 func (s *Service) Members() []Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Members(s.now())
 }
 
-// Self returns what this node says of itself.
+// Self returns this node's description of itself.
 func (s *Service) Self() Self {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Self()
 }
 
-// Responsible reports whether this node is among the n holders of a duty in its zone.
-// For some moments two nodes may hold what one should, or none.
+// Responsible reports whether this node is one of the n nodes of its zone responsible for
+// the named task. Temporarily more or fewer than n nodes may be.
 func (s *Service) Responsible(name string, n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Responsible(name, n, s.now())
 }
 
-// Owner returns the live node of this zone that the key falls to.
+// Owner returns the live node of this zone that owns the key.
 func (s *Service) Owner(key string) cluster.NodeID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Owner(key)
 }
 
-// Rank returns this node's place among the live nodes of its zone for the key, 0
-// being the owner.
+// Rank returns this node's rank among the live nodes of its zone for the key; 0 is the
+// owner.
 func (s *Service) Rank(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Rank(key)
 }
 
-// Superseded reports whether a newer process runs under this node's name; this
-// one has then fallen silent and gets no new callers. It speaks again when the
-// other is gone.
+// Superseded reports whether a newer process uses this node's name. This node then sends no
+// heartbeats and gets no new requests. It resumes when the other process is gone.
 func (s *Service) Superseded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Superseded()
 }
 
-// Leave tells the peers of the zone that this node is leaving and holds its
-// duties no longer. Heartbeats go on until Run ends.
+// Leave informs the peers of the zone that this node is leaving and no longer responsible
+// for any task. Heartbeats continue until Run ends.
 func (s *Service) Leave() {
 	revision := s.rulesRevision()
 	s.mu.Lock()
@@ -302,31 +302,32 @@
 	s.send(send)
 }
 
-// TriggerHeartbeat sends the sources' news soon, ahead of the next heartbeat: after a new
+// TriggerHeartbeat requests an extra heartbeat before the next regular one, after a new
 // rules revision or a new quarantine. It never blocks.
 func (s *Service) TriggerHeartbeat() {
 	select {
-	case s.nudged <- struct{}{}:
+	case s.triggered <- struct{}{}:
 	default:
 	}
 }
 
-// OnDatagram subscribes to accepted datagrams. f runs on the receiving thread and
-// must not block.
+// OnDatagram registers f to be called with each accepted datagram. f runs on the receiving
+// goroutine and must not block.
 func (s *Service) OnDatagram(f func(from Member, d *wirepb.Datagram)) {
 	s.subMu.Lock()
 	defer s.subMu.Unlock()
 	s.subscribers = append(s.subscribers[:len(s.subscribers):len(s.subscribers)], f)
 }
 
-// AddSource adds a section to this node's heartbeats, asked in the order added.
+// AddSource adds a source of sections to this node's heartbeats. Sources are called in the
+// order in which they were added.
 func (s *Service) AddSource(source Source) {
 	s.subMu.Lock()
 	defer s.subMu.Unlock()
 	s.sources = append(s.sources[:len(s.sources):len(s.sources)], source)
 }
 
-// SetRulesRevision sets where the revision in force here is read.
+// SetRulesRevision sets the function that returns the rules revision in force on this node.
 func (s *Service) SetRulesRevision(f func() int64) {
 	s.subMu.Lock()
 	defer s.subMu.Unlock()
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -10,26 +10,27 @@
 	"github.com/fennelcourse/fennelcourse/internal/membership"
 )
 
-// The bounds within which views converge, as docs/membership.md states them.
+// Time limits for the convergence of views, as stated in docs/membership.md.
 const (
-	joinBound = 30 * time.Second
-	deadBound = membership.DefaultDeadAfter + 5*time.Second
-	farBound  = membership.DefaultRemoteDeadAfter + 10*time.Second
-	healBound = 20 * time.Second
+	joinBound   = 30 * time.Second
+	deadBound   = membership.DefaultDeadAfter + 5*time.Second
+	remoteBound = membership.DefaultRemoteDeadAfter + 10*time.Second
+	healBound   = 20 * time.Second
 )
 
-// All nodes of a system come back at once after an outage, with nothing but
-// their seeds' addresses, while the network loses datagrams.
-func TestAllJoinAndNobodyIsSuspected(t *testing.T) {
-	allJoin(t, 3, 1, 0)
-	allJoin(t, 1, 4, 0.05)
-	allJoin(t, 3, 8, 0.3)
+// All nodes of a system restart at once after an outage, with only their seeds' addresses,
+// while the network loses datagrams.
+func TestAllJoinAndNoneIsSuspected(t *testing.T) {
+	testAllJoin(t, 3, 1, 0)
+	testAllJoin(t, 1, 4, 0.05)
+	testAllJoin(t, 3, 8, 0.3)
 }
 
-// A zone of 25 nodes must come to know itself within the bound though three datagrams in ten are lost.
-func TestLargeZoneJoinsUnderHeavyLoss(t *testing.T) { allJoin(t, 1, 25, 0.3) }
+// All nodes of a zone of 25 must know each other within the time limit although 30 % of the
+// datagrams are lost.
+func TestLargeZoneJoinsUnderHeavyLoss(t *testing.T) { testAllJoin(t, 1, 25, 0.3) }
 
-func allJoin(t *testing.T, zones, perZone int, loss float64) {
+func testAllJoin(t *testing.T, zones, perZone int, loss float64) {
 	synctest.Test(t, func(t *testing.T) {
 		ns := start(t, 1, zones, perZone)
 		ns.net.SetLoss(loss)
@@ -38,14 +39,14 @@
 		for range 90 {
 			time.Sleep(time.Second)
 			synctest.Wait()
-			require.True(t, sees(ns.all, ns.all, membership.Alive), "a living node was suspected")
+			require.True(t, sees(ns.all, ns.all, membership.Alive), "a live node was suspected")
 		}
 	})
 }
 
-// A node's process is killed. Its duties must pass to others soon, and exactly
-// once when the views have converged, or its zone is no longer watched.
-func TestKilledNodeIsNoticedAndItsDutiesMove(t *testing.T) {
+// A node's process is killed. Its tasks must move to other nodes soon, and to exactly one
+// each once the views have converged, or nothing watches the rules for its zone.
+func TestKilledNodeIsDetectedAndItsTasksMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ns := start(t, 2, 2, 5)
 		ns.net.SetLoss(0.05)
@@ -63,13 +64,13 @@
 		victim := holder()[0]
 		victim.kill()
 		zone = without(zone, victim)
-		took := ns.within(deadBound, "zone sees the death", func() bool { return sees(zone, []*node{victim}, membership.Dead) })
+		took := ns.within(deadBound, "zone sees the failure", func() bool { return sees(zone, []*node{victim}, membership.Dead) })
 		t.Logf("dead in its zone after %v", took)
 		require.Len(t, holder(), 1)
 		for _, n := range zone {
 			require.Equal(t, zone[0].Owner("some key"), n.Owner("some key"))
 		}
-		ns.within(farBound, "other zone sees the death", func() bool { return sees(others, []*node{victim}, membership.Dead) })
+		ns.within(remoteBound, "other zone sees the failure", func() bool { return sees(others, []*node{victim}, membership.Dead) })
 	})
 }
 
@@ -83,9 +84,9 @@
 	return rest
 }
 
-// A node is frozen for a minute and goes on as if nothing had happened. Its old
-// view must not bring back what changed meanwhile, and it must be taken in again.
-func TestFrozenNodeComesBack(t *testing.T) {
+// A node is frozen for a minute and then continues. Its outdated view must not revive nodes
+// that failed meanwhile, and it must become a member again.
+func TestFrozenNodeRejoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ns := start(t, 3, 1, 5)
 		ns.within(joinBound, "all see all", func() bool { return sees(ns.all, ns.all, membership.Alive) })
@@ -105,10 +106,10 @@
 	})
 }
 
-// A node's VM is replaced under the same name while the old one was only frozen;
-// then the old process wakes up. Were both heard, peers would send to one what
-// is meant for the other. The newer incarnation wins for good.
-func TestOldProcessAfterItsSuccessor(t *testing.T) {
+// A node's VM is replaced under the same name while the old one is frozen; then the old
+// process continues. If both were accepted, peers would send datagrams to the wrong one.
+// The newer incarnation must win permanently.
+func TestOldProcessThawsAfterItsReplacementStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ns := start(t, 4, 1, 4)
 		ns.within(joinBound, "all see all", func() bool { return sees(ns.all, ns.all, membership.Alive) })
@@ -130,7 +131,7 @@
 		}
 		ns.within(healBound, "successor is known", knowSuccessor)
 		ns.net.Thaw(old.addr)
-		ns.within(healBound, "old one falls silent", old.Superseded)
+		ns.within(healBound, "old one stops sending", old.Superseded)
 		sent := old.transport.Counters().SentPackets
 		for range 30 {
 			time.Sleep(time.Second)
@@ -143,9 +144,9 @@
 	})
 }
 
-// A node starts anew on its own address after its clock was set back, so its
-// incarnation is lower than its former one and peers drop what it says. Without
-// a remedy it would stay unheard for as long as it runs.
+// A node restarts at its own address after its clock was set back, so its incarnation is
+// lower than its previous one and peers drop its datagrams. It must take a higher
+// incarnation, or it would never be heard.
 func TestRestartAfterClockWasSetBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ns := start(t, 5, 1, 4)
@@ -160,10 +161,10 @@
 	})
 }
 
-// The network between two zones is cut, in one direction or in both, and healed
-// after an hour. Meanwhile the VMs that were the seeds have been replaced. Each
-// zone goes on by itself, and must find the other one again.
-func TestCutsBetweenZones(t *testing.T) {
+// The network between two zones is partitioned, in one or both directions, and healed after
+// an hour. Meanwhile the seeds' VMs have been removed. Each zone must keep working by itself
+// and find the other one again.
+func TestPartitionsBetweenZones(t *testing.T) {
 	for name, oneWay := range map[string]bool{"both ways": false, "one way": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -178,11 +179,11 @@
 				ns.net.Block(func(from, to string) bool {
 					return inA[from] && !inA[to] || !oneWay && !inA[from] && inA[to]
 				})
-				ns.within(farBound, "b no longer hears a", func() bool { return sees(b, a, membership.Dead) })
+				ns.within(remoteBound, "b no longer hears a", func() bool { return sees(b, a, membership.Dead) })
 				if oneWay {
 					require.True(t, sees(a, b, membership.Alive))
 				} else {
-					ns.within(farBound, "a no longer hears b", func() bool { return sees(a, b, membership.Dead) })
+					ns.within(remoteBound, "a no longer hears b", func() bool { return sees(a, b, membership.Dead) })
 				}
 				require.True(t, sees(a, a, membership.Alive) && sees(b, b, membership.Alive))
 				time.Sleep(time.Hour)
@@ -195,16 +196,16 @@
 	}
 }
 
-// A node is stopped as planned. Peers must give it no more duties at once, while
-// it still finishes its streams.
-func TestLeavingNodeLosesItsDutiesAtOnce(t *testing.T) {
+// A node shuts down gracefully. It must lose its tasks immediately while it finishes its
+// streams.
+func TestLeavingNodeLosesItsTasksImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ns := start(t, 7, 1, 12)
 		ns.within(joinBound, "all see all", func() bool { return sees(ns.all, ns.all, membership.Alive) })
 		leaver := ns.all[0]
 		require.True(t, leaver.Responsible("poll", 12))
 		leaver.Leave()
-		ns.within(200*time.Millisecond, "others hold all", func() bool {
+		ns.within(200*time.Millisecond, "the others are responsible", func() bool {
 			for _, n := range ns.all[1:] {
 				if !n.Responsible("poll", 11) {
 					return false
@@ -217,26 +218,26 @@
 	})
 }
 
-// With several hundred nodes each heartbeat could carry far more than the budget.
-func TestSendsStayInsideTheBudget(t *testing.T) {
+// With several hundred nodes and full sources, each heartbeat could exceed the budget.
+func TestTrafficStaysWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ns := start(t, 8, 3, 10)
 		for _, n := range ns.all {
-			n.AddSource(greedySource)
+			n.AddSource(fullSource)
 		}
-		nudge := func(seconds int) {
+		trigger := func(seconds int) {
 			for range seconds * 10 {
 				ns.all[0].TriggerHeartbeat()
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
-		nudge(60) // spends what may be saved up for a burst
+		trigger(60) // uses up the budget accumulated for bursts
 		const seconds = 120
 		before := make(map[*node]wireCount)
 		for _, n := range ns.all {
 			before[n] = countOf(n)
 		}
-		nudge(seconds)
+		trigger(seconds)
 		for _, n := range ns.all {
 			spent := countOf(n).minus(before[n])
 			require.LessOrEqual(t, spent/seconds, membership.DefaultSendBudget+50, n.name)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -10,7 +10,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// Self is what a node says of itself.
+// Self is a node's description of itself.
 type Self struct {
 	Node         cluster.NodeID
 	Zone         cluster.ZoneID
@@ -20,44 +20,43 @@
 	Leaving      bool
 }
 
-// Change is a member's new status and why it fell.
+// Change is a change of a member's status and its reason.
 type Change struct {
 	Member Member
 	From   Status
 	Reason string
 }
 
-// State is the decision core: what is known of the members, whom to send to and
-// what to tell. It has no clock, socket or goroutine, and is not safe for
-// concurrent use. The same events at the same times with the same source of
-// randomness give the same answers.
+// State is the protocol's decision logic: the members' states, the targets of each
+// datagram and its content. It has no clock, socket or goroutine and is not safe for
+// concurrent use. It is deterministic for the same events, times and random source.
 type State struct {
 	self   Self
 	seeds  []string
 	timing Timing
-	// budget is bytes per second.
+	// budget is the send budget in bytes per second.
 	budget  float64
 	started time.Time
 	rng     *rand.Rand
 
-	members map[cluster.NodeID]*member
-	byBeat  map[uint32]*member
+	members  map[cluster.NodeID]*member
+	byBeatID map[uint32]*member
 	// order lists the members by name, so that decisions do not depend on map order.
 	order []*member
 
-	tick        uint64
-	gossiped    uint64
-	seedCursor  int
-	nudgeCredit float64
-	nudgedAt    time.Time
-	namesake    namesake
-	// staleAddr is where a process spoke from whose incarnation is over.
+	tick          uint64
+	gossipCount   uint64
+	seedCursor    int
+	extraCredit   float64
+	extraCreditAt time.Time
+	duplicate     duplicate
+	// staleAddr is the address from which a process with an outdated incarnation sent.
 	staleAddr string
 	changes   []Change
-	// strangers are ids of heartbeats that were passed on to this node and of which it
-	// has no entry; askers are the addresses of nodes that lack one that it has.
-	strangers []uint32
-	askers    []string
+	// unknownBeatIDs are ids of forwarded heartbeats for which this node has no entry.
+	// requesters are the addresses of nodes that requested an entry that it has.
+	unknownBeatIDs []uint32
+	requesters     []string
 }
 
 // NewState returns a state that knows only itself and the seeds' addresses.
@@ -66,28 +65,28 @@
 		sendBudget = DefaultSendBudget
 	}
 	return &State{
-		self:        self,
-		seeds:       slices.DeleteFunc(slices.Clone(seeds), func(addr string) bool { return addr == self.DatagramAddr }),
-		timing:      timing.withDefaults(),
-		budget:      float64(sendBudget),
-		started:     now,
-		rng:         rng,
-		members:     make(map[cluster.NodeID]*member),
-		byBeat:      make(map[uint32]*member),
-		nudgeCredit: float64(sendBudget) * nudgeShare * nudgeBurst,
-		nudgedAt:    now,
-		// All nodes start at other seeds, lest one seed gets all the first datagrams.
+		self:          self,
+		seeds:         slices.DeleteFunc(slices.Clone(seeds), func(addr string) bool { return addr == self.DatagramAddr }),
+		timing:        timing.withDefaults(),
+		budget:        float64(sendBudget),
+		started:       now,
+		rng:           rng,
+		members:       make(map[cluster.NodeID]*member),
+		byBeatID:      make(map[uint32]*member),
+		extraCredit:   float64(sendBudget) * extraShare * extraBurst,
+		extraCreditAt: now,
+		// Each node starts at a random seed, so that no seed gets all the first datagrams.
 		seedCursor: rng.IntN(max(1, len(seeds))),
 	}
 }
 
-// Receive takes in one authentic datagram.
+// Receive processes one authenticated datagram.
 func (s *State) Receive(d *wirepb.Datagram, now time.Time) {
 	if cluster.NodeID(d.Node) == s.self.Node {
-		s.meetOwnName(&wirepb.Member{Incarnation: d.Incarnation, DatagramAddr: d.DatagramAddr, PeerAddr: d.PeerAddr}, now)
+		s.receiveOwnName(&wirepb.Member{Incarnation: d.Incarnation, DatagramAddr: d.DatagramAddr, PeerAddr: d.PeerAddr}, now)
 		return
 	}
-	m := s.meet(&wirepb.Member{
+	m := s.upsertMember(&wirepb.Member{
 		Node: d.Node, Zone: d.Zone, Incarnation: d.Incarnation,
 		DatagramAddr: d.DatagramAddr, PeerAddr: d.PeerAddr,
 	}, now)
@@ -95,28 +94,28 @@
 		return
 	}
 	m.direct = now
-	s.rise(m, d.Sequence, d.RulesRevision, now)
+	s.recordHeartbeat(m, d.Sequence, d.RulesRevision, now)
 	m.leaving = m.leaving || d.Leaving
 	for _, e := range d.Members {
 		s.receiveEntry(e, now)
 	}
-	s.receiveAsked(d)
+	s.receiveEntryRequests(d)
 	s.receiveBeats(d, now)
 }
 
 func (s *State) receiveEntry(e *wirepb.Member, now time.Time) {
 	if cluster.NodeID(e.Node) == s.self.Node {
-		s.meetOwnName(e, now)
+		s.receiveOwnName(e, now)
 		return
 	}
 	_, known := s.members[cluster.NodeID(e.Node)]
-	m := s.meet(e, now)
+	m := s.upsertMember(e, now)
 	if m == nil {
 		return
 	}
 	m.leaving = m.leaving || e.Leaving
 	if known {
-		s.rise(m, e.Sequence, e.RulesRevision, now)
+		s.recordHeartbeat(m, e.Sequence, e.RulesRevision, now)
 		return
 	}
 	m.sequence = e.Sequence
@@ -126,46 +125,46 @@
 func (s *State) receiveBeats(d *wirepb.Datagram, now time.Time) {
 	n := min(len(d.BeatIds), len(d.BeatSequences), len(d.BeatRevisions))
 	for i := range n {
-		if m := s.byBeat[d.BeatIds[i]]; m != nil {
-			s.rise(m, d.BeatSequences[i], d.RulesRevision+d.BeatRevisions[i], now)
+		if m := s.byBeatID[d.BeatIds[i]]; m != nil {
+			s.recordHeartbeat(m, d.BeatSequences[i], d.RulesRevision+d.BeatRevisions[i], now)
 			continue
 		}
-		s.noteStranger(d.BeatIds[i])
+		s.requestEntry(d.BeatIds[i])
 	}
 }
 
-// maxAsked bounds the entries that one heartbeat asks for, and the nodes that the next
-// one answers.
-const maxAsked = 4
+// maxEntryRequests limits the entries that one heartbeat requests, and the requesters to
+// which the next one is sent.
+const maxEntryRequests = 4
 
-// noteStranger has the next heartbeat ask for an entry.
-func (s *State) noteStranger(id uint32) {
+// requestEntry makes the next heartbeat request the entry with that id.
+func (s *State) requestEntry(id uint32) {
 	own := id == beatID(s.self.Node, s.self.Incarnation)
-	if own || len(s.strangers) == maxAsked || slices.Contains(s.strangers, id) {
+	if own || len(s.unknownBeatIDs) == maxEntryRequests || slices.Contains(s.unknownBeatIDs, id) {
 		return
 	}
-	s.strangers = append(s.strangers, id)
+	s.unknownBeatIDs = append(s.unknownBeatIDs, id)
 }
 
-// receiveAsked has the next heartbeats tell the entries that a peer lacks, and the first
-// of them go to it. Entries are lost like any datagram; left to their rotation, the last
-// one of a zone would reach a node late.
-func (s *State) receiveAsked(d *wirepb.Datagram) {
-	for _, id := range d.AskedIds[:min(len(d.AskedIds), maxAsked)] {
-		m := s.byBeat[id]
+// receiveEntryRequests gives priority to the entries that a peer requests and makes the
+// next heartbeat go to that peer. Datagrams with entries can be lost; with the rotation
+// alone, a node would receive the last entry of its zone late.
+func (s *State) receiveEntryRequests(d *wirepb.Datagram) {
+	for _, id := range d.AskedIds[:min(len(d.AskedIds), maxEntryRequests)] {
+		m := s.byBeatID[id]
 		if m == nil {
 			continue
 		}
-		m.entryTells = 0
-		if len(s.askers) < maxAsked && !slices.Contains(s.askers, d.DatagramAddr) {
-			s.askers = append(s.askers, d.DatagramAddr)
+		m.entrySends = 0
+		if len(s.requesters) < maxEntryRequests && !slices.Contains(s.requesters, d.DatagramAddr) {
+			s.requesters = append(s.requesters, d.DatagramAddr)
 		}
 	}
 }
 
-// meet finds or adds the member that an entry speaks of, and returns nil when the
-// entry is of an older incarnation or there is no room.
-func (s *State) meet(e *wirepb.Member, now time.Time) *member {
+// upsertMember finds, updates or adds the member that an entry describes. It returns nil if
+// the entry is of an older incarnation or the table is full.
+func (s *State) upsertMember(e *wirepb.Member, now time.Time) *member {
 	m := s.members[cluster.NodeID(e.Node)]
 	switch {
 	case m == nil:
@@ -181,32 +180,32 @@
 	case e.Incarnation == m.incarnation:
 		return m
 	}
-	s.dropBeat(m)
+	s.removeBeatID(m)
 	m.zone = cluster.ZoneID(e.Zone)
 	m.incarnation = e.Incarnation
 	m.datagramAddr = e.DatagramAddr
 	m.peerAddr = e.PeerAddr
 	m.sequence = e.Sequence
 	m.leaving = false
-	m.entryTells = 0
+	m.entrySends = 0
 	m.beatID = beatID(m.node, m.incarnation)
-	if s.byBeat[m.beatID] == nil {
-		s.byBeat[m.beatID] = m
+	if s.byBeatID[m.beatID] == nil {
+		s.byBeatID[m.beatID] = m
 	}
 	return m
 }
 
 func compareNode(a, b *member) int { return strings.Compare(string(a.node), string(b.node)) }
 
-func (s *State) dropBeat(m *member) {
-	if s.byBeat[m.beatID] == m {
-		delete(s.byBeat, m.beatID)
+func (s *State) removeBeatID(m *member) {
+	if s.byBeatID[m.beatID] == m {
+		delete(s.byBeatID, m.beatID)
 	}
 }
 
-// rise records a heartbeat that is newer than any seen. A heartbeat that was
-// seen before proves nothing: it may be passed around long after its node died.
-func (s *State) rise(m *member, sequence uint64, revision int64, now time.Time) {
+// recordHeartbeat records a heartbeat if it is newer than all previous ones of the member.
+// An old one may still be forwarded long after its node failed.
+func (s *State) recordHeartbeat(m *member, sequence uint64, revision int64, now time.Time) {
 	if sequence <= m.sequence {
 		return
 	}
@@ -216,48 +215,48 @@
 	s.setStatus(m, Alive, "heard", now)
 }
 
-// ReceiveStale takes note of a datagram of an incarnation that is over. Its sender
-// does not know: it was frozen, or its clock was set back. The next heartbeat
-// goes to it too and carries the entry that tells it.
+// ReceiveStale handles a datagram of an outdated incarnation. Its sender was frozen or its
+// clock was set back, and it does not know of the newer incarnation. The next heartbeat is
+// also sent to it, with the entry of that incarnation.
 func (s *State) ReceiveStale(d *wirepb.Datagram) {
 	m := s.members[cluster.NodeID(d.Node)]
 	if m == nil || d.Incarnation >= m.incarnation {
 		return
 	}
-	m.entryTells = 0
+	m.entrySends = 0
 	s.staleAddr = d.DatagramAddr
 }
 
-// meetOwnName handles word of a higher incarnation of this node's own name.
+// receiveOwnName handles a report of a higher incarnation of this node's own name.
 //
-// From the same address it is this node's own past, started before its clock was
-// set back; peers drop what this one says, so it takes a higher incarnation.
-// From another address it is the process that replaced this one, which was
-// frozen meanwhile; this one falls silent, lest the two overrule each other for ever.
-func (s *State) meetOwnName(e *wirepb.Member, now time.Time) {
+// If the address is the same, it is a previous process of this node, started before its
+// clock was set back. Peers drop the datagrams of the current one, so it takes a higher
+// incarnation. If the address differs, it is a process that replaced this one while it was
+// frozen. This one stops sending; otherwise the two would override each other forever.
+func (s *State) receiveOwnName(e *wirepb.Member, now time.Time) {
 	if e.Incarnation <= s.self.Incarnation {
 		return
 	}
 	if e.DatagramAddr != s.self.DatagramAddr {
-		if !s.namesake.superseded {
-			s.namesake = namesake{superseded: true, seen: now, looked: now}
+		if !s.duplicate.superseded {
+			s.duplicate = duplicate{superseded: true, seenAt: now, checkedAt: now}
 		}
-		s.namesake.incarnation = max(s.namesake.incarnation, e.Incarnation)
-		s.namesake.peerAddr = e.PeerAddr
+		s.duplicate.incarnation = max(s.duplicate.incarnation, e.Incarnation)
+		s.duplicate.peerAddr = e.PeerAddr
 		return
 	}
 	s.self.Incarnation = e.Incarnation + 1
 }
 
-// age moves silent members towards Dead and forgets those silent for long.
-func (s *State) age(now time.Time) {
+// updateStatuses marks silent members as Suspect or Dead and removes those silent for long.
+func (s *State) updateStatuses(now time.Time) {
 	for _, m := range s.order {
-		s.ageOne(m, now)
+		s.updateStatus(m, now)
 	}
-	s.forget(now)
+	s.removeForgotten(now)
 }
 
-func (s *State) ageOne(m *member, now time.Time) {
+func (s *State) updateStatus(m *member, now time.Time) {
 	if m.heard.IsZero() {
 		return
 	}
@@ -280,11 +279,11 @@
 	}
 	from := m.status
 	m.status = status
-	m.entryTells = 0
+	m.entrySends = 0
 	s.changes = append(s.changes, Change{Member: m.view(now), From: from, Reason: reason})
 }
 
-// lastSeen is the newest sign of a member, for forgetting.
+// lastSeen returns when the member was last heard or, if later, added.
 func (m *member) lastSeen() time.Time {
 	if m.heard.After(m.added) {
 		return m.heard
@@ -292,7 +291,7 @@
 	return m.added
 }
 
-func (s *State) forget(now time.Time) {
+func (s *State) removeForgotten(now time.Time) {
 	var stale []*member
 	kept := make(map[cluster.ZoneID]int)
 	for _, m := range s.order {
@@ -314,19 +313,20 @@
 
 func (s *State) remove(m *member) {
 	delete(s.members, m.node)
-	s.dropBeat(m)
+	s.removeBeatID(m)
 	if at, found := slices.BinarySearchFunc(s.order, m, compareNode); found {
 		s.order = slices.Delete(s.order, at, at+1)
 	}
 }
 
-// Leave marks this node as leaving: peers give it no further duties.
+// Leave marks this node as leaving, so that peers no longer count it as responsible for
+// any task.
 func (s *State) Leave() { s.self.Leaving = true }
 
-// Superseded reports whether another process has this node's name.
-func (s *State) Superseded() bool { return s.namesake.superseded }
+// Superseded reports whether a newer process uses this node's name.
+func (s *State) Superseded() bool { return s.duplicate.superseded }
 
-// Self returns what this node says of itself now.
+// Self returns this node's current description of itself.
 func (s *State) Self() Self { return s.self }
 
 // Members returns the other nodes, ordered by name.
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -6,23 +6,24 @@
 type Timing struct {
 	// Interval is the time between two heartbeats of a node.
 	Interval time.Duration
-	// SuspectAfter and DeadAfter age members of the node's own zone.
+	// SuspectAfter and DeadAfter are the silence limits for members of the own zone.
 	SuspectAfter, DeadAfter time.Duration
-	// RemoteSuspectAfter and RemoteDeadAfter age members of other zones, whose
-	// heartbeats arrive through third nodes and at longer intervals.
+	// RemoteSuspectAfter and RemoteDeadAfter are the silence limits for members of other
+	// zones, whose heartbeats arrive through other nodes and at longer intervals.
 	RemoteSuspectAfter, RemoteDeadAfter time.Duration
-	// ForgetAfter drops a dead member, except the last contactsPerZone of its zone.
+	// ForgetAfter is the silence after which a dead member is removed, except for the last
+	// contactsPerZone members of a zone.
 	ForgetAfter time.Duration
 }
 
 // Defaults of Timing.
 const (
-	DefaultInterval        = time.Second
-	DefaultSuspectAfter    = 8 * time.Second
-	DefaultDeadAfter       = 16 * time.Second
+	DefaultInterval           = time.Second
+	DefaultSuspectAfter       = 8 * time.Second
+	DefaultDeadAfter          = 16 * time.Second
 	DefaultRemoteSuspectAfter = 45 * time.Second
 	DefaultRemoteDeadAfter    = 90 * time.Second
-	DefaultForgetAfter     = 10 * time.Minute
+	DefaultForgetAfter        = 10 * time.Minute
 )
 
 func (t Timing) withDefaults() Timing {
@@ -42,43 +43,46 @@
 }
 
 const (
-	// fanout is how many peers of its zone a node sends each heartbeat to. Three
-	// reach 25 nodes in three rounds.
+	// fanout is the number of peers of the zone that each heartbeat is sent to. With three,
+	// a heartbeat reaches 25 nodes in three rounds.
 	fanout = 3
-	// allToAll is the number of peers up to which each heartbeat goes to all.
+	// allToAll is the number of peers up to which each heartbeat is sent to all of them.
 	allToAll = 4
-	// linkHolders is how many nodes of a zone talk to one other zone.
-	linkHolders = 2
-	// seedEvery is the number of heartbeats between two tries of a silent seed
-	// once a peer of the zone is alive; before, seedsAtOnce are tried with each.
-	seedEvery   = 5
-	seedsAtOnce = 3
-	// contactsPerZone members of a zone are never forgotten, so that a zone cut
-	// off for long is found again.
+	// nodesPerLink is the number of nodes of a zone that send heartbeats to one other zone.
+	nodesPerLink = 2
+	// seedRetryTicks is the number of heartbeats between two attempts to reach a silent seed
+	// once a peer of the zone is alive. Before that, each heartbeat is sent to
+	// seedsPerHeartbeat seeds.
+	seedRetryTicks    = 5
+	seedsPerHeartbeat = 3
+	// contactsPerZone is the number of members of a zone that are never removed, so that a
+	// zone is found again after a long partition.
 	contactsPerZone = 3
-	// maxMembers bounds the table: more than twice the nodes of the largest plan.
+	// maxMembers limits the member table to more than twice the nodes of the largest
+	// planned system.
 	maxMembers = 1024
 )
 
-// Budget of bytes, IP and UDP headers included.
+// Bandwidth budget, including IP and UDP headers.
 const (
-	// DefaultSendBudget is what a node sends a second in heartbeats and nudges. As
-	// it receives as much, it stays below 6 KB/s in all.
+	// DefaultSendBudget is the limit for regular and extra heartbeats, in bytes per second.
+	// A node receives about as much as it sends, so its total stays below 6 KB/s.
 	DefaultSendBudget = 2800
-	// nudgeShare of the budget is kept for nudges.
-	nudgeShare = 0.2
-	// nudgeBurst is for how many seconds unused nudge budget is kept.
-	nudgeBurst = 30.0
-	// joinTicks is for how many heartbeats after its start a node may spend
-	// joinFactor times the budget. Until it knows its zone it may take duties that
-	// others hold already, and after an outage all nodes start at once.
+	// extraShare is the share of the budget reserved for extra heartbeats.
+	extraShare = 0.2
+	// extraBurst is the number of seconds for which unused budget for extra heartbeats accumulates.
+	extraBurst = 30.0
+	// joinTicks is the number of heartbeats after its start for which a node may use
+	// joinFactor times the budget. Until it knows its zone it may take tasks that other
+	// nodes already have, and after an outage all nodes start at once.
 	joinTicks  = 8
 	joinFactor = 3
-	// packetOverhead is the IPv4 and UDP headers and the authenticated header.
+	// packetOverhead is the size of the IPv4 and UDP headers and of the authenticated
+	// header.
 	packetOverhead = 28 + 21
-	// minBody is the least room given to a datagram; more targets than the
-	// budget allows at this size are left for later heartbeats.
+	// minBody is the minimum size limit of a datagram body, in bytes. Targets beyond what
+	// the budget allows at this size are left for later heartbeats.
 	minBody = 230
-	// nudgeBody bounds the body of a nudge.
-	nudgeBody = 420
+	// maxExtraBody limits the body of an extra heartbeat, in bytes.
+	maxExtraBody = 420
 )
--- a/internal/membership/udp_test.go
+++ b/internal/membership/udp_test.go
@@ -16,9 +16,9 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire"
 )
 
-// The same over real sockets: nodes find each other, one is killed, and someone
-// without the key sends rubbish and repeats what it recorded all the while. The
-// living must see the death and nothing that is not so.
+// Over real sockets, nodes discover each other and one is killed, while an attacker without
+// the key sends invalid datagrams and replays recorded ones. The remaining nodes must see
+// the failure, and the attacker must have no effect on their views.
 func TestOverUDP(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	const interval = 20 * time.Millisecond
@@ -64,7 +64,7 @@
 	}
 	require.NoError(t, attacker.Close())
 	all[2].kill()
-	eventually("the living see the death", func() bool { return sees(all[:2], all[2:], membership.Dead) })
+	eventually("the others see the failure", func() bool { return sees(all[:2], all[2:], membership.Dead) })
 	require.True(t, sees(all[:2], all[:2], membership.Alive))
 	dropped := all[0].transport.Counters().Dropped
 	require.EqualValues(t, 1, dropped[wire.Truncated])
