--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -73,7 +73,7 @@
 		case <-ticker.C:
 		case <-o.changed:
 		}
-		assigned := o.n.members.Duty("ledger", outageObserversPerZone)
+		assigned := o.n.members.Responsible("ledger", outageObserversPerZone)
 		switch {
 		case assigned && stop == nil:
 			stop = o.startKeeper(ctx)
@@ -185,7 +185,7 @@
 		if s.Replica.Leaving {
 			cause = causePlanned
 		}
-		current[s.Replica.ID] = replicaState{group: s.Replica.Group, down: !s.Whole, cause: cause, evidence: s.Reason}
+		current[s.Replica.ID] = replicaState{group: s.Replica.Group, down: !s.Healthy, cause: cause, evidence: s.Reason}
 		formed[s.Replica.Group]++
 	}
 	set := o.n.rules.Current()
@@ -215,7 +215,7 @@
 	replicaOf := map[cluster.VMID]replicaState{}
 	for _, s := range o.zoneReplicas() {
 		for _, vm := range s.Replica.Members {
-			replicaOf[vm] = replicaState{group: s.Replica.Group, down: !s.Whole}
+			replicaOf[vm] = replicaState{group: s.Replica.Group, down: !s.Healthy}
 		}
 	}
 	for _, vm := range o.n.vms.List().VMs {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -55,17 +55,17 @@
 
 // findDuplicateNode asks the nodes at addrs whether they hear from a process with this
 // node's name.
-func (n *Node) findDuplicateNode(ctx context.Context, addrs []string) membership.Sighting {
-	sighting := membership.Unanswered
+func (n *Node) findDuplicateNode(ctx context.Context, addrs []string) membership.DuplicateStatus {
+	sighting := membership.DuplicateUnknown
 	for _, addr := range addrs {
 		heard, err := n.peers.ReceivesHeartbeatsFrom(ctx, addr, n.cfg.Node)
 		switch {
 		case err != nil:
 			n.log.Warn("duplicate node check failed", "peer", addr, "err", err.Error())
 		case heard:
-			return membership.Heard
+			return membership.DuplicateAlive
 		default:
-			sighting = membership.NotHeard
+			sighting = membership.DuplicateGone
 		}
 	}
 	return sighting
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -11,7 +11,7 @@
 // replica took part in it, so a busy replica needs fewer polls.
 type confirmingRouter struct {
 	*routing.Table
-	health *health.Check
+	health *health.Checker
 }
 
 // End implements gateway.Router.
--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -75,10 +75,10 @@
 	}
 	n.members = membership.New(membership.Options{
 		Node: n.cfg.Node, Zone: n.cfg.Zone, Incarnation: n.incarnation, Seeds: n.cfg.Peers.Seeds, PeerAddr: n.ControlAddr(),
-		Transport: n.transport, Interval: n.cfg.Peers.Heartbeat, FindNamesake: n.findDuplicateNode, Log: n.log,
+		Transport: n.transport, Interval: n.cfg.Peers.Heartbeat, CheckDuplicate: n.findDuplicateNode, Log: n.log,
 	})
 	n.rules = rulestore.New(rulestore.Options{Store: n.store, Peers: peerFetcher{n}, Log: n.log,
-		Watch: func() bool { return n.members.Duty("watch-rules", storeWatchersPerZone) }})
+		Watch: func() bool { return n.members.Responsible("watch-rules", storeWatchersPerZone) }})
 	return nil
 }
 
@@ -99,17 +99,17 @@
 	n.engines = engine.NewClient(n.cfg.Platform.Timeout)
 	n.prober = engine.NewProber(gateway.DefaultProbeTimeout)
 	n.grouping = grouping.NewTable(grouping.TableOptions{Zone: zone, Store: n.store, Log: n.log, Peers: peerFetcher{n},
-		ShouldWatch: func() bool { return n.members.Duty("watch-grouping", storeWatchersPerZone) }})
+		ShouldWatch: func() bool { return n.members.Responsible("watch-grouping", storeWatchersPerZone) }})
 	for _, neighbor := range n.cfg.Control.NeighborZones {
 		n.neighborGroupings = append(n.neighborGroupings, grouping.NewTable(grouping.TableOptions{Zone: neighbor, Store: n.store, Log: n.log,
 			Peers: peerFetcher{n}, ShouldWatch: func() bool { return false }}))
 	}
-	n.health = health.New(health.Options{Engines: n.engines, Log: n.log, Bounds: health.BoundsWithin(n.cfg.Control.ConfirmWithin),
-		Duty: func(id cluster.ReplicaID) bool { return n.members.Duty("poll/"+string(id), 1) }})
+	n.health = health.New(health.Options{Engines: n.engines, Log: n.log, Bounds: health.BoundsFor(n.cfg.Control.ConfirmWithin),
+		Responsible: func(id cluster.ReplicaID) bool { return n.members.Responsible("poll/"+string(id), 1) }})
 	n.controller = grouping.NewController(grouping.Options{
 		Zone: zone, Node: n.cfg.Node, Store: n.store, VMs: n.vms, Rules: n.rules, Engines: n.engines, Policy: placement.Weighted{},
 		Log: n.log, Health: n.health, LeaseTTL: n.cfg.Control.PlacementLease,
-		Candidate:      func() bool { return n.members.Duty("place", placementCandidates) },
+		Candidate:      func() bool { return n.members.Responsible("place", placementCandidates) },
 		LoadsPerSecond: n.cfg.Control.LoadsPerMinute / time.Minute.Seconds(), LoadBurst: loadBurst,
 	})
 	n.outages = newOutageObserver(n)
@@ -122,12 +122,12 @@
 	n.admission = admission.New(admission.Options{Self: admission.Node{ID: n.cfg.Node, Zone: n.cfg.Zone}, LimitOf: n.limitOf, MaxWait: req.Deadline,
 		SharesCapacity: n.sharesReplicasWith})
 	n.claims = claims.New(claims.Options{Store: n.store, Node: n.cfg.Node, Incarnation: n.incarnation, Retention: req.ClaimRetention, Log: n.log})
-	n.suspects = suspect.New(suspect.Options{Node: n.cfg.Node, Log: n.log, TriggerHeartbeat: n.members.Nudge, Peers: n.livePeerCount, Rank: n.members.Rank})
+	n.suspects = suspect.New(suspect.Options{Node: n.cfg.Node, Log: n.log, TriggerHeartbeat: n.members.TriggerHeartbeat, Peers: n.livePeerCount, Rank: n.members.Rank})
 	n.pools = engine.NewPools(engine.PoolOptions{})
 	n.gateway = gateway.New(gateway.Options{
 		Node: n.cfg.Node, Protocol: openai.Front{}, Rules: n.rules, Router: confirmingRouter{n.routing, n.health}, Services: n.vms, Admitter: n.admission, Claimer: gateway.StoreClaimer{Manager: n.claims},
 		Quarantine: n.suspects, Pools: n.pools, Streamer: engine.NewStreamer(n.pools, 0), Prober: n.prober, Log: n.log,
-		OnReplicaFailed: func(r cluster.Replica, _ string) { n.health.Doubt(r.ID) },
+		OnReplicaFailed: func(r cluster.Replica, _ string) { n.health.RequestPoll(r.ID) },
 		NewRequestID:    newRequestID,
 		MaxBody:         req.MaxBody, FirstTokenTimeout: req.Deadline, CallTimeout: req.CallTimeout,
 	})
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -254,7 +254,7 @@
 	if s == nil {
 		return conns.Peer{}, false
 	}
-	return conns.Peer{Server: s.ID, Addr: s.Addr, Born: s.StartedAt.UnixMilli()}, true
+	return conns.Peer{Server: s.ID, Addr: s.Addr, StartedUnixMs: s.StartedAt.UnixMilli()}, true
 }
 
 // configChanged adopts a newer configuration. It ignores an older one, which a read that
@@ -305,7 +305,7 @@
 		list, _ := n.currentList()
 		n.pool.Sweep(func(p conns.Peer) bool {
 			s := list.Find(p.Server)
-			return s != nil && s.Addr == p.Addr && s.StartedAt.UnixMilli() == p.Born
+			return s != nil && s.Addr == p.Addr && s.StartedAt.UnixMilli() == p.StartedUnixMs
 		}, now)
 	})
 }
--- a/internal/entry/region.go
+++ b/internal/entry/region.go
@@ -124,7 +124,7 @@
 	}
 	members := membership.New(membership.Options{
 		Node: r.cfg.Node, Zone: cluster.ZoneID(r.cfg.Region), Seeds: r.seeds(), PeerAddr: r.cfg.Feeds.Listen, Transport: transport, Log: r.log,
-		SendBudget: heartbeatBudget, Gossip: membership.Gossip{Source: r.core.LoadReport, Budget: gossipBudget, Life: loadReportTTL},
+		SendBudget: heartbeatBudget, Gossip: membership.Gossip{Source: r.core.LoadReport, Budget: gossipBudget, TTL: loadReportTTL},
 	})
 	members.AddSource(r.core.LoadReport)
 	members.OnDatagram(func(from membership.Member, d *wirepb.Datagram) {
