--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -18,7 +18,7 @@
 	cmdPolls   = goBench + "'HealthPoll|GroupingFetch|Order|ReplicaStatus' -benchtime 300x ./internal/capacity"
 	cmdMemory  = goBench + "'Memory|VMList$' -benchtime 10x ./internal/capacity"
 	cmdLists   = goBench + "'VMListFetch|VMListSum' -benchtime 10x ./internal/capacity"
-	cmdMembers = goBench + "'Tick|Receive|Duty' -benchtime 2000x ./internal/membership"
+	cmdMembers = goBench + "'Tick|Receive|Responsible' -benchtime 2000x ./internal/membership"
 	cmdHeart   = goBench + "Heartbeat -benchtime 400x ./internal/capacity"
 	cmdControl = "go run ./cmd/controlbench cost --nodes 4,8,16,25,50 --seconds 10"
 	cmdPlan    = goBench + "Plan -benchtime 20x ./internal/placement"
