--- a/internal/rulestore/state.go
+++ b/internal/rulestore/state.go
@@ -11,11 +11,11 @@
 
 // Timing sets how a node keeps up with the newest rules.
 type Timing struct {
-	// Gather is how long a starting node listens to its peers, from the first it
+	// PeerGatherTime is how long a starting node listens to its peers, from the first it
 	// hears, before it takes the highest revision among them, when the store
 	// doesn't answer. It covers a few datagrams: one from a seed, which names the
 	// other nodes, and one each way to those.
-	Gather time.Duration
+	PeerGatherTime time.Duration
 	// StartSpread spreads the reads of the whole file by nodes that start at once,
 	// and a quarter of it their checks. A node that a peer serves first doesn't read.
 	StartSpread time.Duration
@@ -37,7 +37,7 @@
 // DefaultTiming keeps a change within 16 s on every node that is heard.
 func DefaultTiming() Timing {
 	return Timing{
-		Gather:      4 * time.Second,
+		PeerGatherTime:      4 * time.Second,
 		StartSpread: 2 * time.Second,
 		FetchJitter: time.Second,
 		CheckEvery:  10 * time.Second,
@@ -195,7 +195,7 @@
 func (s *state) showPeer(ev peerShown, now time.Time) {
 	s.lastHeard = now
 	if s.gatherUntil.IsZero() {
-		s.gatherUntil = now.Add(s.timing.Gather)
+		s.gatherUntil = now.Add(s.timing.PeerGatherTime)
 	}
 	if ev.revision <= s.inForce {
 		delete(s.peers, ev.node)
