--- a/internal/rulestore/state.go
+++ b/internal/rulestore/state.go
@@ -16,9 +16,9 @@
 	// doesn't answer. It covers a few datagrams: one from a seed, which names the
 	// other nodes, and one each way to those.
 	PeerGatherTime time.Duration
-	// StartSpread spreads the reads of the whole file by nodes that start at once,
+	// StartJitter spreads the reads of the whole file by nodes that start at once,
 	// and a quarter of it their checks. A node that a peer serves first doesn't read.
-	StartSpread time.Duration
+	StartJitter time.Duration
 	// FetchJitter spreads the fetches of many nodes that hear of a change at once.
 	FetchJitter time.Duration
 	// CheckEvery is how often a watching node asks the store for the newest
@@ -38,7 +38,7 @@
 func DefaultTiming() Timing {
 	return Timing{
 		PeerGatherTime:      4 * time.Second,
-		StartSpread: 2 * time.Second,
+		StartJitter: 2 * time.Second,
 		FetchJitter: time.Second,
 		CheckEvery:  10 * time.Second,
 		Silence:     15 * time.Second,
@@ -132,8 +132,8 @@
 
 func newState(timing Timing, rnd *rand.Rand, now time.Time) *state {
 	s := &state{timing: timing, rand: rnd, peers: make(map[cluster.NodeID]peer), lastHeard: now}
-	s.nextCheck = now.Add(s.jitter(timing.StartSpread / 4))
-	s.nextRead = now.Add(s.jitter(timing.StartSpread))
+	s.nextCheck = now.Add(s.jitter(timing.StartJitter / 4))
+	s.nextRead = now.Add(s.jitter(timing.StartJitter))
 	return s
 }
 
