--- a/internal/rulestore/holder_test.go
+++ b/internal/rulestore/holder_test.go
@@ -108,7 +108,7 @@
 				f := newFleet(t, s)
 				defer f.stopAll()
 				timing := DefaultTiming()
-				timing.CheckEvery = time.Hour // what is tested must not be hidden by the check
+				timing.CheckInterval = time.Hour // what is tested must not be hidden by the check
 				reader := f.start("reader", true, timing)
 				writer := f.start("writer", false, timing)
 				names := []string{"a", "b", "c"}
--- a/internal/rulestore/state.go
+++ b/internal/rulestore/state.go
@@ -21,10 +21,10 @@
 	StartJitter time.Duration
 	// FetchJitter spreads the fetches of many nodes that hear of a change at once.
 	FetchJitter time.Duration
-	// CheckEvery is how often a watching node asks the store for the newest
+	// CheckInterval is how often a watching node asks the store for the newest
 	// revision, because an open watch can be silently dead. It bounds the delay
 	// of a change when every watch of the system is dead.
-	CheckEvery time.Duration
+	CheckInterval time.Duration
 	// Silence is how long a node that doesn't watch may hear nothing from peers
 	// before it asks the store; SilentEvery spreads and spaces these questions.
 	Silence, SilentEvery time.Duration
@@ -40,7 +40,7 @@
 		PeerGatherTime:      4 * time.Second,
 		StartJitter: 2 * time.Second,
 		FetchJitter: time.Second,
-		CheckEvery:  10 * time.Second,
+		CheckInterval:  10 * time.Second,
 		Silence:     15 * time.Second,
 		SilentEvery: 30 * time.Second,
 		RetryMin:    time.Second,
@@ -230,7 +230,7 @@
 	s.watchMissedOne = s.duty && s.inForce > 0 && ev.revision > s.inForce
 	every := s.timing.SilentEvery
 	if s.duty {
-		every = s.timing.CheckEvery
+		every = s.timing.CheckInterval
 	}
 	s.nextCheck = now.Add(every*4/5 + s.jitter(every*2/5))
 }
