--- a/internal/rulestore/state.go
+++ b/internal/rulestore/state.go
@@ -26,8 +26,8 @@
 	// of a change when every watch of the system is dead.
 	CheckInterval time.Duration
 	// Silence is how long a node that doesn't watch may hear nothing from peers
-	// before it asks the store; SilentEvery spreads and spaces these questions.
-	Silence, SilentEvery time.Duration
+	// before it asks the store; SilentCheckInterval spreads and spaces these questions.
+	Silence, SilentCheckInterval time.Duration
 	// RetryMin and RetryMax bound the growing pause between failed calls.
 	RetryMin, RetryMax time.Duration
 	// PeerTTL is how long a peer's word about its revision is believed.
@@ -42,7 +42,7 @@
 		FetchJitter: time.Second,
 		CheckInterval:  10 * time.Second,
 		Silence:     15 * time.Second,
-		SilentEvery: 30 * time.Second,
+		SilentCheckInterval: 30 * time.Second,
 		RetryMin:    time.Second,
 		RetryMax:    30 * time.Second,
 		PeerTTL:     30 * time.Second,
@@ -187,7 +187,7 @@
 	silent := now.Sub(s.lastHeard) >= s.timing.Silence
 	if silent && !s.silent && !duty {
 		// Whole zones fall silent at once, so the first question is spread too.
-		s.nextCheck = latest(s.nextCheck, now.Add(s.jitter(s.timing.SilentEvery)))
+		s.nextCheck = latest(s.nextCheck, now.Add(s.jitter(s.timing.SilentCheckInterval)))
 	}
 	s.silent = silent
 }
@@ -228,7 +228,7 @@
 	s.storeAnswered = true
 	s.storeRevision = max(s.storeRevision, ev.revision)
 	s.watchMissedOne = s.duty && s.inForce > 0 && ev.revision > s.inForce
-	every := s.timing.SilentEvery
+	every := s.timing.SilentCheckInterval
 	if s.duty {
 		every = s.timing.CheckInterval
 	}
