--- a/internal/rulestore/state.go
+++ b/internal/rulestore/state.go
@@ -25,9 +25,9 @@
 	// revision, because an open watch can be silently dead. It bounds the delay
 	// of a change when every watch of the system is dead.
 	CheckInterval time.Duration
-	// Silence is how long a node that doesn't watch may hear nothing from peers
+	// SilenceTimeout is how long a node that doesn't watch may hear nothing from peers
 	// before it asks the store; SilentCheckInterval spreads and spaces these questions.
-	Silence, SilentCheckInterval time.Duration
+	SilenceTimeout, SilentCheckInterval time.Duration
 	// RetryMin and RetryMax bound the growing pause between failed calls.
 	RetryMin, RetryMax time.Duration
 	// PeerTTL is how long a peer's word about its revision is believed.
@@ -41,7 +41,7 @@
 		StartJitter: 2 * time.Second,
 		FetchJitter: time.Second,
 		CheckInterval:  10 * time.Second,
-		Silence:     15 * time.Second,
+		SilenceTimeout:     15 * time.Second,
 		SilentCheckInterval: 30 * time.Second,
 		RetryMin:    time.Second,
 		RetryMax:    30 * time.Second,
@@ -184,7 +184,7 @@
 	maps.DeleteFunc(s.peers, func(_ cluster.NodeID, p peer) bool {
 		return now.Sub(p.shownAt) > s.timing.PeerTTL
 	})
-	silent := now.Sub(s.lastHeard) >= s.timing.Silence
+	silent := now.Sub(s.lastHeard) >= s.timing.SilenceTimeout
 	if silent && !s.silent && !duty {
 		// Whole zones fall silent at once, so the first question is spread too.
 		s.nextCheck = latest(s.nextCheck, now.Add(s.jitter(s.timing.SilentCheckInterval)))
