--- a/internal/rulestore/apply.go
+++ b/internal/rulestore/apply.go
@@ -257,7 +257,7 @@
 // trimOps deletes the oldest records beyond HistoryKept.
 func trimOps(kvs []store.KV) []store.Op {
 	slices.SortFunc(kvs, func(a, b store.KV) int { return cmp.Compare(a.ModRevision, b.ModRevision) })
-	excess := min(len(kvs)-HistoryKept, maxTrim)
+	excess := min(len(kvs)-MaxHistory, maxTrim)
 	var ops []store.Op
 	for i := range max(excess, 0) {
 		ops = append(ops, store.Delete(kvs[i].Key))
--- a/internal/rulestore/apply_test.go
+++ b/internal/rulestore/apply_test.go
@@ -224,12 +224,12 @@
 	s := memstore.New(memstore.Options{})
 	h := New(Options{Store: s, Peers: newFleet(t, s), Rand: rand.New(rand.NewPCG(1, 2))})
 	revision := int64(0)
-	for i := range HistoryKept + 200 {
+	for i := range MaxHistory + 200 {
 		revision = mustApply(t, h, revision, text(fmt.Sprint("a", i)))
 	}
 	keys, _ := s.Size()
-	require.Less(t, keys, HistoryKept+150)
-	require.Greater(t, keys, HistoryKept)
+	require.Less(t, keys, MaxHistory+150)
+	require.Greater(t, keys, MaxHistory)
 }
 
 // TestBytesPerChange prints what a change costs a node at the size to design for.
--- a/internal/rulestore/record.go
+++ b/internal/rulestore/record.go
@@ -20,8 +20,8 @@
 	// maxEditBytes bounds the edits that a history record keeps. A change above
 	// it is fetched as a whole file, and ends how far back history can be shown.
 	maxEditBytes = 64 << 10
-	// HistoryKept is how many changes the store keeps.
-	HistoryKept = 256
+	// MaxHistory is how many changes the store keeps.
+	MaxHistory = 256
 )
 
 // fileRecord is the value of store.RulesKey.
