--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -78,7 +78,7 @@
 		Transport: n.transport, Interval: n.set.Peers.Heartbeat, FindNamesake: n.findNamesake, Log: n.log,
 	})
 	n.rules = rulestore.New(rulestore.Options{Store: n.store, Peers: peerFetcher{n}, Log: n.log,
-		Watch: func() bool { return n.members.Duty("watch-rules", watchersPerZone) }})
+		IsWatcher: func() bool { return n.members.Duty("watch-rules", watchersPerZone) }})
 	return nil
 }
 
--- a/internal/rulestore/harness_test.go
+++ b/internal/rulestore/harness_test.go
@@ -77,7 +77,7 @@
 		Store:  f.store,
 		Peers:  f,
 		Rand:   rand.New(rand.NewPCG(f.seed, 1)),
-		Watch:  func() bool { return watch },
+		IsWatcher:  func() bool { return watch },
 		Timing: timing,
 	})
 	n.OnChange(func(set *rules.Set) {
--- a/internal/rulestore/holder.go
+++ b/internal/rulestore/holder.go
@@ -28,8 +28,8 @@
 	Now func() time.Time
 	// Rand is the source of jitter; nil is seeded at random.
 	Rand *rand.Rand
-	// Watch says whether this node is to watch the store now; nil is always.
-	Watch func() bool
+	// IsWatcher says whether this node is to watch the store now; nil is always.
+	IsWatcher func() bool
 	// Timing is DefaultTiming when zero.
 	Timing Timing
 	// CallTimeout bounds one call to the store or a peer; zero is 5 s.
@@ -73,8 +73,8 @@
 	if opts.Rand == nil {
 		opts.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	if opts.Watch == nil {
-		opts.Watch = func() bool { return true }
+	if opts.IsWatcher == nil {
+		opts.IsWatcher = func() bool { return true }
 	}
 	if opts.Timing == (Timing{}) {
 		opts.Timing = DefaultTiming()
@@ -121,7 +121,7 @@
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		duty := h.opts.Watch()
+		duty := h.opts.IsWatcher()
 		h.keepWatch(ctx, &work, duty)
 		h.post(ticked{duty})
 		select {
