--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -101,7 +101,7 @@
 	for _, k := range s.Kinds {
 		set.Routes = append(set.Routes, rules.Route{Path: "/" + k.Name + "/", Model: "*", Team: "*", Prefer: rules.PreferLocal, Terms: &rules.Terms{
 			Name: k.Name, Host: "played", Kind: rules.CallStream, Resumable: true, Timeout: k.Deadline, Target: k.Target, TargetGap: k.Pause,
-			MaxAttempts: 2, Priority: k.Priority, Public: true, Split: []rules.Weighted{{Service: engines, Weight: 1}}}})
+			MaxAttempts: 2, Priority: k.Priority, Public: true, Split: []rules.WeightedService{{Service: engines, Weight: 1}}}})
 	}
 	out := rules.Assemble(set)
 	for i := range out.Routes {
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -189,7 +189,7 @@
 	if terms.Timeout == 0 {
 		terms.Timeout = 5 * time.Second
 	}
-	terms.Split = []rules.Weighted{{Service: "s", Weight: 1}}
+	terms.Split = []rules.WeightedService{{Service: "s", Weight: 1}}
 	got := &recorder{}
 	model := ""
 	if terms.Kind == rules.CallStream {
--- a/internal/rules/terms.go
+++ b/internal/rules/terms.go
@@ -29,7 +29,7 @@
 	Host string
 	Kind CallKind
 	// Split says which services the calls go to, and in which proportion.
-	Split []Weighted
+	Split []WeightedService
 	// Timeout is how long a caller may be kept waiting for the end of its answer.
 	Timeout time.Duration
 	// Target is the time within which an answer (a stream's first piece) is on time.
@@ -46,8 +46,8 @@
 	Resumable bool
 }
 
-// Weighted is one target of a route's split.
-type Weighted struct {
+// WeightedService is one target of a route's split.
+type WeightedService struct {
 	Service cluster.Service
 	Weight  int
 }
