--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -182,7 +182,7 @@
 	return f
 }
 
-func (f *fixture) serve(ctx context.Context, terms rules.Terms) *recorder {
+func (f *fixture) serve(ctx context.Context, terms rules.RoutePolicy) *recorder {
 	if terms.MaxAttempts == 0 {
 		terms.MaxAttempts = 2
 	}
@@ -200,10 +200,10 @@
 }
 
 var (
-	safeTerms         = rules.Terms{Kind: rules.CallSafe}
-	unsafeTerms       = rules.Terms{Kind: rules.CallUnsafe}
-	resumableTerms    = rules.Terms{Kind: rules.CallStream, Resumable: true, TargetGap: 100 * time.Millisecond, Target: 100 * time.Millisecond}
-	nonResumableTerms = rules.Terms{Kind: rules.CallStream}
+	safeTerms         = rules.RoutePolicy{Kind: rules.CallSafe}
+	unsafeTerms       = rules.RoutePolicy{Kind: rules.CallUnsafe}
+	resumableTerms    = rules.RoutePolicy{Kind: rules.CallStream, Resumable: true, TargetGap: 100 * time.Millisecond, Target: 100 * time.Millisecond}
+	nonResumableTerms = rules.RoutePolicy{Kind: rules.CallStream}
 )
 
 func requireNotRun(t *testing.T, e *fennelerr.Error) {
--- a/internal/rules/terms.go
+++ b/internal/rules/terms.go
@@ -21,8 +21,8 @@
 	CallStream CallKind = "stream"
 )
 
-// Terms are the conditions under which a route's calls are served.
-type Terms struct {
+// RoutePolicy are the conditions under which a route's calls are served.
+type RoutePolicy struct {
 	// Name identifies the route in logs.
 	Name string
 	// Host is the host that callers name; Path of the route is a prefix below it.
@@ -53,7 +53,7 @@
 }
 
 // Pick returns the service for a call; draw is evenly spread over all numbers.
-func (t *Terms) Pick(draw uint64) cluster.Service {
+func (t *RoutePolicy) Pick(draw uint64) cluster.Service {
 	total := 0
 	for _, w := range t.Split {
 		total += w.Weight
@@ -71,7 +71,7 @@
 }
 
 // Idempotent reports whether a call on the route may run more than once.
-func (t *Terms) Idempotent() bool {
+func (t *RoutePolicy) Idempotent() bool {
 	return t.Kind == CallSafe || t.Kind == CallStream && t.Resumable
 }
 
--- a/internal/rules/types.go
+++ b/internal/rules/types.go
@@ -132,7 +132,7 @@
 	Once    Once
 	// Terms are what an operator's platform configuration adds to a route; nil on
 	// routes of a rules file.
-	Terms *Terms
+	Terms *RoutePolicy
 }
 
 // Limit bounds one team.
