--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -50,7 +50,7 @@
 // route's timeout, whichever is first.
 func (c *Call) End() time.Time {
 	end := c.Deadline
-	if limit := c.Route.Terms.Timeout; limit > 0 {
+	if limit := c.Route.Policy.Timeout; limit > 0 {
 		if at := c.ReceivedAt.Add(limit); end.IsZero() || at.Before(end) {
 			end = at
 		}
@@ -101,7 +101,7 @@
 // Returning reports whether the caller has sent this before, and was turned away or cut
 // off: it has less time left than callers of the route start with.
 func (c *Call) Returning() bool {
-	limit := c.Route.Terms.Timeout
+	limit := c.Route.Policy.Timeout
 	if limit <= 0 || c.Deadline.IsZero() {
 		return false
 	}
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -88,11 +88,11 @@
 	if !found || route == nil {
 		return &wirepb.ExplainResponse{Reason: fmt.Sprintf("no route serves host %q and path %q; give both, as in a.example/advice/1", host, "/"+path)}, nil
 	}
-	resp := &wirepb.ExplainResponse{Rule: route.Verbatim, Reason: "the longest prefix of the path among the host's routes: " + route.Terms.Name}
-	for _, w := range route.Terms.Split {
+	resp := &wirepb.ExplainResponse{Rule: route.Verbatim, Reason: "the longest prefix of the path among the host's routes: " + route.Policy.Name}
+	for _, w := range route.Policy.Split {
 		resp.Target = strings.TrimPrefix(fmt.Sprintf("%s, service %s (weight %d)", resp.Target, w.Service, w.Weight), ", ")
 	}
-	choice, ok := o.n.table.Peek(routing.Request{Group: relay.GroupOf(route.Terms.Split[0].Service, req.Model), Prefer: route.Prefer})
+	choice, ok := o.n.table.Peek(routing.Request{Group: relay.GroupOf(route.Policy.Split[0].Service, req.Model), Prefer: route.Prefer})
 	if !ok {
 		resp.Reason += "; no replica may take the call"
 		return resp, nil
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -99,13 +99,13 @@
 			Servers: engines, Demand: m.Share, Slots: s.Engine.Slots, ColdLoad: m.Cold, WarmLoad: m.Warm, Engine: s.figures(m)})
 	}
 	for _, k := range s.Kinds {
-		set.Routes = append(set.Routes, rules.Route{Path: "/" + k.Name + "/", Model: "*", Team: "*", Prefer: rules.PreferLocal, Terms: &rules.RoutePolicy{
+		set.Routes = append(set.Routes, rules.Route{Path: "/" + k.Name + "/", Model: "*", Team: "*", Prefer: rules.PreferLocal, Policy: &rules.RoutePolicy{
 			Name: k.Name, Host: "played", Kind: rules.CallStream, Resumable: true, Timeout: k.Deadline, Target: k.Target, TargetGap: k.Pause,
 			MaxAttempts: 2, Priority: k.Priority, Public: true, Split: []rules.WeightedService{{Service: engines, Weight: 1}}}})
 	}
 	out := rules.Assemble(set)
 	for i := range out.Routes {
-		sys.callers.routes[out.Routes[i].Terms.Name] = &out.Routes[i]
+		sys.callers.routes[out.Routes[i].Policy.Name] = &out.Routes[i]
 	}
 	return out
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -35,8 +35,8 @@
 }
 
 func newAttempt(ctx context.Context, s *session, choice routing.Choice, peer conns.Peer) *attempt {
-	a := &attempt{s: s, choice: choice, peer: peer, started: time.Now(), idempotent: s.call.Route.Terms.Idempotent()}
-	a.canRetry = a.idempotent && s.sent+1 < s.call.Route.Terms.MaxAttempts
+	a := &attempt{s: s, choice: choice, peer: peer, started: time.Now(), idempotent: s.call.Route.Policy.Idempotent()}
+	a.canRetry = a.idempotent && s.sent+1 < s.call.Route.Policy.MaxAttempts
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	return a
 }
@@ -85,7 +85,7 @@
 }
 
 func (a *attempt) maxIdle() time.Duration {
-	if a.s.call.Route.Terms.Idempotent() {
+	if a.s.call.Route.Policy.Idempotent() {
 		return maxIdleIdempotent
 	}
 	return maxIdleNonIdempotent
@@ -108,7 +108,7 @@
 		return a.result(false, 0, 0), a.withCancelCause(err)
 	}
 	first := time.Since(a.started)
-	if reply.Head.Status >= http.StatusInternalServerError && a.s.call.Route.Terms.Kind == rules.CallSafe {
+	if reply.Head.Status >= http.StatusInternalServerError && a.s.call.Route.Policy.Kind == rules.CallSafe {
 		a.s.failedAnswer = &storedAnswer{reply.Head, body}
 		return a.result(false, first, 0), serverFailure(reply)
 	}
@@ -222,5 +222,5 @@
 }
 
 func (a *attempt) pieceTimeout() time.Duration {
-	return max(pieceTimeoutFactor*a.s.call.Route.Terms.TargetGap, minPieceTimeout)
+	return max(pieceTimeoutFactor*a.s.call.Route.Policy.TargetGap, minPieceTimeout)
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -195,7 +195,7 @@
 	if terms.Kind == rules.CallStream {
 		model = "m"
 	}
-	f.relay.Serve(ctx, &call.Call{ID: "id-1", Model: model, Route: &rules.Route{Terms: &terms}, ReceivedAt: time.Now()}, got)
+	f.relay.Serve(ctx, &call.Call{ID: "id-1", Model: model, Route: &rules.Route{Policy: &terms}, ReceivedAt: time.Now()}, got)
 	return got
 }
 
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -60,7 +60,7 @@
 // disconnects.
 func (r *Relay) Serve(ctx context.Context, c *call.Call, sink call.Sink) {
 	s := &session{r: r, call: c, sink: sink, end: c.End(), lastID: c.ResumeAfter}
-	s.service = c.Route.Terms.Pick(xxhash.Sum64String(c.ID))
+	s.service = c.Route.Policy.Pick(xxhash.Sum64String(c.ID))
 	s.group = GroupOf(s.service, c.Model)
 	r.opts.Budget.RecordCall(s.service, c.ReceivedAt)
 	if !s.end.IsZero() {
@@ -173,10 +173,10 @@
 	s.exclude = append(s.exclude, s.choice.Replica.ID)
 	s.remaining = time.Until(s.end)
 	f := recovery.Failure{
-		MayHaveRun: s.mayHaveRun, Repeatable: s.call.Route.Terms.Idempotent(),
+		MayHaveRun: s.mayHaveRun, Repeatable: s.call.Route.Policy.Idempotent(),
 		// Any replica can continue a stream after the id of its last piece.
 		ResponseStarted: s.started, CanContinue: true,
-		Attempts: s.sent, MaxAttempts: s.call.Route.Terms.MaxAttempts, OutOfTime: s.remaining < minAttemptTime,
+		Attempts: s.sent, MaxAttempts: s.call.Route.Policy.MaxAttempts, OutOfTime: s.remaining < minAttemptTime,
 		TakeRetry: func() bool { return !delivered || s.r.opts.Budget.TryRetry(s.service, time.Now()) },
 	}
 	if isNotRun {
@@ -226,7 +226,7 @@
 
 // failNoReplica ends a call for which no replica is left.
 func (s *session) failNoReplica(err error) {
-	s.r.opts.Log.Info("no replica", "request", s.call.ID, "route", s.call.Route.Terms.Name, "group", s.group, "excluded", len(s.exclude),
+	s.r.opts.Log.Info("no replica", "request", s.call.ID, "route", s.call.Route.Policy.Name, "group", s.group, "excluded", len(s.exclude),
 		"held", time.Since(s.call.ReceivedAt), "err", err.Error())
 	s.finish(err, func() *fennelerr.Error {
 		if _, full := errors.Into[*routing.FullError](err); full {
@@ -261,7 +261,7 @@
 	if err != nil {
 		outcome = err.Error()
 	}
-	terms, choice := s.call.Route.Terms, a.choice
+	terms, choice := s.call.Route.Policy, a.choice
 	fields := []any{"request", s.call.ID, "route", terms.Name, "rules", s.call.RulesRevision, "team", s.call.Team,
 		"group", s.group, "attempt", s.attempts, "replica", choice.Replica.ID, "server", choice.Replica.Serving, "addr", choice.Addr,
 		"reason", choice.Reason, "considered", choice.Considered, "waited", a.started.Sub(s.call.ReceivedAt),
@@ -276,4 +276,4 @@
 }
 
 // streams reports whether the answer is a stream of pieces.
-func (s *session) streams() bool { return s.call.Route.Terms.Kind == rules.CallStream }
+func (s *session) streams() bool { return s.call.Route.Policy.Kind == rules.CallStream }
--- a/internal/rules/format.go
+++ b/internal/rules/format.go
@@ -31,7 +31,7 @@
 
 // line is the route as one rule.
 func (r *Route) line() string {
-	t := r.Terms
+	t := r.Policy
 	if t == nil {
 		return fmt.Sprintf("route path=%s model=%s team=%s", r.Path, r.Model, r.Team)
 	}
--- a/internal/rules/terms.go
+++ b/internal/rules/terms.go
@@ -101,11 +101,11 @@
 	set.index.hosts = make(map[string][]*Route)
 	for i := range set.Routes {
 		r := &set.Routes[i]
-		if r.Terms == nil {
+		if r.Policy == nil {
 			continue
 		}
 		r.Verbatim = r.line()
-		set.index.hosts[r.Terms.Host] = append(set.index.hosts[r.Terms.Host], r)
+		set.index.hosts[r.Policy.Host] = append(set.index.hosts[r.Policy.Host], r)
 	}
 	for _, routes := range set.index.hosts {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Path), len(a.Path)) })
--- a/internal/rules/types.go
+++ b/internal/rules/types.go
@@ -130,9 +130,9 @@
 	Service cluster.Service
 	Prefer  Prefer
 	Once    Once
-	// Terms are what an operator's platform configuration adds to a route; nil on
+	// Policy are what an operator's platform configuration adds to a route; nil on
 	// routes of a rules file.
-	Terms *RoutePolicy
+	Policy *RoutePolicy
 }
 
 // Limit bounds one team.
