--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -33,7 +33,7 @@
 	if revision != 0 && revision != set.Revision {
 		return rulestore.File{}, fennelerr.New(fennelerr.NotFound, "this node knows version %d only", set.Revision)
 	}
-	return rulestore.File{Revision: set.Revision, Text: set.Lines(askedBy(set)), FromMemory: !fresh}, nil
+	return rulestore.File{Revision: set.Revision, Text: set.Format(askedBy(set)), FromMemory: !fresh}, nil
 }
 
 func askedBy(set *rules.Set) string {
--- a/internal/rules/format.go
+++ b/internal/rules/format.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Lines writes a set that was built from typed parts in the form of a rules file:
+// Format writes a set that was built from typed parts in the form of a rules file:
 // one rule a line, each with who asked for it. Keys that only a platform's
 // configuration can set (host, kind, timeout and the like) stand beside the others.
-func (s *Set) Lines(askedBy string) string {
+func (s *Set) Format(askedBy string) string {
 	var b strings.Builder
 	line := func(format string, args ...any) {
 		fmt.Fprintf(&b, format, args...)
