--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// largeFile has 10,000 lines: 3,000 teams with a limit each, 200 groups and
-// 3,800 routes by team, model and path.
+// largeFile returns a file of 10,000 lines: 3,000 teams with a limit each, 200 groups
+// and 3,800 routes by team, model and path.
 func largeFile() string {
 	var b strings.Builder
 	for i := range 3000 {
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkSetMemory10000Lines reports the heap that one Set keeps, text included.
+// BenchmarkSetMemory10000Lines reports the heap size of one Set, including its text.
 func BenchmarkSetMemory10000Lines(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
--- a/internal/rules/diff.go
+++ b/internal/rules/diff.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Edit replaces Removed lines from line At (counted from 0) by Added. In a list
-// of edits, each counts lines in the text that the edits before it have made.
+// Edit replaces Removed lines from line At (counted from 0) by Added. In a list of
+// edits, the lines of each are counted in the text that the previous edits produce.
 type Edit struct {
 	At      int      `json:"at"`
 	Removed int      `json:"removed,omitempty"`
 	Added   []string `json:"added,omitempty"`
 }
 
-// EditError is an edit that does not fit the text it is applied to.
+// EditError reports an edit whose range is outside the text it is applied to.
 type EditError struct {
 	Edit  Edit
 	Lines int // lines of the text at that point
@@ -26,11 +26,12 @@
 	return fmt.Sprintf("edit at line %d removing %d lines does not fit a text of %d lines", e.Edit.At, e.Edit.Removed, e.Lines)
 }
 
-// Checksum identifies a whole text.
+// Checksum returns the SHA-256 of a text.
 func Checksum(text string) [sha256.Size]byte { return sha256.Sum256([]byte(text)) }
 
-// Diff returns edits that turn old into changed, fewest lines first as far as the
-// texts differ in few places.
+// Diff returns edits that turn old into changed. They add and remove the fewest lines
+// possible if that is at most maxDistance lines in all; otherwise one edit replaces
+// everything between the common prefix and the common suffix.
 func Diff(old, changed string) []Edit {
 	if old == changed {
 		return nil
@@ -40,7 +41,7 @@
 	a, b = a[prefix:], b[prefix:]
 	suffix := commonSuffix(a, b)
 	a, b = a[:len(a)-suffix], b[:len(b)-suffix]
-	return diffMiddle(a, b, prefix)
+	return myersDiff(a, b, prefix)
 }
 
 func commonPrefix(a, b []string) int {
@@ -59,21 +60,21 @@
 	return n
 }
 
-// maxDistance bounds the search for the shortest edit; texts further apart are
-// replaced as one block, since the search costs the square of the distance.
+// maxDistance bounds the search for the shortest edit script; texts further apart are
+// replaced as one block, since the search takes time quadratic in the distance.
 const maxDistance = 512
 
-// diffMiddle is the greedy algorithm of Myers: frontier[k] is the furthest line
-// of a reached on diagonal k with d single-line edits, and the frontiers of all
-// d are kept to walk the shortest path back.
-func diffMiddle(a, b []string, offset int) []Edit {
+// myersDiff is Myers' greedy diff algorithm: frontier[k] is the furthest line of a
+// reached on diagonal k with d single-line edits. The frontiers of all d are kept
+// to backtrack along the shortest path.
+func myersDiff(a, b []string, offset int) []Edit {
 	var history [][]int
 	frontier := make([]int, 2*maxDistance+3)
 	center := maxDistance + 1
 	for d := 0; d <= maxDistance; d++ {
 		history = append(history, slices.Clone(frontier[center-d:center+d+1]))
 		for k := -d; k <= d; k += 2 {
-			x := startOf(k, d, func(k int) int { return frontier[center+k] })
+			x := diagonalStart(k, d, func(k int) int { return frontier[center+k] })
 			y := x - k
 			for x < len(a) && y < len(b) && a[x] == b[y] {
 				x++
@@ -81,16 +82,16 @@
 			}
 			frontier[center+k] = x
 			if x >= len(a) && y >= len(b) {
-				return editsAlong(history, a, b, offset)
+				return backtrack(history, a, b, offset)
 			}
 		}
 	}
 	return []Edit{{At: offset, Removed: len(a), Added: slices.Clone(b)}}
 }
 
-// startOf is where d edits begin on diagonal k: one line down from diagonal k+1
-// (a line added) or one to the right from k-1 (a line removed).
-func startOf(k, d int, frontier func(int) int) int {
+// diagonalStart returns where a path of d edits enters diagonal k: one line down from
+// diagonal k+1 (a line added) or one to the right from k-1 (a line removed).
+func diagonalStart(k, d int, frontier func(int) int) int {
 	if d == 0 {
 		return 0
 	}
@@ -100,20 +101,20 @@
 	return frontier(k-1) + 1
 }
 
-// step is one single-line edit of the path.
+// step is a single-line edit on the path.
 type step struct {
 	x, y  int // lines of a and b before the step
 	added bool
 }
 
-// editsAlong walks the path back from the end and joins neighbouring steps.
-func editsAlong(history [][]int, a, b []string, offset int) []Edit {
+// backtrack walks the path from the end and merges adjacent steps into edits.
+func backtrack(history [][]int, a, b []string, offset int) []Edit {
 	steps := make([]step, 0, len(history))
 	x, y := len(a), len(b)
 	for d := len(history) - 1; d > 0; d-- {
 		frontier := func(k int) int { return history[d][k+d] }
 		k := x - y
-		start := startOf(k, d, frontier)
+		start := diagonalStart(k, d, frontier)
 		startY := start - k
 		s := step{x: start - 1, y: startY}
 		if k == -d || (k != d && frontier(k-1) < frontier(k+1)) {
@@ -123,10 +124,10 @@
 		x, y = s.x, s.y
 	}
 	slices.Reverse(steps)
-	return joinSteps(steps, b, offset)
+	return mergeSteps(steps, b, offset)
 }
 
-func joinSteps(steps []step, b []string, offset int) []Edit {
+func mergeSteps(steps []step, b []string, offset int) []Edit {
 	var edits []Edit
 	endX, endY := -1, -1
 	for _, s := range steps {
@@ -146,12 +147,12 @@
 	return edits
 }
 
-// ApplyEdits returns the text after the edits, or *EditError. Runs of edits that
-// go down the text are applied in one pass.
+// ApplyEdits returns the text after the edits, or fails with *EditError. A run of
+// edits in ascending order of lines is applied in one pass.
 func ApplyEdits(text string, edits []Edit) (string, error) {
 	lines := strings.Split(text, "\n")
 	for len(edits) > 0 {
-		next, rest, err := applyDownward(lines, edits)
+		next, rest, err := applyAscending(lines, edits)
 		if err != nil {
 			return "", err
 		}
@@ -160,8 +161,9 @@
 	return strings.Join(lines, "\n"), nil
 }
 
-// applyDownward applies edits until one lies above the place reached.
-func applyDownward(lines []string, edits []Edit) (result []string, rest []Edit, err error) {
+// applyAscending applies edits up to the first that is before the end of the previous
+// one, and returns the remaining edits.
+func applyAscending(lines []string, edits []Edit) (result []string, rest []Edit, err error) {
 	result = make([]string, 0, len(lines))
 	for i, e := range edits {
 		if i > 0 && e.At < len(result) {
--- a/internal/rules/diff_test.go
+++ b/internal/rules/diff_test.go
@@ -33,9 +33,9 @@
 	return b.String()
 }
 
-// TestEditsOfManyChangesJoin applies the edits of a whole history as one list,
-// as a peer sends them.
-func TestEditsOfManyChangesJoin(t *testing.T) {
+// TestConcatenatedEditsApply applies the edits of several changes as one list, as a
+// peer sends them.
+func TestConcatenatedEditsApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", ""}), 0, 12)
 		first := strings.Join(text.Draw(t, "first"), "\n")
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestDiffOfDistantTextsReplacesTheBlock(t *testing.T) {
+func TestDiffOfDistantTextsIsOneEdit(t *testing.T) {
 	old, changed := numberedLines(3000), strings.ReplaceAll(numberedLines(3000), "line", "row")
 	edits := Diff(old, changed)
 	require.Len(t, edits, 1)
@@ -61,7 +61,7 @@
 	require.Equal(t, changed, got)
 }
 
-func TestApplyEditsRefusesEditsThatDoNotFit(t *testing.T) {
+func TestApplyEditsRejectsOutOfRange(t *testing.T) {
 	for _, e := range []Edit{{At: 3}, {At: -1}, {At: 1, Removed: 2}, {At: 0, Removed: -1}} {
 		_, err := ApplyEdits("a\nb", []Edit{e})
 		var edit *EditError
--- a/internal/rules/errors.go
+++ b/internal/rules/errors.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Problem classifies what is wrong with a line.
+// Problem classifies an error in a line.
 type Problem string
 
-// Problems of a rules file.
+// Problems that Parse reports.
 const (
 	ProblemText        Problem = "bad-text"
 	ProblemKind        Problem = "unknown-kind"
@@ -21,14 +21,14 @@
 	ProblemUnreachable Problem = "unreachable"
 )
 
-// LineError is one fault in a rules file.
+// LineError is one error in a rules file.
 type LineError struct {
 	// Line and Column count from 1; Column counts characters, not bytes.
 	Line, Column int
 	Problem      Problem
-	// Found is what the file holds there; empty when something is missing.
+	// Found is the text at that place; empty if something is missing.
 	Found string
-	// Want says what would be right.
+	// Want describes what is expected there.
 	Want string
 }
 
@@ -41,10 +41,10 @@
 	return fmt.Sprintf("line %d, column %d: %s: found %s, want %s", e.Line, e.Column, e.Problem, found, e.Want)
 }
 
-// Errors are all faults of a rules file, in file order.
+// Errors holds all errors of a rules file, in file order.
 type Errors []*LineError
 
-// Error implements error; each fault is on a line of its own.
+// Error implements error, with one line for each error.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, le := range e {
@@ -53,7 +53,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap lets errors.As find single faults.
+// Unwrap lets errors.As find the single errors.
 func (e Errors) Unwrap() []error {
 	errs := make([]error, len(e))
 	for i, le := range e {
@@ -62,7 +62,7 @@
 	return errs
 }
 
-// SizeError refuses a file that is too large to be kept as one value in the store.
+// SizeError rejects a file that is too large to be stored as one value.
 type SizeError struct {
 	Bytes, Max int
 }
--- a/internal/rules/examples_test.go
+++ b/internal/rules/examples_test.go
@@ -11,7 +11,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-func TestExamplesAreAcceptedAndRouteAsTheirTeamsExpect(t *testing.T) {
+func TestExampleFilesParseAndRoute(t *testing.T) {
 	for name, c := range map[string]struct {
 		replicas, counter cluster.GroupName
 		paid              cluster.Service
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestPageExamples keeps the operators' page true: what it shows as a rules file
-// must be accepted, and what it shows as the answer to a bad line must be one.
-func TestPageExamples(t *testing.T) {
+// TestDocsExamples checks the operators' page: the rules files in it must parse, and the
+// error messages in it must be those of the invalid files beside them.
+func TestDocsExamples(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "rules.md"))
 	require.NoError(t, err)
 	blocks := strings.Split(string(page), "```")
--- a/internal/rules/fields.go
+++ b/internal/rules/fields.go
@@ -9,31 +9,32 @@
 	"unicode/utf8"
 )
 
-// maxNameLen bounds names, models and versions, in bytes.
+// maxNameLen bounds the length in bytes of names, models and versions.
 const maxNameLen = 128
 
-// field is one key=value of a line; offset is the byte offset of its key.
+// field is one key=value pair of a line; offset is the byte offset of its key.
 type field struct {
 	key, value string
 	offset     int
 	used       bool
 }
 
-// fields gives typed access to the key=value pairs of one line and collects
-// the faults found on the way.
+// fields gives typed access to the key=value pairs of one line and collects the
+// errors in them.
 type fields struct {
 	origin Origin
-	line   string // as in the file, for columns
+	line   string // as in the file, to compute columns
 	kind   string
-	end    int // byte offset behind the last word before the comment
+	end    int // byte offset after the last word before the comment
 	list   []field
-	// badKey is set when a key is misspelt: it is most likely the one that is missing.
+	// badKey is set if a word of the line is not a known key=value pair. Missing keys
+	// are then not reported, since the word is most likely the missing key, misspelt.
 	badKey bool
 	errs   *Errors
 }
 
-// fail records a fault at a byte offset of the line.
-func (f *fields) fail(offset int, problem Problem, found, want string) {
+// addError records an error at a byte offset of the line.
+func (f *fields) addError(offset int, problem Problem, found, want string) {
 	*f.errs = append(*f.errs, &LineError{
 		Line: f.origin.Line, Column: column(f.line, offset), Problem: problem, Found: found, Want: want,
 	})
@@ -41,8 +42,8 @@
 
 func column(line string, offset int) int { return utf8.RuneCountInString(line[:offset]) + 1 }
 
-// take returns the field with the key, or nil; a missing required key is a fault.
-func (f *fields) take(key string, required bool, want string) *field {
+// lookup returns the field with the key, or nil. A missing required key is an error.
+func (f *fields) lookup(key string, required bool, want string) *field {
 	for i := range f.list {
 		if f.list[i].key == key {
 			f.list[i].used = true
@@ -50,18 +51,19 @@
 		}
 	}
 	if required && !f.badKey {
-		f.fail(f.end, ProblemMissing, "", fmt.Sprintf("%s=%s on a %s rule", key, want, f.kind))
+		f.addError(f.end, ProblemMissing, "", fmt.Sprintf("%s=%s on a %s rule", key, want, f.kind))
 	}
 	return nil
 }
 
 func (f *fields) badValue(fd *field, want string) {
-	f.fail(fd.offset+len(fd.key)+1, ProblemValue, fd.value, want)
+	f.addError(fd.offset+len(fd.key)+1, ProblemValue, fd.value, want)
 }
 
-// checked returns the value if ok accepts it, else the fallback and a fault.
-func (f *fields) checked(key string, required bool, fallback, want string, ok func(string) bool) (string, *field) {
-	fd := f.take(key, required, want)
+// validated returns the value if ok accepts it. Otherwise it records an error, unless
+// an optional key is absent, and returns the fallback.
+func (f *fields) validated(key string, required bool, fallback, want string, ok func(string) bool) (string, *field) {
+	fd := f.lookup(key, required, want)
 	if fd == nil {
 		return fallback, nil
 	}
@@ -81,16 +83,16 @@
 )
 
 func (f *fields) name(key string) (string, *field) {
-	return f.checked(key, true, "", wantName, isName)
+	return f.validated(key, true, "", wantName, isName)
 }
 
-// nameOrStar returns "*" when the key is absent.
+// nameOrStar returns the value, which may be "*", or "*" if the key is absent.
 func (f *fields) nameOrStar(key, want string, ok func(string) bool) (string, *field) {
-	return f.checked(key, false, "*", want, func(v string) bool { return v == "*" || ok(v) })
+	return f.validated(key, false, "*", want, func(v string) bool { return v == "*" || ok(v) })
 }
 
 func (f *fields) choice(key, fallback string, choices ...string) string {
-	fd := f.take(key, false, "")
+	fd := f.lookup(key, false, "")
 	if fd == nil {
 		return fallback
 	}
@@ -102,7 +104,7 @@
 }
 
 func (f *fields) integer(key string, required bool, fallback, low, high int) int {
-	fd := f.take(key, required, "a whole number")
+	fd := f.lookup(key, required, "a whole number")
 	if fd == nil {
 		return fallback
 	}
@@ -115,7 +117,7 @@
 }
 
 func (f *fields) names(key string) []string {
-	fd := f.take(key, false, "")
+	fd := f.lookup(key, false, "")
 	if fd == nil {
 		return nil
 	}
@@ -130,7 +132,7 @@
 }
 
 func (f *fields) tokenHash(key string) (string, *field) {
-	value, fd := f.checked(key, true, "", wantToken, isTokenHash)
+	value, fd := f.validated(key, true, "", wantToken, isTokenHash)
 	return strings.TrimPrefix(value, tokenPrefix), fd
 }
 
--- a/internal/rules/format.go
+++ b/internal/rules/format.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-// Format writes a set that was built from typed parts in the form of a rules file:
-// one rule a line, each with who asked for it. Keys that only a platform's
-// configuration can set (host, kind, timeout and the like) stand beside the others.
+// Format returns a set built by Assemble in the form of a rules file: one rule a line,
+// each with a comment naming askedBy. The lines also hold keys that Parse does not
+// know, for what only a platform configuration can set (host, kind, timeout and the
+// like).
 func (s *Set) Format(askedBy string) string {
 	var b strings.Builder
 	line := func(format string, args ...any) {
@@ -21,16 +22,16 @@
 		line("service name=%s", service.Name)
 	}
 	for _, g := range s.Groups {
-		line("group name=%s model=%s vms=%d domain=%s servers=%s demand=%g weigh=%s", g.Name, g.Model, g.VMs, domainWord(g.SameDomain), g.Servers, g.Demand, g.Weigh)
+		line("group name=%s model=%s vms=%d domain=%s servers=%s demand=%g weigh=%s", g.Name, g.Model, g.VMs, domainValue(g.SameDomain), g.Servers, g.Demand, g.Weigh)
 	}
 	for _, r := range s.Routes {
-		line("%s", r.line())
+		line("%s", r.format())
 	}
 	return b.String()
 }
 
-// line is the route as one rule.
-func (r *Route) line() string {
+// format returns the route as a line of a rules file, without the comment.
+func (r *Route) format() string {
 	t := r.Policy
 	if t == nil {
 		return fmt.Sprintf("route path=%s model=%s team=%s", r.Path, r.Model, r.Team)
@@ -57,7 +58,7 @@
 	return fmt.Sprintf(" %s=%d", key, value)
 }
 
-func domainWord(same bool) string {
+func domainValue(same bool) string {
 	if same {
 		return "same"
 	}
--- a/internal/rules/kinds.go
+++ b/internal/rules/kinds.go
@@ -6,7 +6,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// ruleKind is one kind of rule: the keys it knows and how its line is read.
+// ruleKind is a kind of rule: its keys and the method that parses its line.
 type ruleKind struct {
 	keys  []string
 	parse func(p *parser, f *fields)
@@ -54,8 +54,8 @@
 func (p *parser) group(f *fields) {
 	name, fd := f.name("name")
 	p.declare(f, fd, "server", "a name that no other group or service has")
-	model, _ := f.checked("model", true, "", wantModel, isModel)
-	version, _ := f.checked("version", false, "", wantModel, isModel)
+	model, _ := f.validated("model", true, "", wantModel, isModel)
+	version, _ := f.validated("version", false, "", wantModel, isModel)
 	p.set.Groups = append(p.set.Groups, Group{
 		Origin:     f.origin,
 		Name:       cluster.GroupName(name),
@@ -72,7 +72,7 @@
 
 func (p *parser) route(f *fields) {
 	before := len(p.errs)
-	path, pathField := f.checked("path", true, "", wantPath, isPathPattern)
+	path, pathField := f.validated("path", true, "", wantPath, isPathPattern)
 	model, _ := f.nameOrStar("model", wantModel+orStar, isModel)
 	team, teamField := f.nameOrStar("team", wantName+orStar, isName)
 	to, toField := f.name("to")
@@ -86,9 +86,9 @@
 	}
 	i := len(p.set.Routes)
 	if team != "*" {
-		p.referTeam(f, teamField, team)
+		p.addTeamRef(f, teamField, team)
 	}
-	p.referServer(f, toField, to, func(isGroup bool) {
+	p.addServerRef(f, toField, to, func(isGroup bool) {
 		if isGroup {
 			p.set.Routes[i].Group = cluster.GroupName(to)
 		} else {
@@ -97,10 +97,10 @@
 	})
 	p.set.Routes = append(p.set.Routes, r)
 	if pathField == nil || f.badKey || len(p.errs) > before {
-		return // what a bad line would cover is not known
+		return // the requests that a line with errors matches are unknown
 	}
 	if by := p.routes.covering(&r); by != noRoute {
-		f.fail(pathField.offset, ProblemUnreachable, f.origin.Verbatim, fmt.Sprintf(
+		f.addError(pathField.offset, ProblemUnreachable, f.origin.Verbatim, fmt.Sprintf(
 			"this route before line %d, whose route covers it, or no such route", p.set.Routes[by].Line))
 		return
 	}
@@ -110,7 +110,7 @@
 func (p *parser) limit(f *fields) {
 	team, fd := f.name("team")
 	p.declare(f, fd, "limit", "one limit rule for each team")
-	p.referTeam(f, fd, team)
+	p.addTeamRef(f, fd, team)
 	p.set.Limits = append(p.set.Limits, Limit{
 		Origin:   f.origin,
 		Team:     cluster.TeamID(team),
@@ -122,8 +122,8 @@
 func (p *parser) fence(f *fields) {
 	servers, fd := f.name("servers")
 	p.declare(f, fd, "fence", "one fence rule for each group or service")
-	p.referServer(f, fd, servers, func(bool) {})
-	if f.take("checks", true, "yes or no") == nil {
+	p.addServerRef(f, fd, servers, func(bool) {})
+	if f.lookup("checks", true, "yes or no") == nil {
 		return
 	}
 	checks := f.choice("checks", "no", "yes", "no")
--- a/internal/rules/match.go
+++ b/internal/rules/match.go
@@ -13,7 +13,7 @@
 	groupByName map[cluster.GroupName]*Group
 	fenceChecks map[string]bool
 	routes      routeIndex
-	// hosts has the routes with Terms by host, the longest path first.
+	// hosts has the routes with a Policy by host, the longest path first.
 	hosts map[string][]*Route
 }
 
@@ -58,9 +58,9 @@
 // GroupByName returns the group's rule, or nil.
 func (s *Set) GroupByName(name cluster.GroupName) *Group { return s.index.groupByName[name] }
 
-// ChecksFence reports whether the servers of the group or service refuse orders
-// that carry an old fencing number. Without a fence rule they are taken to ignore
-// it, which is the assumption that cannot do harm.
+// ChecksFence reports whether the servers of the group or service reject orders with
+// a stale fencing token. Without a fence rule they are assumed to ignore the token,
+// which is the safe assumption.
 func (s *Set) ChecksFence(servers string) bool { return s.index.fenceChecks[servers] }
 
 // Request is what a route is matched against.
@@ -70,9 +70,9 @@
 	Team  cluster.TeamID
 }
 
-// Match returns the first route in file order that covers the request, or nil.
+// Match returns the first route in file order that matches the request, or nil.
 func (s *Set) Match(r Request) *Route {
-	if len(s.Routes) <= smallFile {
+	if len(s.Routes) <= maxLinearRoutes {
 		return s.matchInOrder(r)
 	}
 	if i := s.index.routes.first(r.Path, r.Model, string(r.Team)); i != noRoute {
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// matchInOrder tries every route, and is what Match is compared with in tests.
+// matchInOrder is a linear search, used for small files and as the reference of the
+// index in tests.
 func (s *Set) matchInOrder(r Request) *Route {
 	for i := range s.Routes {
 		if s.Routes[i].Matches(r) {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// Matches reports whether the route covers the request.
+// Matches reports whether the route matches the request.
 func (r *Route) Matches(req Request) bool {
 	return matchPattern(r.Path, req.Path) && matchName(r.Model, req.Model) && matchName(string(r.Team), string(req.Team))
 }
--- a/internal/rules/names.go
+++ b/internal/rules/names.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// declaration is a name that may be given once; space keeps team names, tokens,
-// server names, limits and fences apart.
-type declaration struct{ space, name string }
+// declaration is a name that is unique in its namespace; team names, tokens, server
+// names, limits and fences each have one.
+type declaration struct{ namespace, name string }
 
-// reference is a name on one line that another line must declare.
+// reference is a use of a name that another line must declare.
 type reference struct {
 	fields *fields
 	offset int
@@ -17,45 +17,45 @@
 	bind   func(isGroup bool)
 }
 
-// declare notes a name that may be given once in its space.
-func (p *parser) declare(f *fields, fd *field, space, want string) {
+// declare records a name, or an error if its namespace already has it.
+func (p *parser) declare(f *fields, fd *field, namespace, want string) {
 	if fd == nil {
 		return
 	}
-	d := declaration{space, fd.value}
+	d := declaration{namespace, fd.value}
 	if first, ok := p.declared[d]; ok {
-		f.fail(fd.offset+len(fd.key)+1, ProblemDuplicate, fd.value, fmt.Sprintf("%s; line %d has this one", want, first))
+		f.addError(fd.offset+len(fd.key)+1, ProblemDuplicate, fd.value, fmt.Sprintf("%s; line %d has this one", want, first))
 		return
 	}
 	p.declared[d] = f.origin.Line
-	if space == "server" {
+	if namespace == "server" {
 		p.declared[declaration{f.kind, fd.value}] = f.origin.Line
 	}
 }
 
-func (p *parser) referTeam(f *fields, fd *field, name string) {
+func (p *parser) addTeamRef(f *fields, fd *field, name string) {
 	if fd != nil {
 		p.teamRefs = append(p.teamRefs, reference{fields: f, offset: fd.offset + len(fd.key) + 1, name: name})
 	}
 }
 
-func (p *parser) referServer(f *fields, fd *field, name string, bind func(isGroup bool)) {
+func (p *parser) addServerRef(f *fields, fd *field, name string, bind func(isGroup bool)) {
 	if fd != nil {
 		p.serverRefs = append(p.serverRefs, reference{fields: f, offset: fd.offset + len(fd.key) + 1, name: name, bind: bind})
 	}
 }
 
-// resolve checks the references once all lines are read, since a rule may name
-// what a later line declares.
+// resolve checks the references after all lines are parsed, since a rule may refer
+// to a later declaration.
 func (p *parser) resolve() {
 	for _, ref := range p.teamRefs {
 		if _, ok := p.declared[declaration{"team", ref.name}]; !ok {
-			ref.fields.fail(ref.offset, ProblemReference, ref.name, "the name of a team rule"+p.near(ref.name, "team"))
+			ref.fields.addError(ref.offset, ProblemReference, ref.name, "the name of a team rule"+p.suggestion(ref.name, "team"))
 		}
 	}
 	for _, ref := range p.serverRefs {
 		if _, ok := p.declared[declaration{"server", ref.name}]; !ok {
-			ref.fields.fail(ref.offset, ProblemReference, ref.name, "the name of a group or service rule"+p.near(ref.name, "server"))
+			ref.fields.addError(ref.offset, ProblemReference, ref.name, "the name of a group or service rule"+p.suggestion(ref.name, "server"))
 			continue
 		}
 		_, isGroup := p.declared[declaration{"group", ref.name}]
@@ -63,23 +63,24 @@
 	}
 }
 
-// maxSuggestions bounds the search for close names: a file whose declarations
-// were all lost has thousands of faults, each compared with thousands of names.
-const maxSuggestions = 20
+// maxErrorsWithSuggestions is the number of errors up to which close names are searched:
+// a file without its declarations has thousands of errors, each of which would be
+// compared with thousands of names.
+const maxErrorsWithSuggestions = 20
 
-// near suggests the declared name closest to the one found.
-func (p *parser) near(name, space string) string {
-	if len(p.errs) > maxSuggestions {
+// suggestion returns a hint at the declared name closest to the one found, if one is close.
+func (p *parser) suggestion(name, namespace string) string {
+	if len(p.errs) > maxErrorsWithSuggestions {
 		return ""
 	}
 	var names []string
 	for d := range p.declared {
-		if d.space == space {
+		if d.namespace == namespace {
 			names = append(names, d.name)
 		}
 	}
 	slices.Sort(names)
-	if n := nearest(name, names); n != "" {
+	if n := closest(name, names); n != "" {
 		return fmt.Sprintf(" (did you mean %q?)", n)
 	}
 	return ""
--- a/internal/rules/parse.go
+++ b/internal/rules/parse.go
@@ -9,11 +9,11 @@
 	"unicode/utf8"
 )
 
-// MaxTextBytes bounds a rules file. The store holds values up to a megabyte and
-// the file is kept there in one record with its author and write id.
+// MaxTextBytes bounds a rules file. The store's values are limited to a megabyte,
+// and the file is stored in one record with its author and write id.
 const MaxTextBytes = 900_000
 
-// Bounds of numbers in rules.
+// Limits of numbers in rules.
 const (
 	MaxVMs      = 64
 	MaxSpares   = 1000
@@ -27,7 +27,7 @@
 
 const wantComment = "a comment at the end: # asked for by: NAME"
 
-// parser reads a file line by line; references between lines are checked at the end.
+// parser parses a file line by line; resolve checks references between lines at the end.
 type parser struct {
 	set        Set
 	errs       Errors
@@ -37,8 +37,8 @@
 	routes     routeIndex
 }
 
-// Parse reads a whole rules file. It fails with *SizeError or with Errors, which
-// holds every fault of the file; then no part of the file is accepted.
+// Parse parses a rules file. It fails with *SizeError or with Errors, which holds
+// every error in the file.
 func Parse(text string) (*Set, error) {
 	if len(text) > MaxTextBytes {
 		return nil, &SizeError{Bytes: len(text), Max: MaxTextBytes}
@@ -47,7 +47,7 @@
 	number := 0
 	for line := range strings.SplitSeq(text, "\n") {
 		number++
-		p.line(number, line)
+		p.parseLine(number, line)
 	}
 	p.resolve()
 	if len(p.errs) > 0 {
@@ -60,11 +60,11 @@
 	return &p.set, nil
 }
 
-func (p *parser) line(number int, line string) {
+func (p *parser) parseLine(number int, line string) {
 	trimmed := strings.TrimSpace(line)
 	f := &fields{origin: Origin{Line: number, Verbatim: trimmed}, line: line, errs: &p.errs}
 	if offset := badCharacter(line); offset >= 0 {
-		f.fail(offset, ProblemText, line[offset:offset+1], "printable UTF-8 text")
+		f.addError(offset, ProblemText, line[offset:offset+1], "printable UTF-8 text")
 		return
 	}
 	if trimmed == "" || trimmed[0] == '#' {
@@ -76,21 +76,21 @@
 	f.kind = words[0].text
 	kind, known := kindOf(f.kind)
 	if !known {
-		f.fail(words[0].offset, ProblemKind, f.kind, oneOf(f.kind, kindNames))
+		f.addError(words[0].offset, ProblemKind, f.kind, oneOf(f.kind, kindNames))
 		return
 	}
 	f.origin.AskedBy = askedBy(comment)
 	if !hasComment {
-		f.fail(f.end, ProblemComment, "", wantComment)
+		f.addError(f.end, ProblemComment, "", wantComment)
 	} else if f.origin.AskedBy == "" {
-		f.fail(len(body), ProblemComment, "#"+comment, wantComment)
+		f.addError(len(body), ProblemComment, "#"+comment, wantComment)
 	}
-	f.split(words[1:], kind.keys)
+	f.parseFields(words[1:], kind.keys)
 	kind.parse(p, f)
 }
 
-// badCharacter returns the byte offset of the first character that doesn't
-// belong into a text file, or -1.
+// badCharacter returns the byte offset of the first invalid UTF-8 sequence or control
+// character, or -1. Tabs and a carriage return at the end of the line are allowed.
 func badCharacter(line string) int {
 	for i, r := range line {
 		if r == utf8.RuneError && !strings.HasPrefix(line[i:], "\uFFFD") {
@@ -130,21 +130,21 @@
 	return words
 }
 
-// split fills the list of fields and reports words that aren't key=value, keys
-// the kind doesn't know and keys given twice.
-func (f *fields) split(words []word, keys []string) {
+// parseFields fills the list of fields and reports words that aren't key=value pairs,
+// keys unknown to the kind and duplicate keys.
+func (f *fields) parseFields(words []word, keys []string) {
 	f.list = make([]field, 0, len(words))
 	for _, w := range words {
 		key, value, ok := strings.Cut(w.text, "=")
 		switch {
 		case !ok:
 			f.badKey = true
-			f.fail(w.offset, ProblemKey, w.text, "key=value with a key that is "+oneOf(key, keys))
+			f.addError(w.offset, ProblemKey, w.text, "key=value with a key that is "+oneOf(key, keys))
 		case !slices.Contains(keys, key):
 			f.badKey = true
-			f.fail(w.offset, ProblemKey, key, oneOf(key, keys))
+			f.addError(w.offset, ProblemKey, key, oneOf(key, keys))
 		case slices.ContainsFunc(f.list, func(fd field) bool { return fd.key == key }):
-			f.fail(w.offset, ProblemDuplicate, w.text, fmt.Sprintf("%s= only once on a line", key))
+			f.addError(w.offset, ProblemDuplicate, w.text, fmt.Sprintf("%s= only once on a line", key))
 		default:
 			f.list = append(f.list, field{key: key, value: value, offset: w.offset})
 		}
--- a/internal/rules/parse_test.go
+++ b/internal/rules/parse_test.go
@@ -23,7 +23,7 @@
 	tokenB = "sha256:" + strings.Repeat("b", 64)
 )
 
-func TestParseReadsEveryKindAndDefault(t *testing.T) {
+func TestParseKindsAndDefaults(t *testing.T) {
 	set, err := Parse("# the whole file\n\n" + file(
 		"route path=/v1/* model=fit team=school-a to=fit prefer=any",
 		"route path=/deposits/* to=caixa once=required",
@@ -50,7 +50,7 @@
 	require.False(t, set.ChecksFence("balcao"))
 }
 
-func TestParseNamesLineColumnFoundAndWant(t *testing.T) {
+func TestParseErrorDetails(t *testing.T) {
 	const service = "service name=caixa" + by + "\n"
 	for name, c := range map[string]struct {
 		text         string
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestParseReportsAllBadLinesInOrder(t *testing.T) {
+func TestParseReportsAllErrorsInOrder(t *testing.T) {
 	_, err := Parse(file("route path=/x to=nowhere", "rout", "group name=g model=m vms=0 spares=-1"))
 	var errs Errors
 	require.ErrorAs(t, err, &errs)
@@ -121,7 +121,7 @@
 	require.True(t, errors.As(err, &first))
 }
 
-func TestParseRefusesAFileTheStoreCannotHold(t *testing.T) {
+func TestParseRejectsOversizedFile(t *testing.T) {
 	_, err := Parse(strings.Repeat("#", MaxTextBytes+1))
 	var size *SizeError
 	require.ErrorAs(t, err, &size)
@@ -130,8 +130,8 @@
 	require.NoError(t, err)
 }
 
-// TestMatchFollowsFileOrder compares the index with trying every route, and the
-// check for unreachable routes with comparing every pair.
+// TestMatchFollowsFileOrder compares the index with a linear search, and the check for
+// unreachable routes with a comparison of every pair.
 func TestMatchFollowsFileOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		paths := rapid.SampledFrom([]string{"/*", "/a", "/a*", "/a/*", "/a/b", "/a/b/*", "/c", "/c/*"})
@@ -170,7 +170,7 @@
 	})
 }
 
-// covers reports whether every request that b takes is taken by a.
+// covers reports whether a matches every request that b matches.
 func covers(a, b *Route) bool {
 	prefix, isPrefix := strings.CutSuffix(a.Path, "*")
 	path := a.Path == b.Path || isPrefix && strings.HasPrefix(strings.TrimSuffix(b.Path, "*"), prefix)
--- a/internal/rules/routeindex.go
+++ b/internal/rules/routeindex.go
@@ -5,23 +5,24 @@
 	"strings"
 )
 
-// noRoute is the position answered when no route matches.
+// noRoute is the position returned if no route matches.
 const noRoute = -1
 
-// smallFile is the number of routes up to which trying them in order is faster
-// than the index.
-const smallFile = 8
+// maxLinearRoutes is the number of routes up to which a linear search is faster than
+// the index.
+const maxLinearRoutes = 8
 
-// routeIndex finds the first route in file order that covers a request, without
-// trying every route: it looks up the exact path and, for each length that some
-// prefix pattern has, the request path cut at that length.
+// routeIndex finds the first route in file order that matches a request without a
+// linear search: it looks up the exact path and, for each length of a prefix
+// pattern, the request path truncated to that length.
 type routeIndex struct {
 	exact    map[string]patternRoutes
 	prefixes map[string]patternRoutes
-	lengths  []int // lengths of the prefixes, ascending
+	lengths  []int // distinct lengths of the prefixes, ascending
 }
 
-// patternRoutes holds the positions of the routes that share one path pattern.
+// patternRoutes holds the position of the first route for each model and team
+// among the routes with the same path pattern.
 type patternRoutes map[modelTeam]int
 
 type modelTeam struct{ model, team string }
@@ -30,7 +31,7 @@
 	return routeIndex{exact: make(map[string]patternRoutes), prefixes: make(map[string]patternRoutes)}
 }
 
-// add notes the route at position i; positions are added in rising order.
+// add adds the route at position i; positions must be added in ascending order.
 func (x *routeIndex) add(i int, r *Route) {
 	table, path := x.exact, r.Path
 	if prefix, ok := strings.CutSuffix(r.Path, "*"); ok {
@@ -50,13 +51,13 @@
 	}
 }
 
-// first returns the position of the first route that covers the request.
+// first returns the position of the first route that matches the request, or noRoute.
 func (x *routeIndex) first(path, model, team string) int {
 	return x.firstPrefix(path, model, team, x.exact[path].first(model, team, noRoute))
 }
 
-// covering returns the position of the first added route that takes every
-// request the given route would take.
+// covering returns the position of the first added route that matches every request
+// that r matches, or noRoute.
 func (x *routeIndex) covering(r *Route) int {
 	if prefix, ok := strings.CutSuffix(r.Path, "*"); ok {
 		return x.firstPrefix(prefix, r.Model, string(r.Team), noRoute)
@@ -74,7 +75,8 @@
 	return best
 }
 
-// first returns the lowest position that covers model and team, if lower than best.
+// first returns the lowest position that matches model and team, or best if that is
+// lower.
 func (p patternRoutes) first(model, team string, best int) int {
 	if p == nil {
 		return best
--- a/internal/rules/suggest.go
+++ b/internal/rules/suggest.go
@@ -5,17 +5,18 @@
 	"strings"
 )
 
-// oneOf lists the choices and, when one is close to what was found, names it.
+// oneOf lists the choices and suggests one that is close to found.
 func oneOf(found string, choices []string) string {
 	list := "one of " + strings.Join(choices, ", ")
-	if near := nearest(found, choices); near != "" {
+	if near := closest(found, choices); near != "" {
 		return fmt.Sprintf("%s (did you mean %q?)", list, near)
 	}
 	return list
 }
 
-// nearest returns the choice with the fewest edits to found, or "" when none is close.
-func nearest(found string, choices []string) string {
+// closest returns the choice with the smallest edit distance to found, or "" if none is
+// within 2 edits.
+func closest(found string, choices []string) string {
 	best, bestDistance := "", 3
 	for _, c := range choices {
 		if abs(len(c)-len(found)) >= bestDistance {
--- a/internal/rules/terms.go
+++ b/internal/rules/terms.go
@@ -11,7 +11,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// CallKind says what a route's calls allow after a failure.
+// CallKind says whether a route's calls may be repeated after a failure.
 type CallKind string
 
 // Kinds of calls. A stream that is not resumable is treated as unsafe.
@@ -21,28 +21,29 @@
 	CallStream CallKind = "stream"
 )
 
-// RoutePolicy are the conditions under which a route's calls are served.
+// RoutePolicy holds the timeouts, retry limits and targets of a route's calls, which only a
+// platform configuration sets.
 type RoutePolicy struct {
 	// Name identifies the route in logs.
 	Name string
-	// Host is the host that callers name; Path of the route is a prefix below it.
+	// Host is the request's host; the route's Path is a path prefix on it.
 	Host string
 	Kind CallKind
-	// Split says which services the calls go to, and in which proportion.
+	// Split distributes the calls over services in proportion to their weights.
 	Split []WeightedService
-	// Timeout is how long a caller may be kept waiting for the end of its answer.
+	// Timeout bounds the time until the end of the response.
 	Timeout time.Duration
-	// Target is the time within which an answer (a stream's first piece) is on time.
+	// Target is the latency target of a response (of a stream's first chunk).
 	Target time.Duration
-	// TargetGap is the longest pause between pieces of a stream that is on time.
+	// TargetGap is the target for the longest pause between chunks of a stream.
 	TargetGap time.Duration
-	// Priority orders routes by urgency, 0 first. A team's own priority goes before it.
+	// Priority orders routes by urgency, 0 first. A team's own priority overrides it.
 	Priority int
-	// MaxAttempts bounds the backend servers that one call may be sent to.
+	// MaxAttempts bounds the backend servers that one call is sent to.
 	MaxAttempts int
-	// Public routes need no token.
+	// Public routes don't require a token.
 	Public bool
-	// Resumable streams may go on at another replica after the last whole piece.
+	// Resumable streams may continue on another replica after the last complete chunk.
 	Resumable bool
 }
 
@@ -52,7 +53,7 @@
 	Weight  int
 }
 
-// Pick returns the service for a call; draw is evenly spread over all numbers.
+// Pick returns the service for a call. draw is a uniformly distributed random number.
 func (t *RoutePolicy) Pick(draw uint64) cluster.Service {
 	total := 0
 	for _, w := range t.Split {
@@ -70,31 +71,31 @@
 	return ""
 }
 
-// Idempotent reports whether a call on the route may run more than once.
+// Idempotent reports whether a call on the route may be executed more than once.
 func (t *RoutePolicy) Idempotent() bool {
 	return t.Kind == CallSafe || t.Kind == CallStream && t.Resumable
 }
 
-// CallerBounds limit what callers may send and how long they may take.
+// CallerBounds limits the size and the duration of callers' requests.
 type CallerBounds struct {
 	// MaxHeader and MaxBody are in bytes.
 	MaxHeader int64
 	MaxBody   int64
-	// HeaderTimeout bounds the sending of a request's header, IdleTimeout the
-	// time that a connection may be unused.
+	// HeaderTimeout bounds the time to receive a request's header, IdleTimeout the
+	// time that a connection may be idle.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// WeightStore is the rate at which VMs may read weights, over all of them.
+// WeightStore limits the loading of weights by all VMs together.
 type WeightStore struct {
 	LoadsPerSecond float64
-	// LoadsAtOnce is how many go on at full speed at the same time.
+	// LoadsAtOnce is the number of concurrent loads that run at full speed.
 	LoadsAtOnce int
 }
 
-// Assemble returns a set built from typed parts in place of a file's text. The
-// caller has checked the parts.
+// Assemble returns a set built from typed parts instead of a file's text. The
+// caller must have validated the parts.
 func Assemble(parts Set) *Set {
 	set := parts
 	set.buildIndex(routeIndex{})
@@ -104,7 +105,7 @@
 		if r.Policy == nil {
 			continue
 		}
-		r.Verbatim = r.line()
+		r.Verbatim = r.format()
 		set.index.hosts[r.Policy.Host] = append(set.index.hosts[r.Policy.Host], r)
 	}
 	for _, routes := range set.index.hosts {
@@ -113,7 +114,7 @@
 	return &set
 }
 
-// MatchHost returns the route of the host with the longest prefix of path, or nil.
+// MatchHost returns the host's route with the longest prefix of path, or nil.
 func (s *Set) MatchHost(host, path string) *Route {
 	for _, r := range s.index.hosts[host] {
 		if strings.HasPrefix(path, r.Path) {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// TokenHash is the form in which a set holds a team's token.
+// TokenHash returns the lower-case hex SHA-256 of a token, the form that sets hold.
 func TokenHash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
