--- a/internal/rulestore/apply.go
+++ b/internal/rulestore/apply.go
@@ -12,39 +12,40 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// ApplyRequest asks for a whole file to be accepted.
+// ApplyRequest asks to replace the rules file by a new text.
 type ApplyRequest struct {
-	// BaseRevision is the revision that the operator edited; zero for the first file.
+	// BaseRevision is the revision that Text was edited from; zero for the first file.
 	BaseRevision int64
 	Text         string
-	// Author is who applies the change, for the history and for the loser of a race.
+	// Author names who applies the change. The history shows it, and so does the
+	// conflict error of a concurrent change.
 	Author string
-	// WriteID is chosen by the caller, new for each change and the same for repeats of it.
+	// WriteID is an idempotency key: unique to each change and equal in its repeats.
 	WriteID string
 }
 
-// ApplyResult is an accepted change.
+// ApplyResult is the outcome of an accepted change.
 type ApplyResult struct {
 	Revision int64
-	// Repeated is set when an earlier request with the same write id was accepted.
+	// Repeated is set if an earlier request with the same write id was accepted.
 	Repeated bool
 }
 
 const (
-	// maxApplyTries bounds how often a write of unknown outcome is looked up and tried.
-	maxApplyTries = 5
-	// maxAuthorBytes bounds the author's name and the write id.
-	maxAuthorBytes = 256
-	// trimOdds is one in how many changes removes old history.
-	trimOdds = 16
+	// maxApplyAttempts bounds the attempts at a write whose outcome is unknown.
+	maxApplyAttempts = 5
+	// maxRequestFieldBytes bounds the author's name and the write id, each.
+	maxRequestFieldBytes = 256
+	// changesPerTrim is the mean number of accepted changes between removals of old history.
+	changesPerTrim = 16
 )
 
-// Apply accepts a file if its base is still the newest, or fails with
+// Apply accepts the file if its base is still the newest revision. It fails with
 // rules.Errors, *rules.SizeError, *RequestError, *ConflictError,
-// *OutcomeUnknownError, or *StoreBehindError or *store.Error, which mean that
-// nothing was changed.
+// *StoreBehindError or *store.Error, all of which mean that nothing changed, or
+// with *OutcomeUnknownError.
 func (h *Holder) Apply(ctx context.Context, req ApplyRequest) (ApplyResult, error) {
-	if err := checkRequest(req); err != nil {
+	if err := validateRequest(req); err != nil {
 		return ApplyResult{}, err
 	}
 	res, err := h.apply(ctx, req)
@@ -56,11 +57,11 @@
 	return res, nil
 }
 
-func checkRequest(req ApplyRequest) error {
-	if req.Author == "" || len(req.Author) > maxAuthorBytes {
+func validateRequest(req ApplyRequest) error {
+	if req.Author == "" || len(req.Author) > maxRequestFieldBytes {
 		return &RequestError{Field: "author", Want: "the name of whoever applies the change"}
 	}
-	if req.WriteID == "" || len(req.WriteID) > maxAuthorBytes {
+	if req.WriteID == "" || len(req.WriteID) > maxRequestFieldBytes {
 		return &RequestError{Field: "write_id", Want: "an id that is new for each change"}
 	}
 	if req.BaseRevision < 0 {
@@ -75,26 +76,27 @@
 	if err != nil {
 		return ApplyResult{}, err
 	}
-	file, change := makeRecords(req, base, h.opts.Now())
+	file, change := newRecords(req, base, h.opts.Now())
 	txn, err := applyTxn(req, file, change)
 	if err != nil {
 		return ApplyResult{}, err
 	}
-	res, err := h.writeSettled(ctx, req, txn)
+	res, err := h.writeUntilKnown(ctx, req, txn)
 	if err != nil {
 		return ApplyResult{}, err
 	}
 	if !res.Repeated {
-		// Failing to parse is impossible here: checkRequest has parsed it.
-		_ = h.offer(offer{revision: res.Revision, text: req.Text, source: "apply", base: req.BaseRevision, edits: change.Edits})
+		// The text can't fail to parse here: validateRequest has parsed it.
+		_ = h.adopt(candidate{revision: res.Revision, text: req.Text, source: "apply", base: req.BaseRevision, edits: change.Edits})
 		h.trimHistory(ctx)
 	}
 	return res, nil
 }
 
-// baseText is the text that the operator edited, for the history's edits. An
-// answer from memory may be behind the store; the transaction's guard sees that.
-// A base that is not the newest any more gives an empty text: the guard refuses it.
+// baseText returns the text of the base revision, from which the history's edits
+// are computed. The text in memory may be older than the store's, and a base that
+// is no longer the newest gives an empty text: in both cases the transaction's
+// guard rejects the change.
 func (h *Holder) baseText(ctx context.Context, req ApplyRequest) (string, error) {
 	set := h.Current()
 	if set == nil && req.BaseRevision == 0 {
@@ -116,17 +118,17 @@
 	return file.record.Text, nil
 }
 
-// applyTxn writes both records if the base is still the newest, else reads what
-// tells a conflict from a repeat.
+// applyTxn returns a transaction that writes both records if the base is still the
+// newest revision, and otherwise reads what distinguishes a conflict from a repeat.
 func applyTxn(req ApplyRequest, file fileRecord, change changeRecord) (store.Txn, error) {
-	fileValue, err := encode(file)
+	fileValue, err := encodeJSON(file)
 	if err != nil {
 		return store.Txn{}, err
 	}
 	if len(fileValue) > maxRecordBytes {
 		return store.Txn{}, &rules.SizeError{Bytes: len(fileValue), Max: maxRecordBytes}
 	}
-	changeValue, err := encode(change)
+	changeValue, err := encodeJSON(change)
 	if err != nil {
 		return store.Txn{}, err
 	}
@@ -142,18 +144,18 @@
 	}, nil
 }
 
-// writeSettled writes until the outcome is known. An answer can be lost after the
-// write took effect; the operator would then be told of a failure, send the change
-// again and meet a conflict with himself. Writing again is harmless: the guard
-// lets the change through once at most, and when it fails, the write id in the
-// records tells whether the earlier try was the one that went through.
-func (h *Holder) writeSettled(ctx context.Context, req ApplyRequest, txn store.Txn) (ApplyResult, error) {
+// writeUntilKnown repeats the write until its outcome is known. The response may be
+// lost after the write took effect; an operator told of a failure would send the
+// change again and conflict with his own change. Repeating is safe: the guard lets
+// the change through at most once, and when it fails, the write id in the records
+// shows whether an earlier attempt succeeded.
+func (h *Holder) writeUntilKnown(ctx context.Context, req ApplyRequest, txn store.Txn) (ApplyResult, error) {
 	unknown := false
 	pause := time.Duration(0)
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		res, err := h.writeOnce(ctx, req, txn)
 		if err == nil {
-			// An earlier try of this same call is not a repeat by the caller.
+			// An earlier attempt of this same call is not a repeat by the caller.
 			res.Repeated = res.Repeated && !unknown
 			return res, nil
 		}
@@ -165,7 +167,7 @@
 		if !unknown {
 			return ApplyResult{}, err
 		}
-		if try == maxApplyTries || !h.sleep(ctx, &pause) {
+		if attempt == maxApplyAttempts || !h.backOff(ctx, &pause) {
 			return ApplyResult{}, &OutcomeUnknownError{WriteID: req.WriteID, Err: err}
 		}
 	}
@@ -182,12 +184,12 @@
 	if res.Succeeded {
 		return ApplyResult{Revision: res.Revision}, nil
 	}
-	return judgeRefused(req, res.Gets[0], res.Gets[1])
+	return classifyRejection(req, res.Gets[0], res.Gets[1])
 }
 
-// judgeRefused tells a repeat from a conflict by the newest file and by the
-// history record of the base.
-func judgeRefused(req ApplyRequest, newest, history *store.KV) (ApplyResult, error) {
+// classifyRejection distinguishes a repeat from a conflict by the newest file and the
+// base's history record.
+func classifyRejection(req ApplyRequest, newest, history *store.KV) (ApplyResult, error) {
 	if history != nil {
 		change, err := decodeChange(history)
 		if err != nil {
@@ -212,11 +214,11 @@
 	return ApplyResult{}, conflict
 }
 
-// sleep waits a growing time and reports false when ctx ends first.
-func (h *Holder) sleep(ctx context.Context, pause *time.Duration) bool {
+// backOff increases pause and waits about half of it. It reports false if ctx ends first.
+func (h *Holder) backOff(ctx context.Context, pause *time.Duration) bool {
 	h.mu.Lock()
-	*pause = h.state.longer(*pause)
-	wait := h.state.around(*pause) / 2
+	*pause = h.state.nextBackoff(*pause)
+	wait := h.state.jitterAround(*pause) / 2
 	h.mu.Unlock()
 	select {
 	case <-ctx.Done():
@@ -226,11 +228,11 @@
 	}
 }
 
-// trimHistory now and then removes records beyond HistoryKept. A failure is made
-// up for by a later change.
+// trimHistory removes records beyond MaxHistory, once in changesPerTrim calls on
+// average. After a failure a later change removes them.
 func (h *Holder) trimHistory(ctx context.Context) {
 	h.mu.Lock()
-	skip := h.opts.Rand.IntN(trimOdds) != 0
+	skip := h.opts.Rand.IntN(changesPerTrim) != 0
 	h.mu.Unlock()
 	if skip {
 		return
@@ -247,17 +249,17 @@
 		return
 	}
 	if _, err := h.opts.Store.Txn(ctx, store.Txn{Then: ops}); err != nil {
-		h.log.Warn("rules history not trimmed", "event", "rules_trim_failed", "err", err)
+		h.log.Warn("trimming the rules history failed", "event", "rules_trim_failed", "err", err)
 	}
 }
 
-// maxTrim stays below the store's bound for operations in one transaction.
-const maxTrim = 100
+// maxTrimOps is below the store's limit of operations in one transaction.
+const maxTrimOps = 100
 
-// trimOps deletes the oldest records beyond HistoryKept.
+// trimOps returns the operations that delete the oldest records beyond MaxHistory.
 func trimOps(kvs []store.KV) []store.Op {
 	slices.SortFunc(kvs, func(a, b store.KV) int { return cmp.Compare(a.ModRevision, b.ModRevision) })
-	excess := min(len(kvs)-MaxHistory, maxTrim)
+	excess := min(len(kvs)-MaxHistory, maxTrimOps)
 	var ops []store.Op
 	for i := range max(excess, 0) {
 		ops = append(ops, store.Delete(kvs[i].Key))
--- a/internal/rulestore/apply_test.go
+++ b/internal/rulestore/apply_test.go
@@ -17,10 +17,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// TestTwoOperatorsRace: two operators edit the same revision and apply at the same
-// moment on two nodes. If both were accepted, the later would silently undo the
-// earlier, and whoever asked for that rule would see it vanish.
-func TestTwoOperatorsRace(t *testing.T) {
+// TestConcurrentApplyConflict guards against lost updates: two operators edit the same
+// revision and apply it concurrently on two nodes. If both were accepted, the later
+// change would silently undo the earlier one.
+func TestConcurrentApplyConflict(t *testing.T) {
 	for round := range 20 {
 		s := memstore.New(memstore.Options{})
 		f := newFleet(t, s)
@@ -45,7 +45,7 @@
 		require.ErrorAs(t, errs[loser], &conflict)
 		require.Equal(t, ConflictError{Base: base, Revision: results[winner].Revision, Text: requests[winner].Text, Author: requests[winner].Author}, *conflict)
 
-		// The loser adds his line to the winner's file, and both are in.
+		// The rejected change is merged into the newest file and applied again.
 		merged := requests[loser]
 		merged.BaseRevision, merged.Text, merged.WriteID = conflict.Revision, conflict.Text+text("rest"), "3"
 		_, err := a.Apply(t.Context(), merged)
@@ -56,10 +56,10 @@
 	}
 }
 
-// TestApplyWhoseAnswerWasLost: the write takes effect, or doesn't, and the answer
-// is lost on the way. An operator told of a failure would apply again and meet a
-// conflict with his own change, or believe in a change that never was.
-func TestApplyWhoseAnswerWasLost(t *testing.T) {
+// TestApplyLostResponse loses the response of a write that took effect, or the write
+// itself. Reporting either outcome wrongly would make the operator conflict with his
+// own change, or rely on a change that was not made.
+func TestApplyLostResponse(t *testing.T) {
 	for name, faults := range map[string]memstore.Faults{
 		"took effect":               {LoseAnswers: 1},
 		"took effect, lost twice":   {LoseAnswers: 2},
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestApplyOfUnknownOutcomeIsSettledByARepeat: the store goes away in the middle of
-// a change. The operator is told that the outcome is unknown and repeats with the
-// same write id, perhaps on another node, after others have changed more.
-func TestApplyOfUnknownOutcomeIsSettledByARepeat(t *testing.T) {
+// TestApplyUnknownOutcomeResolvedByRepeat makes the store unavailable during a
+// change. The operator is told that the outcome is unknown and repeats the change
+// with the same write id on another node, after a further change.
+func TestApplyUnknownOutcomeResolvedByRepeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
 		h := New(Options{Store: s, Peers: newFleet(t, s)})
@@ -126,7 +126,7 @@
 	require.Equal(t, ApplyResult{Revision: revision, Repeated: true}, res)
 }
 
-func TestApplyRefuses(t *testing.T) {
+func TestApplyRejectsInvalidRequests(t *testing.T) {
 	s := memstore.New(memstore.Options{})
 	h := New(Options{Store: s, Peers: newFleet(t, s)})
 	good := ApplyRequest{Text: text("a"), Author: "Ana", WriteID: "w"}
@@ -150,10 +150,10 @@
 	require.Equal(t, store.Refused, failure.Outcome)
 }
 
-// TestStoreRestoredFromABackup: the store comes back with an older state and lower
-// revisions. A change accepted there would come into force nowhere, as nodes don't
-// go to lower revisions, while the operator was told that it was accepted.
-func TestStoreRestoredFromABackup(t *testing.T) {
+// TestStoreRestoredFromBackup restores the store with an older state and lower
+// revisions. A change accepted there would come into force on no node, since nodes
+// don't go to lower revisions, although the operator was told that it was accepted.
+func TestStoreRestoredFromBackup(t *testing.T) {
 	s := memstore.New(memstore.Options{})
 	h := New(Options{Store: s, Peers: newFleet(t, s)})
 	last := int64(0)
@@ -170,7 +170,7 @@
 	}
 	require.Equal(t, last, h.Revision())
 
-	// A key that was only removed is put back, at a higher revision.
+	// If only the key was deleted, the file can be applied again, at a higher revision.
 	h.opts.Store = s
 	_, err := s.Txn(t.Context(), store.Txn{Then: []store.Op{store.Delete(store.RulesKey)}})
 	require.NoError(t, err)
@@ -232,7 +232,8 @@
 	require.Greater(t, keys, MaxHistory)
 }
 
-// TestBytesPerChange prints what a change costs a node at the size to design for.
+// TestBytesPerChange measures the bytes a node receives for a one-line change of a file
+// of 10,000 lines, the size that the system is designed for.
 func TestBytesPerChange(t *testing.T) {
 	const lines, changesPerDay, budget = 10_000, 3600, 6000
 	s := memstore.New(memstore.Options{})
--- a/internal/rulestore/bench_test.go
+++ b/internal/rulestore/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// largeText has 10,000 lines: teams, their limits and their routes.
+// largeText returns a file of 10,000 lines: teams, their limits and their routes.
 func largeText(changed int) string {
 	var b strings.Builder
 	b.WriteString("service name=s # asked for by: A\n")
@@ -28,12 +28,12 @@
 	return b.String()
 }
 
-// BenchmarkFollowChange is what a change of one line costs a watching node.
+// BenchmarkFollowChange measures the handling of a watched one-line change.
 func BenchmarkFollowChange(b *testing.B) {
 	s := memstore.New(memstore.Options{})
 	h, writer := New(Options{Store: s}), New(Options{Store: s})
 	last := mustApply(b, writer, 0, largeText(0))
-	require.NoError(b, h.offer(offer{revision: last, text: largeText(0), source: "bench"}))
+	require.NoError(b, h.adopt(candidate{revision: last, text: largeText(0), source: "bench"}))
 	i := 0
 	for b.Loop() {
 		b.StopTimer()
@@ -43,12 +43,12 @@
 		kv, _, err := s.Get(b.Context(), historyKey(base))
 		require.NoError(b, err)
 		b.StartTimer()
-		h.follow(&store.Event{Type: store.EventPut, KV: *kv})
+		h.handleWatchEvent(&store.Event{Type: store.EventPut, KV: *kv})
 	}
 	require.Equal(b, last, h.Revision())
 }
 
-// BenchmarkObservePeer is what each datagram of a peer costs.
+// BenchmarkObservePeer measures the handling of the revision in a peer's datagram.
 func BenchmarkObservePeer(b *testing.B) {
 	h := New(Options{Store: memstore.New(memstore.Options{})})
 	ctx, cancel := context.WithCancel(b.Context())
--- a/internal/rulestore/errors.go
+++ b/internal/rulestore/errors.go
@@ -6,13 +6,13 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// ConflictError refuses a change because another one came first. Nothing of the
-// change took effect.
+// ConflictError rejects a change whose base is no longer the newest revision. No
+// part of the change took effect.
 type ConflictError struct {
-	// Base is the revision that the refused change was made from.
+	// Base is the base revision of the rejected change.
 	Base int64
-	// Revision, Text and Author are the newest accepted file; Revision is zero
-	// when the store has no rules.
+	// Revision, Text and Author describe the newest accepted file; Revision is zero
+	// if the store has no rules.
 	Revision int64
 	Text     string
 	Author   string
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("the change was made from revision %d, but %s has since changed the rules to revision %d", e.Base, e.Author, e.Revision)
 }
 
-// OutcomeUnknownError says that a change may or may not have been accepted. A
-// repeat with the same write id settles it without applying the change twice.
+// OutcomeUnknownError reports that a change may or may not have been accepted. A
+// repeat with the same write id finds out without applying the change twice.
 type OutcomeUnknownError struct {
 	WriteID string
 	Err     error
@@ -41,9 +41,9 @@
 // Unwrap returns the cause.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Err }
 
-// StoreBehindError refuses a change because the store's revisions are lower than
-// the one in force, as after it was restored from a backup: no node would take the
-// change, since none goes to a lower revision.
+// StoreBehindError rejects a change because the store's revision is lower than the
+// one in force, as after a restore from a backup. No node would adopt the change,
+// since none goes to a lower revision.
 type StoreBehindError struct {
 	Store, InForce int64
 }
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("the store is at revision %d but revision %d of the rules is in force: was it restored from a backup?", e.Store, e.InForce)
 }
 
-// RequestError refuses an incomplete request.
+// RequestError rejects a request with a missing or invalid field.
 type RequestError struct {
 	Field, Want string
 }
@@ -61,7 +61,7 @@
 // Error implements error.
 func (e *RequestError) Error() string { return fmt.Sprintf("%s: want %s", e.Field, e.Want) }
 
-// RevisionError says that a revision's text can't be had any more.
+// RevisionError reports that the text of a revision is not available.
 type RevisionError struct {
 	Revision int64
 	Reason   string
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("rules revision %d: %s", e.Revision, e.Reason)
 }
 
-// RecordError is a record that can't be read or written.
+// RecordError reports a record that can't be encoded or decoded.
 type RecordError struct {
 	Key string
 	Err error
@@ -84,26 +84,26 @@
 // Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// ChecksumError is a text that is not the one that was accepted.
+// ChecksumError reports a text whose checksum is not that of the accepted revision.
 type ChecksumError struct {
-	// Source is a store key or a peer.
+	// Source is the store key or the peer that the text came from.
 	Source   string
 	Revision int64
 }
 
 // Error implements error.
 func (e *ChecksumError) Error() string {
-	return fmt.Sprintf("rules revision %d from %s does not have its checksum", e.Revision, e.Source)
+	return fmt.Sprintf("rules revision %d from %s does not match its checksum", e.Revision, e.Source)
 }
 
-// PeerError is a failed fetch from a peer.
+// PeerError reports a failed fetch from a peer.
 type PeerError struct {
 	Node cluster.NodeID
 	Err  error
 }
 
 // Error implements error.
-func (e *PeerError) Error() string { return fmt.Sprintf("rules from %s: %v", e.Node, e.Err) }
+func (e *PeerError) Error() string { return fmt.Sprintf("fetch rules from peer %s: %v", e.Node, e.Err) }
 
 // Unwrap returns the cause.
 func (e *PeerError) Unwrap() error { return e.Err }
--- a/internal/rulestore/history.go
+++ b/internal/rulestore/history.go
@@ -10,18 +10,17 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// File is a rules file as accepted at Revision.
+// File is the rules file accepted at Revision.
 type File struct {
 	Revision int64
 	Text     string
-	// FromMemory is set when the store could not be asked, so that a newer
-	// revision may exist.
+	// FromMemory is set if the store could not be read; a newer revision may exist.
 	FromMemory bool
 }
 
-// Get returns the file of a revision; zero is the newest in the store or, when the
-// store can't be asked, the one in force here. It fails with *RevisionError or
-// *store.Error.
+// Get returns the file of a revision. Zero stands for the newest in the store or,
+// if the store can't be read, the one in force on this node. Get fails with
+// *RevisionError, *RecordError, *ChecksumError, *rules.EditError or *store.Error.
 func (h *Holder) Get(ctx context.Context, revision int64) (File, error) {
 	set := h.Current()
 	if revision != 0 && set != nil && set.Revision == revision {
@@ -42,12 +41,12 @@
 	if revision == 0 || revision == newest.Revision {
 		return newest, nil
 	}
-	return h.past(ctx, newest, revision)
+	return h.reconstruct(ctx, newest, revision)
 }
 
-// past undoes changes from the newest file back to a revision.
-func (h *Holder) past(ctx context.Context, file File, revision int64) (File, error) {
-	changes, err := h.changes(ctx)
+// reconstruct undoes changes, starting from the newest file, back to a revision.
+func (h *Holder) reconstruct(ctx context.Context, file File, revision int64) (File, error) {
+	changes, err := h.readHistory(ctx)
 	if err != nil {
 		return File{}, err
 	}
@@ -58,7 +57,7 @@
 		if c.revision > file.Revision {
 			continue // accepted after the newest file was read
 		}
-		if c.revision != file.Revision || c.record.Whole {
+		if c.revision != file.Revision || c.record.EditsOmitted {
 			break
 		}
 		text, err := rules.ApplyEdits(file.Text, c.record.Undo)
@@ -73,7 +72,7 @@
 	return File{}, &RevisionError{Revision: revision, Reason: "not an accepted revision, or older than the history kept"}
 }
 
-// Version is one accepted change, without its text.
+// Version describes one accepted change, without its text.
 type Version struct {
 	Revision, Base int64
 	Author         string
@@ -82,11 +81,12 @@
 	LinesRemoved   int
 }
 
-// History returns up to limit changes, newest first; limit 0 is all that are kept.
+// History returns up to limit changes, newest first; limit 0 returns all that the
+// store keeps.
 func (h *Holder) History(ctx context.Context, limit int) ([]Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.opts.CallTimeout)
 	defer cancel()
-	changes, err := h.changes(ctx)
+	changes, err := h.readHistory(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -107,32 +107,33 @@
 	return versions, nil
 }
 
-type pastChange struct {
+type historyEntry struct {
 	base, revision int64
 	record         changeRecord
 }
 
-// changes reads the history, oldest first.
-func (h *Holder) changes(ctx context.Context) ([]pastChange, error) {
+// readHistory returns all history records, oldest first.
+func (h *Holder) readHistory(ctx context.Context) ([]historyEntry, error) {
 	countStoreCall("history")
 	res, err := h.opts.Store.Range(ctx, store.RulesHistoryPrefix, store.RangeOptions{})
 	if err != nil {
 		return nil, err
 	}
-	var changes []pastChange
+	var changes []historyEntry
 	for i := range res.KVs {
 		kv := &res.KVs[i]
-		base, err := baseOf(kv.Key)
+		base, err := parseHistoryKey(kv.Key)
 		if err != nil {
-			continue // not ours
+			continue // not a history record
 		}
 		record, err := decodeChange(kv)
 		if err != nil {
 			return nil, err
 		}
-		changes = append(changes, pastChange{base: base, revision: kv.ModRevision, record: record})
+		changes = append(changes, historyEntry{base: base, revision: kv.ModRevision, record: record})
 	}
-	// By base, as the keys are, a file put back into an emptied store would come first.
-	slices.SortFunc(changes, func(a, b pastChange) int { return cmp.Compare(a.revision, b.revision) })
+	// The keys are ordered by base, which would put a file that was applied with
+	// base 0 after the key's deletion first.
+	slices.SortFunc(changes, func(a, b historyEntry) int { return cmp.Compare(a.revision, b.revision) })
 	return changes, nil
 }
--- a/internal/rulestore/holder.go
+++ b/internal/rulestore/holder.go
@@ -14,7 +14,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// PeerFetcher asks a peer for the rules it has in force; see Holder.FetchRules.
+// PeerFetcher requests the rules in force from a peer, which answers with
+// Holder.FetchRules.
 type PeerFetcher interface {
 	FetchRules(ctx context.Context, node cluster.NodeID, have int64) (*wirepb.FetchRulesResponse, error)
 }
@@ -24,45 +25,45 @@
 	Store store.Store
 	Peers PeerFetcher
 	Log   *slog.Logger
-	// Now is the clock; nil is time.Now.
+	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// Rand is the source of jitter; nil is seeded at random.
+	// Rand is the source of jitter; nil means one with a random seed.
 	Rand *rand.Rand
-	// IsWatcher says whether this node is to watch the store now; nil is always.
+	// IsWatcher reports whether this node should watch the store now; nil means always.
 	IsWatcher func() bool
-	// Timing is DefaultTiming when zero.
+	// Timing defaults to DefaultTiming.
 	Timing Timing
-	// CallTimeout bounds one call to the store or a peer; zero is 5 s.
+	// CallTimeout bounds one call to the store or a peer; zero means 5 s.
 	CallTimeout time.Duration
 }
 
 const (
 	defaultCallTimeout = 5 * time.Second
-	// tickEvery is how often waiting decisions are looked at.
-	tickEvery = 200 * time.Millisecond
+	// tickInterval is how often time-dependent decisions are evaluated.
+	tickInterval = 200 * time.Millisecond
 )
 
 // Holder holds the rules in force on one node. It is safe for concurrent use.
 type Holder struct {
 	opts Options
 	log  *slog.Logger
-	// current is read by every request, so without a lock.
+	// current is atomic because every request reads it.
 	current atomic.Pointer[rules.Set]
 
-	// adopting serializes changes of current and the listeners' calls.
-	adopting  sync.Mutex
+	// adoptMu serializes changes of current and calls of listeners.
+	adoptMu   sync.Mutex
 	listeners []func(*rules.Set)
 
-	mu     sync.Mutex // guards state to recent; never held across I/O
-	state  *state
-	runCtx context.Context // nil unless Run is running
-	work   *sync.WaitGroup
-	recent recentSteps
+	mu      sync.Mutex // guards state, runCtx, workers and recent; never held across I/O
+	state   *state
+	runCtx  context.Context // nil unless Run is running
+	workers *sync.WaitGroup
+	recent  recentChanges
 
 	watch watchControl
 }
 
-// New returns a Holder that has no rules yet.
+// New returns a Holder without rules.
 func New(opts Options) *Holder {
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
@@ -85,10 +86,10 @@
 	return &Holder{opts: opts, log: opts.Log, state: newState(opts.Timing, opts.Rand, opts.Now())}
 }
 
-// Current returns the rules in force here, or nil before the first are known.
+// Current returns the rules in force on this node, or nil if there are none yet.
 func (h *Holder) Current() *rules.Set { return h.current.Load() }
 
-// Revision returns the revision in force here, or zero.
+// Revision returns the revision in force on this node, or zero if there is none yet.
 func (h *Holder) Revision() int64 {
 	if set := h.Current(); set != nil {
 		return set.Revision
@@ -96,84 +97,86 @@
 	return 0
 }
 
-// OnChange calls f with each set that comes into force, in order, and at once with
-// the one in force. f must be quick and must not call Apply.
+// OnChange registers f, which is called with each set that comes into force, in
+// order, and immediately with the current one, if any. f must return quickly and
+// must not call Apply, which would deadlock.
 func (h *Holder) OnChange(f func(*rules.Set)) {
-	h.adopting.Lock()
-	defer h.adopting.Unlock()
+	h.adoptMu.Lock()
+	defer h.adoptMu.Unlock()
 	h.listeners = append(h.listeners, f)
 	if set := h.Current(); set != nil {
 		f(set)
 	}
 }
 
-// ObservePeer notes the revision that a peer's datagram shows.
+// ObservePeer records the revision announced in a peer's datagram.
 func (h *Holder) ObservePeer(node cluster.NodeID, revision int64) {
-	h.post(peerShown{node, revision})
+	h.handle(peerObserved{node, revision})
 }
 
-// Run keeps the node at the newest rules until ctx ends.
+// Run keeps this node at the newest revision until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	h.mu.Lock()
-	h.runCtx, h.work = ctx, &work
+	h.runCtx, h.workers = ctx, &work
 	h.mu.Unlock()
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		duty := h.opts.IsWatcher()
-		h.keepWatch(ctx, &work, duty)
-		h.post(ticked{duty})
+		watcher := h.opts.IsWatcher()
+		h.updateWatch(ctx, &work, watcher)
+		h.handle(ticked{watcher})
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
 		}
 	}
 	h.mu.Lock()
-	h.runCtx, h.work = nil, nil
+	h.runCtx, h.workers = nil, nil
 	h.mu.Unlock()
 	work.Wait()
 }
 
-// post decides on an event and starts the work that follows from it.
-func (h *Holder) post(ev event) {
+// handle passes an event to the state and starts the resulting actions.
+func (h *Holder) handle(ev event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.runCtx == nil {
-		// Nothing would carry actions out. What is in force is noted all the same.
+		// Actions can't be started, but the state must know the revision in force.
 		if ev, ok := ev.(adopted); ok {
 			h.state.adopt(ev.revision)
 		}
 		return
 	}
 	for _, a := range h.state.step(ev, h.opts.Now()) {
-		h.startLocked(a)
+		h.startActionLocked(a)
 	}
 }
 
-func (h *Holder) startLocked(a action) {
+func (h *Holder) startActionLocked(a action) {
 	ctx := h.runCtx
 	switch a := a.(type) {
 	case fetchPeer:
-		h.work.Go(func() { h.fetch(ctx, a.node) })
+		h.workers.Go(func() { h.fetchFromPeer(ctx, a.node) })
 	case checkStore:
-		h.work.Go(func() { h.check(ctx) })
+		h.workers.Go(func() { h.checkRevision(ctx) })
 	case readStore:
-		h.work.Go(func() { h.read(ctx) })
+		h.workers.Go(func() { h.readRules(ctx) })
 	case restartWatch:
 		h.watch.restart()
 	}
 }
 
-// check asks for the newest revision without the text, which may be large.
-func (h *Holder) check(ctx context.Context) {
+// checkRevision reads the newest revision from the store without the text, which may
+// be large.
+func (h *Holder) checkRevision(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, h.opts.CallTimeout)
 	defer cancel()
 	countStoreCall("check")
 	res, err := h.opts.Store.Range(ctx, store.RulesKey, store.RangeOptions{Limit: 1, KeysOnly: true})
 	if err != nil {
-		h.log.Warn("rules check failed", "event", "rules_check_failed", "err", err)
-		h.post(storeChecked{})
+		h.log.Warn("checking the store for a newer rules revision failed", "event", "rules_check_failed", "err", err)
+		h.handle(checkDone{})
 		return
 	}
 	revision := int64(0)
@@ -181,35 +184,35 @@
 		revision = res.KVs[0].ModRevision
 	}
 	if have := h.Revision(); revision < have {
-		// The store was emptied or restored from a backup. Going back to it would
-		// undo accepted changes, so the node stays where it is and says so.
+		// The store was emptied or restored from a backup. Adopting its revision
+		// would undo accepted changes, so the node keeps its rules and logs an error.
 		h.log.Error("the store's rules are older than those in force", "event", "rules_store_behind", "store_revision", revision, "in_force", have)
 	}
-	h.post(storeChecked{revision: revision, ok: true})
+	h.handle(checkDone{revision: revision, ok: true})
 }
 
-// read takes the whole file from the store.
-func (h *Holder) read(ctx context.Context) {
+// readRules reads the complete file from the store and adopts it if it is newer.
+func (h *Holder) readRules(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, h.opts.CallTimeout)
 	defer cancel()
 	file, err := h.readFile(ctx)
 	if err != nil {
-		h.log.Warn("rules read failed", "event", "rules_read_failed", "err", err)
-		h.post(storeRead{})
+		h.log.Warn("reading the rules from the store failed", "event", "rules_read_failed", "err", err)
+		h.handle(readDone{})
 		return
 	}
 	if file.revision != 0 {
-		err = h.offer(offer{revision: file.revision, text: file.record.Text, source: "store"})
+		err = h.adopt(candidate{revision: file.revision, text: file.record.Text, source: "store"})
 	}
-	h.post(storeRead{ok: err == nil})
+	h.handle(readDone{ok: err == nil})
 }
 
-// storedFile is the file as read from the store.
+// storedFile is the rules file read from the store.
 type storedFile struct {
-	// revision is zero when the store has no rules.
+	// revision is zero if the store has no rules.
 	revision int64
 	record   fileRecord
-	// storeRevision is the store's own, of all keys.
+	// storeRevision is the revision of the store as a whole.
 	storeRevision int64
 }
 
@@ -223,45 +226,46 @@
 	return storedFile{revision: kv.ModRevision, record: record, storeRevision: storeRevision}, err
 }
 
-// offer is an intact text of an accepted revision.
-type offer struct {
+// candidate is the verified text of an accepted revision, which comes into force
+// if it is newer than the current one.
+type candidate struct {
 	revision int64
 	text     string
 	source   string
-	// base and edits lead to text from an older revision, when known.
+	// edits turn the text of revision base into text; nil if not known.
 	base  int64
 	edits []rules.Edit
 }
 
-// offer puts the text into force unless something as new is in force already. It
-// fails only if the text can't be parsed by this version of the program.
-func (h *Holder) offer(o offer) error {
-	h.adopting.Lock()
-	defer h.adopting.Unlock()
+// adopt puts the candidate into force unless the current revision is at least as new.
+// It fails only if this version of the program can't parse the text.
+func (h *Holder) adopt(o candidate) error {
+	h.adoptMu.Lock()
+	defer h.adoptMu.Unlock()
 	if !h.accepts(o.revision) {
 		return nil
 	}
 	set, err := rules.Parse(o.text)
 	if err != nil {
 		// Another version of the program accepted a rule that this one doesn't
-		// know. Operators see the node named by `fennelctl rules wait`; it goes on
-		// with the rules it has.
-		h.log.Error("accepted rules can't be read here", "event", "rules_unreadable", "revision", o.revision, "err", err)
-		h.post(unreadable{o.revision})
+		// know. The node keeps its rules, and `fennelctl rules wait` shows it as
+		// behind.
+		h.log.Error("cannot parse accepted rules, keeping those in force", "event", "rules_unreadable", "revision", o.revision, "err", err)
+		h.handle(unreadable{o.revision})
 		return err
 	}
 	set.Revision = o.revision
 	h.publish(o, set)
 	countAdopted(o.source, o.revision)
 	h.log.Info("rules in force", "event", "rules_in_force", "revision", o.revision, "source", o.source, "routes", len(set.Routes), "teams", len(set.Teams), "groups", len(set.Groups))
-	h.post(adopted{o.revision})
+	h.handle(adopted{o.revision})
 	for _, f := range h.listeners {
 		f(set)
 	}
 	return nil
 }
 
-// accepts is the last word on a text; adopting is held.
+// accepts reports whether a revision may come into force. The caller holds adoptMu.
 func (h *Holder) accepts(revision int64) bool {
 	if have := h.Revision(); have > 0 {
 		return revision > have
--- a/internal/rulestore/holder_test.go
+++ b/internal/rulestore/holder_test.go
@@ -20,11 +20,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// TestRestartTakesTheNewestAmongPeers: all entry VMs are replaced at any time, and
-// the platform's store may be down just then. A new node that took the first rules
-// it was offered would, next to a peer that had missed a change, serve callers by
-// rules that the operators had replaced, until somebody told it better.
-func TestRestartTakesTheNewestAmongPeers(t *testing.T) {
+// TestRestartAdoptsNewestPeerRevision starts a new node while the store is down.
+// If it adopted the first rules it was offered, those of a peer that had missed a
+// change, it would serve callers by rules that the operators had replaced.
+func TestRestartAdoptsNewestPeerRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
 		f := newFleet(t, s)
@@ -50,9 +49,10 @@
 	})
 }
 
-// TestRestartRefusesLessThanPeersShow: the peer with the newest rules is heard but
-// its connections fail. Rules known to be replaced must not come back in its place.
-func TestRestartRefusesLessThanPeersShow(t *testing.T) {
+// TestRestartRejectsOlderThanPeerRevisions starts a node that hears the peer with the
+// newest rules but can't connect to it. It must not adopt older rules, which it knows
+// to have been replaced, while that peer's announcement is valid.
+func TestRestartRejectsOlderThanPeerRevisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
 		f := newFleet(t, s)
@@ -67,7 +67,7 @@
 			time.Sleep(time.Second)
 		}
 		require.Nil(t, n.Current())
-		// Once the other hasn't been heard for a while, the zone goes on with what there is.
+		// After PeerTTL without that peer, the node adopts the older rules.
 		for range 40 {
 			n.ObservePeer("old", first)
 			time.Sleep(time.Second)
@@ -76,11 +76,10 @@
 	})
 }
 
-// TestWatchThatRepeatsAndSkips: a watch opened again after a cut repeats events,
-// and one between two ends that lost each other skips some. Repeats must not take
-// the node back, and edits that follow on a skipped change must not be applied to
-// the wrong text: callers would then meet rules that nobody accepted.
-func TestWatchThatRepeatsAndSkips(t *testing.T) {
+// TestWatchRepeatsAndSkipsEvents: a reopened watch repeats events, and a broken one
+// skips some. A repeat must not revert the node, and the edits after a skipped change
+// must not be applied to the wrong text, which would give rules nobody accepted.
+func TestWatchRepeatsAndSkipsEvents(t *testing.T) {
 	for name, pass := range map[string]func(i int) int{
 		"each event twice":    func(int) int { return 2 },
 		"every second lost":   func(i int) int { return i % 2 },
@@ -90,7 +89,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				var kept []store.WatchBatch
 				var healthy atomic.Bool
-				s := &badWatch{Store: memstore.New(memstore.Options{}), alter: func(in <-chan store.WatchBatch, out chan<- store.WatchBatch) {
+				s := &faultyWatchStore{Store: memstore.New(memstore.Options{}), transform: func(in <-chan store.WatchBatch, out chan<- store.WatchBatch) {
 					i := 0
 					for b := range in {
 						kept = append(kept, b)
@@ -108,7 +107,7 @@
 				f := newFleet(t, s)
 				defer f.stopAll()
 				timing := DefaultTiming()
-				timing.CheckInterval = time.Hour // what is tested must not be hidden by the check
+				timing.CheckInterval = time.Hour // the check would repair what the watch missed
 				reader := f.start("reader", true, timing)
 				writer := f.start("writer", false, timing)
 				names := []string{"a", "b", "c"}
@@ -135,17 +134,17 @@
 	}
 }
 
-// TestLateAnswerDoesNotGoBack: a node asks the store, whose answer is slow. Before
-// it comes, a peer has brought newer rules, which the late answer must not undo.
-func TestLateAnswerDoesNotGoBack(t *testing.T) {
+// TestLateStoreReadDoesNotRevert: the result of a slow read from the store arrives
+// after the node got newer rules from a peer, which it must not undo.
+func TestLateStoreReadDoesNotRevert(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &lateRead{Store: memstore.New(memstore.Options{}), release: make(chan struct{})}
+		s := &slowReadStore{Store: memstore.New(memstore.Options{}), release: make(chan struct{})}
 		f := newFleet(t, s)
 		defer f.stopAll()
 		writer := f.start("writer", false, Timing{})
 		first := mustApply(t, writer.Holder, 0, text("a"))
 		reader := f.start("reader", false, Timing{})
-		time.Sleep(3 * time.Second) // the read of the first file is under way
+		time.Sleep(3 * time.Second) // the read of the first file has started
 		second := mustApply(t, writer.Holder, first, text("a", "b"))
 		reader.ObservePeer("writer", second)
 		time.Sleep(2 * time.Second)
@@ -157,12 +156,12 @@
 	})
 }
 
-// TestSilentWatch: something between a node and the store has lost track of the
-// watch's connection, which stays open and silent for good. An accepted change
-// would never arrive.
+// TestSilentWatch: the watch's connection stays open but delivers nothing, as after
+// a middlebox dropped its state. Without the check an accepted change would never
+// arrive.
 func TestSilentWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &badWatch{Store: memstore.New(memstore.Options{}), alter: func(in <-chan store.WatchBatch, _ chan<- store.WatchBatch) {
+		s := &faultyWatchStore{Store: memstore.New(memstore.Options{}), transform: func(in <-chan store.WatchBatch, _ chan<- store.WatchBatch) {
 			for range in { //nolint:revive // drops everything
 			}
 		}}
@@ -171,7 +170,7 @@
 		reader := f.start("reader", true, Timing{})
 		writer := f.start("writer", false, Timing{})
 		last := mustApply(t, writer.Holder, 0, text("a"))
-		hear := func() { // a peer that knows no better keeps the node from feeling alone
+		hear := func() { // datagrams of a peer without rules, so that SilenceTimeout doesn't pass
 			for range 16 {
 				reader.ObservePeer("p", 0)
 				time.Sleep(time.Second)
@@ -185,15 +184,15 @@
 	})
 }
 
-// TestChangeIsInForceEverywhereInTime: the node that accepted a change is lost right
-// after it, so the change reaches the others through the store alone. Operators are
-// promised 16 s, also when the connection of every watch has gone silent.
-func TestChangeIsInForceEverywhereInTime(t *testing.T) {
+// TestChangeReachesAllNodesInTime: the node that accepted a change fails right after
+// it, so the change reaches the others only through the store. The bound of 16 s must
+// hold even if every watch has gone silent.
+func TestChangeReachesAllNodesInTime(t *testing.T) {
 	const nodes, watchers, promised = 60, 6, 16 * time.Second
 	for name, dead := range map[string]bool{"watches well": false, "all watches silent": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &badWatch{Store: memstore.New(memstore.Options{}), alter: func(in <-chan store.WatchBatch, out chan<- store.WatchBatch) {
+				s := &faultyWatchStore{Store: memstore.New(memstore.Options{}), transform: func(in <-chan store.WatchBatch, out chan<- store.WatchBatch) {
 					for b := range in {
 						if !dead {
 							out <- b
@@ -209,7 +208,7 @@
 				last, worst := int64(0), time.Duration(0)
 				for i := range 10 {
 					last = mustApply(t, lost, last, text("a", fmt.Sprint("b", i)))
-					worst = max(worst, f.untilAllAt(last))
+					worst = max(worst, f.waitForRevision(last))
 					time.Sleep(7 * time.Second)
 				}
 				t.Logf("%d nodes, %d watching, datagrams each second: in force everywhere after %s at worst", nodes, watchers, worst)
@@ -219,9 +218,9 @@
 	}
 }
 
-// TestReturnAfterLongOutage: the platform's store was down for a long time and a whole
-// fleet comes back to it, part of it new. If all nodes asked at once and again at
-// each failure, the store would drown and stay away.
+// TestReturnAfterLongOutage: the platform's store recovers from a long outage, in
+// which part of the nodes restarted. If all nodes called it at once and again after
+// each failure, the load would keep it down.
 func TestReturnAfterLongOutage(t *testing.T) {
 	const nodes, watchers = 40, 6
 	synctest.Test(t, func(t *testing.T) {
@@ -274,10 +273,10 @@
 	return n
 }
 
-// TestWholeFleetStartsAtOnce: after a loss of power all entry VMs come back in the
-// same moment, and each believes that it has to watch, as it knows no others yet. If
-// all read the whole file at once, the store would be busy with nothing else.
-func TestWholeFleetStartsAtOnce(t *testing.T) {
+// TestAllNodesStartAtOnce: after a power loss all entry VMs start at the same time,
+// and each watches, since it knows no other node yet. If all read the complete file
+// at once, they would overload the store.
+func TestAllNodesStartAtOnce(t *testing.T) {
 	const nodes = 60
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
@@ -306,9 +305,9 @@
 	})
 }
 
-// TestSilentZoneAsksTheStoreSparingly: a zone loses its peers and its watchers at
-// the same moment but not the store. Each node asks for itself, spread over time.
-func TestSilentZoneAsksTheStoreSparingly(t *testing.T) {
+// TestSilentZoneLimitsStoreCalls: a zone loses its peers and its watchers at the
+// same time but not the store. Each node checks the store itself, spread over time.
+func TestSilentZoneLimitsStoreCalls(t *testing.T) {
 	const nodes = 50
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
@@ -339,10 +338,10 @@
 	})
 }
 
-// TestRevisionsNeverFallAndAllConverge drives nodes through random histories of
-// changes, restarts, cuts and outages. Whatever happens, a node never goes back
-// while it lives, and once all is well the newest accepted file holds everywhere.
-func TestRevisionsNeverFallAndAllConverge(t *testing.T) {
+// TestRevisionsIncreaseAndConverge drives nodes through random sequences of
+// changes, restarts, partitions and outages. A running node must never go to a lower
+// revision, and after the faults end all nodes must have the newest accepted file.
+func TestRevisionsIncreaseAndConverge(t *testing.T) {
 	ids := []cluster.NodeID{"a", "b", "c", "d"}
 	rapid.Check(t, func(rt *rapid.T) {
 		history := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) randomStep {
@@ -353,7 +352,7 @@
 				pause:  time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond,
 			}
 		}), 5, 30).Draw(rt, "history")
-		var found failures
+		var found failureCollector
 		synctest.Test(t, func(*testing.T) { replay(&found, ids, history) })
 		if len(found.text) > 0 {
 			rt.Fatal(strings.Join(slices.Compact(found.text), "\n"))
@@ -368,8 +367,9 @@
 	pause  time.Duration
 }
 
-// replay runs a history, lets all become well and compares with the store.
-func replay(found *failures, ids []cluster.NodeID, history []randomStep) {
+// replay runs a history, ends all faults, waits for the nodes to converge and
+// compares them with the store.
+func replay(found *failureCollector, ids []cluster.NodeID, history []randomStep) {
 	ctx := context.Background()
 	s := memstore.New(memstore.Options{})
 	f := newFleet(found, s)
@@ -388,7 +388,7 @@
 			n.stop()
 			f.start(n.id, n.id < "c", Timing{})
 		case "cut":
-			f.setCut(n.id, !f.cut[n.id])
+			f.setIsolated(n.id, !f.isolated[n.id])
 		case "store":
 			s.SetFaults(memstore.Faults{Down: step.faults.Down, DownUnknown: step.faults.DownUnknown})
 		case "lose":
@@ -398,9 +398,9 @@
 	}
 	s.SetFaults(memstore.Faults{})
 	for _, id := range ids {
-		f.setCut(id, false)
+		f.setIsolated(id, false)
 	}
-	for range 100 { // the longest pause of a watcher, then a gossip
+	for range 100 { // longer than the longest backoff of a watcher and the following gossip
 		f.gossip()
 		time.Sleep(time.Second)
 	}
@@ -418,15 +418,15 @@
 	}
 }
 
-// TestFetchRulesGivesEditsToThoseWhoCanUseThem also checks that edits for another
-// text are refused by their checksum.
-func TestFetchRulesGivesEditsToThoseWhoCanUseThem(t *testing.T) {
+// TestFetchRulesReturnsEditsOrFullText also checks that edits of another text are
+// rejected by checksum and those of another revision by revision.
+func TestFetchRulesReturnsEditsOrFullText(t *testing.T) {
 	s := memstore.New(memstore.Options{})
 	h := New(Options{Store: s, Peers: newFleet(t, s)})
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	revisions := []int64{mustApply(t, h, 0, text(names...))}
 	var texts []string
-	for i := range maxRecentSteps + 2 {
+	for i := range maxRecentChanges + 2 {
 		texts = append(texts, h.Current().Text)
 		names[i%len(names)] = fmt.Sprint("x", i)
 		revisions = append(revisions, mustApply(t, h, revisions[i], text(names...)))
@@ -434,14 +434,14 @@
 	last := len(revisions) - 1
 	res := h.FetchRules(revisions[last-1])
 	require.NotNil(t, res.Delta)
-	o, err := openAnswer(res, revisions[last-1], texts[last-1])
+	o, err := decodeResponse(res, revisions[last-1], texts[last-1])
 	require.NoError(t, err)
 	require.Equal(t, h.Current().Text, o.text)
 
-	_, err = openAnswer(res, revisions[last-1], texts[last-2])
+	_, err = decodeResponse(res, revisions[last-1], texts[last-2])
 	var sum *ChecksumError
 	require.ErrorAs(t, err, &sum)
-	_, err = openAnswer(res, revisions[last-2], texts[last-2])
+	_, err = decodeResponse(res, revisions[last-2], texts[last-2])
 	var revision *RevisionError
 	require.ErrorAs(t, err, &revision)
 
@@ -451,11 +451,11 @@
 	require.Equal(t, h.Current().Text, h.FetchRules(0).Text)
 	damaged := h.FetchRules(0)
 	damaged.Text += "#"
-	_, err = openAnswer(damaged, 0, "")
+	_, err = decodeResponse(damaged, 0, "")
 	require.ErrorAs(t, err, &sum)
 }
 
-// TestConcurrentUse lets the race detector look at readers beside changes.
+// TestConcurrentUse runs readers concurrently with changes under the race detector.
 func TestConcurrentUse(t *testing.T) {
 	s := memstore.New(memstore.Options{})
 	f := newFleet(t, s)
--- a/internal/rulestore/peers.go
+++ b/internal/rulestore/peers.go
@@ -11,34 +11,35 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// maxRecentSteps is how many changes back a peer may be and still get edits.
-const maxRecentSteps = 64
+// maxRecentChanges is the number of changes by which a peer may be behind and still
+// receive edits.
+const maxRecentChanges = 64
 
-// maxStepBytes bounds the edits of one step kept in memory.
-const maxStepBytes = maxEditBytes
+// maxRecentChangeBytes bounds the edits of one change kept in memory.
+const maxRecentChangeBytes = maxEditBytes
 
-// recentStep is one change of the text in force on this node.
-type recentStep struct {
+// recentChange is one change of the rules in force on this node.
+type recentChange struct {
 	from, to int64
 	edits    []rules.Edit
 }
 
-// recentSteps are the newest changes, oldest first, each starting where the one
-// before it ended.
-type recentSteps []recentStep
+// recentChanges are the latest changes, oldest first. Each starts at the revision that
+// the previous one led to.
+type recentChanges []recentChange
 
-// with returns the steps and one more; a large one, which peers get as a whole
-// file, starts them anew.
-func (r recentSteps) with(step recentStep) recentSteps {
-	if editBytes(step.edits) > maxStepBytes {
+// appended returns the changes followed by one more. A change that is too large to
+// keep clears them; peers that are behind it then get the complete file.
+func (r recentChanges) appended(change recentChange) recentChanges {
+	if editBytes(change.edits) > maxRecentChangeBytes {
 		return nil
 	}
-	oldest := max(0, len(r)+1-maxRecentSteps)
-	return append(slices.Clone(r[oldest:]), step)
+	oldest := max(0, len(r)+1-maxRecentChanges)
+	return append(slices.Clone(r[oldest:]), change)
 }
 
-// since joins the edits that lead from a revision to the newest.
-func (r recentSteps) since(from int64) ([]rules.Edit, bool) {
+// since concatenates the edits that lead from a revision to the newest.
+func (r recentChanges) since(from int64) ([]rules.Edit, bool) {
 	for i := range r {
 		if r[i].from != from {
 			continue
@@ -52,9 +53,10 @@
 	return nil, false
 }
 
-// publish puts the set into force and notes the step that leads to it, together,
-// so that FetchRules never sees one without the other; adopting is held.
-func (h *Holder) publish(o offer, set *rules.Set) {
+// publish puts the set into force and records the change that led to it under one
+// lock, so that FetchRules never sees one without the other. The caller holds
+// adoptMu.
+func (h *Holder) publish(o candidate, set *rules.Set) {
 	before := h.Current()
 	edits := o.edits
 	if before != nil && (o.base != before.Revision || edits == nil) {
@@ -64,12 +66,13 @@
 	defer h.mu.Unlock()
 	h.current.Store(set)
 	if before != nil {
-		h.recent = h.recent.with(recentStep{from: before.Revision, to: o.revision, edits: edits})
+		h.recent = h.recent.appended(recentChange{from: before.Revision, to: o.revision, edits: edits})
 	}
 }
 
-// FetchRules answers a peer that has revision have in force: nothing but the
-// revision if that is as new, else edits if they are known and small, else the text.
+// FetchRules answers a peer that has revision have in force. The response holds
+// only the revision if the peer is up to date, the edits if they are known and less
+// than half the size of the text, and the complete text otherwise.
 func (h *Holder) FetchRules(have int64) *wirepb.FetchRulesResponse {
 	h.mu.Lock()
 	set := h.Current()
@@ -91,17 +94,17 @@
 	return res
 }
 
-// fetch takes the rules from a peer.
-func (h *Holder) fetch(ctx context.Context, node cluster.NodeID) {
-	err := h.fetchFrom(ctx, node)
+// fetchFromPeer fetches and adopts a peer's rules and reports the result to the state.
+func (h *Holder) fetchFromPeer(ctx context.Context, node cluster.NodeID) {
+	err := h.fetchAndAdopt(ctx, node)
 	if err != nil {
 		countFetch("failed")
-		h.log.Warn("rules fetch failed", "event", "rules_fetch_failed", "peer", node, "err", err)
+		h.log.Warn("fetching the rules from a peer failed", "event", "rules_fetch_failed", "peer", node, "err", err)
 	}
-	h.post(peerAnswered{node: node, ok: err == nil})
+	h.handle(fetchDone{node: node, ok: err == nil})
 }
 
-func (h *Holder) fetchFrom(ctx context.Context, node cluster.NodeID) error {
+func (h *Holder) fetchAndAdopt(ctx context.Context, node cluster.NodeID) error {
 	ctx, cancel := context.WithTimeout(ctx, h.opts.CallTimeout)
 	defer cancel()
 	have := h.Current()
@@ -114,33 +117,33 @@
 	if err != nil {
 		return &PeerError{Node: node, Err: err}
 	}
-	o, err := openAnswer(res, revision, text)
+	o, err := decodeResponse(res, revision, text)
 	if err != nil {
 		return &PeerError{Node: node, Err: err}
 	}
 	o.source = "peer"
 	if o.revision <= revision {
-		// The peer restarted, or its datagram was overtaken.
+		// The peer restarted, or this node got newer rules since the datagram.
 		countFetch("current")
 		return &PeerError{Node: node, Err: &RevisionError{Revision: o.revision, Reason: "the peer has nothing newer"}}
 	}
-	return h.offer(o)
+	return h.adopt(o)
 }
 
-// openAnswer checks a peer's answer against its revision and checksum. Without
-// that, edits meant for another text would silently make a file nobody accepted.
-func openAnswer(res *wirepb.FetchRulesResponse, have int64, text string) (offer, error) {
-	o := offer{revision: res.GetRevision()}
+// decodeResponse verifies a peer's response by its revision and checksum. Otherwise
+// edits of another text would silently produce a file that was never accepted.
+func decodeResponse(res *wirepb.FetchRulesResponse, have int64, text string) (candidate, error) {
+	o := candidate{revision: res.GetRevision()}
 	sum := res.GetSha256()
 	switch delta := res.GetDelta(); {
 	case delta != nil:
 		if delta.GetFromRevision() != have || delta.GetToRevision() != o.revision {
-			return offer{}, &RevisionError{Revision: o.revision, Reason: "the edits are for other revisions"}
+			return candidate{}, &RevisionError{Revision: o.revision, Reason: "the peer's edits lead from or to another revision"}
 		}
 		o.base, o.edits = have, fromWire(delta.GetEdits())
 		edited, err := rules.ApplyEdits(text, o.edits)
 		if err != nil {
-			return offer{}, err
+			return candidate{}, err
 		}
 		o.text, sum = edited, delta.GetSha256()
 		countFetch("delta")
@@ -152,7 +155,7 @@
 	}
 	want := rules.Checksum(o.text)
 	if !bytes.Equal(want[:], sum) {
-		return offer{}, &ChecksumError{Source: "a peer, sum " + hex.EncodeToString(sum), Revision: o.revision}
+		return candidate{}, &ChecksumError{Source: "a peer, sum " + hex.EncodeToString(sum), Revision: o.revision}
 	}
 	return o, nil
 }
--- a/internal/rulestore/record.go
+++ b/internal/rulestore/record.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// maxRecordBytes bounds the record with the whole file: the store's bound
-	// for one value, less some room for its own framing.
+	// maxRecordBytes bounds the record with the complete file. It is the store's
+	// limit for one value, less an allowance for the store's own framing.
 	maxRecordBytes = 1_000_000
-	// maxEditBytes bounds the edits that a history record keeps. A change above
-	// it is fetched as a whole file, and ends how far back history can be shown.
+	// maxEditBytes bounds the edits in a history record. A larger change is
+	// fetched as a complete file, and texts before it can't be reconstructed.
 	maxEditBytes = 64 << 10
-	// MaxHistory is how many changes the store keeps.
+	// MaxHistory is about how many changes the store keeps; see trimHistory.
 	MaxHistory = 256
 )
 
@@ -34,9 +34,9 @@
 	BaseRevision int64  `json:"base_revision"`
 }
 
-// changeRecord is the value of one history key. The key is the base revision,
-// which at most one accepted change has; the revision that the change led to is
-// the key's mod revision, as both are written in one transaction.
+// changeRecord is the value of one history key. The key holds the base revision,
+// which is unique to an accepted change. The key's mod revision is the revision
+// that the change led to, since both records are written in one transaction.
 type changeRecord struct {
 	Author       string `json:"author"`
 	WriteID      string `json:"write_id"`
@@ -44,17 +44,17 @@
 	SHA256       string `json:"sha256"` // of the text after the change
 	LinesAdded   int    `json:"lines_added"`
 	LinesRemoved int    `json:"lines_removed"`
-	// Edits lead from the base to the text after the change and Undo leads back.
-	// Both are missing, and Whole is set, when they are too large.
-	Edits []rules.Edit `json:"edits,omitempty"`
-	Undo  []rules.Edit `json:"undo,omitempty"`
-	Whole bool         `json:"whole,omitempty"`
+	// Edits turn the base text into the new text, and Undo reverses them. If they
+	// are larger than maxEditBytes, both are empty and EditsOmitted is set.
+	Edits        []rules.Edit `json:"edits,omitempty"`
+	Undo         []rules.Edit `json:"undo,omitempty"`
+	EditsOmitted bool         `json:"whole,omitempty"`
 }
 
 func historyKey(base int64) string { return fmt.Sprintf("%s%020d", store.RulesHistoryPrefix, base) }
 
-// baseOf is the base revision in a history key.
-func baseOf(key string) (int64, error) {
+// parseHistoryKey returns the base revision in a history key.
+func parseHistoryKey(key string) (int64, error) {
 	return strconv.ParseInt(strings.TrimPrefix(key, store.RulesHistoryPrefix), 10, 64)
 }
 
@@ -63,8 +63,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// makeRecords builds both records of a change.
-func makeRecords(req ApplyRequest, baseText string, now time.Time) (fileRecord, changeRecord) {
+// newRecords returns the file record and the history record of a change.
+func newRecords(req ApplyRequest, baseText string, now time.Time) (fileRecord, changeRecord) {
 	file := fileRecord{
 		Text:         req.Text,
 		SHA256:       checksum(req.Text),
@@ -86,12 +86,12 @@
 		change.LinesRemoved += e.Removed
 	}
 	if editBytes(change.Edits)+editBytes(change.Undo) > maxEditBytes {
-		change.Edits, change.Undo, change.Whole = nil, nil, true
+		change.Edits, change.Undo, change.EditsOmitted = nil, nil, true
 	}
 	return file, change
 }
 
-// editBytes is about how much the edits take when sent or kept.
+// editBytes estimates the encoded size of the edits.
 func editBytes(edits []rules.Edit) int {
 	const perEdit = 24
 	n := 0
@@ -104,8 +104,8 @@
 	return n
 }
 
-// encode is JSON without the escapes for HTML, which would swell the file.
-func encode(v any) ([]byte, error) {
+// encodeJSON returns v as JSON without HTML escapes, which would enlarge the file.
+func encodeJSON(v any) ([]byte, error) {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
 	e.SetEscapeHTML(false)
--- a/internal/rulestore/state.go
+++ b/internal/rulestore/state.go
@@ -9,125 +9,132 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// Timing sets how a node keeps up with the newest rules.
+// Timing holds the intervals and delays by which a node follows the newest rules.
 type Timing struct {
-	// PeerGatherTime is how long a starting node listens to its peers, from the first it
-	// hears, before it takes the highest revision among them, when the store
+	// PeerGatherTime is how long a starting node collects its peers' revisions, counted
+	// from the first datagram, before it adopts the highest of them if the store
 	// doesn't answer. It covers a few datagrams: one from a seed, which names the
 	// other nodes, and one each way to those.
 	PeerGatherTime time.Duration
-	// StartJitter spreads the reads of the whole file by nodes that start at once,
-	// and a quarter of it their checks. A node that a peer serves first doesn't read.
+	// StartJitter spreads the reads of the complete file by nodes that start at the
+	// same time, and a quarter of it spreads their checks. A node that gets the
+	// rules from a peer first doesn't read the file.
 	StartJitter time.Duration
-	// FetchJitter spreads the fetches of many nodes that hear of a change at once.
+	// FetchJitter spreads the fetches of nodes that learn of a change at the same time.
 	FetchJitter time.Duration
-	// CheckInterval is how often a watching node asks the store for the newest
-	// revision, because an open watch can be silently dead. It bounds the delay
-	// of a change when every watch of the system is dead.
+	// CheckInterval is how often a watching node reads the newest revision from the
+	// store, because an open watch can be dead without an error. It bounds the
+	// delay of a change if every watch of the system is dead.
 	CheckInterval time.Duration
 	// SilenceTimeout is how long a node that doesn't watch may hear nothing from peers
-	// before it asks the store; SilentCheckInterval spreads and spaces these questions.
+	// before it checks the store; SilentCheckInterval spreads these checks and is
+	// their mean interval.
 	SilenceTimeout, SilentCheckInterval time.Duration
-	// RetryMin and RetryMax bound the growing pause between failed calls.
+	// RetryMin and RetryMax bound the exponential backoff after failed calls.
 	RetryMin, RetryMax time.Duration
-	// PeerTTL is how long a peer's word about its revision is believed.
+	// PeerTTL is how long a peer's announced revision stays valid.
 	PeerTTL time.Duration
 }
 
-// DefaultTiming keeps a change within 16 s on every node that is heard.
+// DefaultTiming returns intervals that bring a change into force within 16 s on
+// every node that exchanges datagrams with its peers.
 func DefaultTiming() Timing {
 	return Timing{
 		PeerGatherTime:      4 * time.Second,
-		StartJitter: 2 * time.Second,
-		FetchJitter: time.Second,
-		CheckInterval:  10 * time.Second,
-		SilenceTimeout:     15 * time.Second,
+		StartJitter:         2 * time.Second,
+		FetchJitter:         time.Second,
+		CheckInterval:       10 * time.Second,
+		SilenceTimeout:      15 * time.Second,
 		SilentCheckInterval: 30 * time.Second,
-		RetryMin:    time.Second,
-		RetryMax:    30 * time.Second,
-		PeerTTL:     30 * time.Second,
+		RetryMin:            time.Second,
+		RetryMax:            30 * time.Second,
+		PeerTTL:             30 * time.Second,
 	}
 }
 
-// Events that a state decides on.
+// Events handled by state.step.
 type (
 	// event is one of the types below.
 	event any
-	// ticked passes time; duty says whether this node is to watch the store.
-	ticked struct{ duty bool }
-	// peerShown is a revision that a peer says it has in force.
-	peerShown struct {
+	// ticked is sent every tickInterval; watcher tells whether this node should
+	// watch the store.
+	ticked struct{ watcher bool }
+	// peerObserved is a revision announced by a peer as in force.
+	peerObserved struct {
 		node     cluster.NodeID
 		revision int64
 	}
-	// peerAnswered ends a fetch; ok means a text was received and is intact.
-	peerAnswered struct {
+	// fetchDone ends a fetch from a peer; ok is false if the call failed, the peer had
+	// nothing newer or its text could not be verified or parsed.
+	fetchDone struct {
 		node cluster.NodeID
 		ok   bool
 	}
-	// storeChecked ends a check; revision zero means that the store has no rules.
-	storeChecked struct {
+	// checkDone ends a check of the store; revision zero means that it has no rules.
+	checkDone struct {
 		revision int64
 		ok       bool
 	}
-	// storeRead ends a read of the whole file.
-	storeRead struct{ ok bool }
-	// watchShowed is a revision seen by the watch that its edits didn't lead to.
-	watchShowed struct{ revision int64 }
-	// adopted is a revision now in force on this node.
+	// readDone ends a read of the complete file.
+	readDone struct{ ok bool }
+	// watchObserved is a revision seen by the watch that could not be reached by edits.
+	watchObserved struct{ revision int64 }
+	// adopted is a revision that came into force on this node.
 	adopted struct{ revision int64 }
-	// unreadable is an accepted revision that this node's version can't parse.
+	// unreadable is an accepted revision that this version of the program can't parse.
 	unreadable struct{ revision int64 }
 )
 
-// Actions that a state asks for.
+// Actions returned by state.step.
 type (
 	// action is one of the types below.
 	action any
-	// fetchPeer gets the rules from a peer.
+	// fetchPeer fetches the rules from a peer.
 	fetchPeer struct{ node cluster.NodeID }
-	// checkStore asks the store for the newest revision, without the text.
+	// checkStore reads the newest revision from the store, without the text.
 	checkStore struct{}
-	// readStore reads the whole file from the store.
+	// readStore reads the complete file from the store.
 	readStore struct{}
 	// restartWatch replaces a watch that missed a change.
 	restartWatch struct{}
 )
 
-// peer is one node that shows a revision higher than the one in force.
+// peer is a node that announced a revision higher than the one in force here.
 type peer struct {
-	revision  int64
-	shownAt   time.Time
-	notBefore time.Time // after a failed fetch
+	revision   int64
+	observedAt time.Time
+	notBefore  time.Time // after a failed fetch
 }
 
-// state decides how one node comes to the newest rules. It isn't safe for
-// concurrent use.
+// state is the decision logic by which a node follows the newest rules. It isn't
+// safe for concurrent use.
 type state struct {
 	timing Timing
 	rand   *rand.Rand
 
 	inForce int64
-	// unreadable isn't asked for again: each try would fail the same way. It still
+	// unreadable is the highest revision that can't be parsed here. It isn't
+	// requested again, since each attempt would fail in the same way. It still
 	// counts as known, so that a node with an old program doesn't start with rules
-	// that were replaced since.
+	// that have been replaced.
 	unreadable int64
 	peers      map[cluster.NodeID]peer
 	lastHeard  time.Time
-	// gatherUntil is zero until the first peer is heard.
+	// gatherUntil ends the collection of peers' revisions; zero until the first
+	// peer is heard.
 	gatherUntil time.Time
 	fetching    bool
 	fetchAt     time.Time
 
-	duty, silent   bool
-	storeAnswered  bool
-	storeRevision  int64
-	askingStore    bool
-	nextCheck      time.Time
-	nextRead       time.Time
-	checkPause     time.Duration
-	readPause      time.Duration
-	watchMissedOne bool
+	watcher, silent bool
+	storeAnswered   bool
+	storeRevision   int64
+	storeCallActive bool
+	nextCheck       time.Time
+	nextRead        time.Time
+	checkPause      time.Duration
+	readPause       time.Duration
+	watchStale      bool
 }
 
 func newState(timing Timing, rnd *rand.Rand, now time.Time) *state {
@@ -137,20 +144,20 @@
 	return s
 }
 
-// step takes one event and returns what is to be done.
+// step handles one event and returns the resulting actions.
 func (s *state) step(ev event, now time.Time) []action {
 	switch ev := ev.(type) {
 	case ticked:
-		s.tick(ev.duty, now)
-	case peerShown:
-		s.showPeer(ev, now)
-	case peerAnswered:
-		s.endFetch(ev, now)
-	case storeChecked:
-		s.endCheck(ev, now)
-	case storeRead:
-		s.endRead(ev, now)
-	case watchShowed:
+		s.tick(ev.watcher, now)
+	case peerObserved:
+		s.observePeer(ev, now)
+	case fetchDone:
+		s.finishFetch(ev, now)
+	case checkDone:
+		s.finishCheck(ev, now)
+	case readDone:
+		s.finishRead(ev, now)
+	case watchObserved:
 		s.storeRevision = max(s.storeRevision, ev.revision)
 	case adopted:
 		s.adopt(ev.revision)
@@ -160,39 +167,39 @@
 	return s.decide(now)
 }
 
-// accepts reports whether a text of this revision may come into force now.
+// accepts reports whether a revision may come into force now.
 func (s *state) accepts(revision int64) bool {
 	if s.inForce > 0 {
 		return revision > s.inForce
 	}
-	return revision > 0 && revision >= s.floor()
+	return revision > 0 && revision >= s.highestKnown()
 }
 
-// floor is the highest revision that this node knows to have been accepted. A
-// node without rules takes nothing lower: its former self may have had it in
-// force, and callers would see an accepted change revert.
-func (s *state) floor() int64 {
-	floor := s.storeRevision
+// highestKnown returns the highest revision known to have been accepted. A node
+// without rules adopts nothing lower: it may have had that revision in force before
+// a restart, and callers would see an accepted change revert.
+func (s *state) highestKnown() int64 {
+	highest := s.storeRevision
 	for _, p := range s.peers {
-		floor = max(floor, p.revision)
+		highest = max(highest, p.revision)
 	}
-	return floor
+	return highest
 }
 
-func (s *state) tick(duty bool, now time.Time) {
-	s.duty = duty
+func (s *state) tick(watcher bool, now time.Time) {
+	s.watcher = watcher
 	maps.DeleteFunc(s.peers, func(_ cluster.NodeID, p peer) bool {
-		return now.Sub(p.shownAt) > s.timing.PeerTTL
+		return now.Sub(p.observedAt) > s.timing.PeerTTL
 	})
 	silent := now.Sub(s.lastHeard) >= s.timing.SilenceTimeout
-	if silent && !s.silent && !duty {
-		// Whole zones fall silent at once, so the first question is spread too.
-		s.nextCheck = latest(s.nextCheck, now.Add(s.jitter(s.timing.SilentCheckInterval)))
+	if silent && !s.silent && !watcher {
+		// A fault may silence a complete zone at once, so the first check is spread too.
+		s.nextCheck = later(s.nextCheck, now.Add(s.jitter(s.timing.SilentCheckInterval)))
 	}
 	s.silent = silent
 }
 
-func (s *state) showPeer(ev peerShown, now time.Time) {
+func (s *state) observePeer(ev peerObserved, now time.Time) {
 	s.lastHeard = now
 	if s.gatherUntil.IsZero() {
 		s.gatherUntil = now.Add(s.timing.PeerGatherTime)
@@ -202,46 +209,46 @@
 		return
 	}
 	p := s.peers[ev.node]
-	p.revision, p.shownAt = ev.revision, now
+	p.revision, p.observedAt = ev.revision, now
 	s.peers[ev.node] = p
 }
 
-func (s *state) endFetch(ev peerAnswered, now time.Time) {
+func (s *state) finishFetch(ev fetchDone, now time.Time) {
 	s.fetching = false
 	if ev.ok {
 		return
 	}
 	if p, known := s.peers[ev.node]; known {
-		p.notBefore = now.Add(s.around(2 * s.timing.RetryMin))
+		p.notBefore = now.Add(s.jitterAround(2 * s.timing.RetryMin))
 		s.peers[ev.node] = p
 	}
 }
 
-func (s *state) endCheck(ev storeChecked, now time.Time) {
-	s.askingStore = false
+func (s *state) finishCheck(ev checkDone, now time.Time) {
+	s.storeCallActive = false
 	if !ev.ok {
-		s.checkPause = s.longer(s.checkPause)
-		s.nextCheck = now.Add(s.around(s.checkPause))
+		s.checkPause = s.nextBackoff(s.checkPause)
+		s.nextCheck = now.Add(s.jitterAround(s.checkPause))
 		return
 	}
 	s.checkPause = 0
 	s.storeAnswered = true
 	s.storeRevision = max(s.storeRevision, ev.revision)
-	s.watchMissedOne = s.duty && s.inForce > 0 && ev.revision > s.inForce
+	s.watchStale = s.watcher && s.inForce > 0 && ev.revision > s.inForce
 	every := s.timing.SilentCheckInterval
-	if s.duty {
+	if s.watcher {
 		every = s.timing.CheckInterval
 	}
 	s.nextCheck = now.Add(every*4/5 + s.jitter(every*2/5))
 }
 
-func (s *state) endRead(ev storeRead, now time.Time) {
-	s.askingStore = false
+func (s *state) finishRead(ev readDone, now time.Time) {
+	s.storeCallActive = false
 	if ev.ok && s.storeRevision <= s.inForce {
 		return
 	}
-	s.readPause = s.longer(s.readPause)
-	s.nextRead = now.Add(s.around(s.readPause))
+	s.readPause = s.nextBackoff(s.readPause)
+	s.nextRead = now.Add(s.jitterAround(s.readPause))
 }
 
 func (s *state) adopt(revision int64) {
@@ -252,8 +259,8 @@
 
 func (s *state) decide(now time.Time) []action {
 	var actions []action
-	if s.watchMissedOne {
-		s.watchMissedOne = false
+	if s.watchStale {
+		s.watchStale = false
 		actions = append(actions, restartWatch{})
 	}
 	if node, ok := s.peerToFetch(now); ok {
@@ -262,20 +269,21 @@
 		actions = append(actions, fetchPeer{node})
 	}
 	switch {
-	case s.askingStore:
+	case s.storeCallActive:
 	case s.wantsRead(now):
-		s.askingStore = true
+		s.storeCallActive = true
 		actions = append(actions, readStore{})
 	case s.wantsCheck(now):
-		s.askingStore = true
+		s.storeCallActive = true
 		actions = append(actions, checkStore{})
 	}
 	return actions
 }
 
-// peerToFetch picks a peer with the highest revision once the jitter has passed.
+// peerToFetch returns a random peer with the highest revision, once the fetch
+// jitter has passed.
 func (s *state) peerToFetch(now time.Time) (cluster.NodeID, bool) {
-	if s.fetching || !s.gathered(now) {
+	if s.fetching || !s.newestKnown(now) {
 		return "", false
 	}
 	best := s.bestPeers(now)
@@ -292,13 +300,13 @@
 	return best[s.rand.IntN(len(best))], true
 }
 
-// gathered reports whether enough is known to say what the newest revision is.
-func (s *state) gathered(now time.Time) bool {
+// newestKnown reports whether the node knows enough to tell the newest revision: it has
+// rules, the store has answered, or the time to gather peers' revisions is over.
+func (s *state) newestKnown(now time.Time) bool {
 	return s.inForce > 0 || s.storeAnswered || !s.gatherUntil.IsZero() && !now.Before(s.gatherUntil)
 }
 
-// bestPeers lists, in order, the peers that show the highest revision that may
-// come into force and are not in a pause after a failure.
+// bestPeers returns the fetchable peers with the highest revision, sorted by id.
 func (s *state) bestPeers(now time.Time) []cluster.NodeID {
 	highest := int64(0)
 	for _, p := range s.peers {
@@ -320,37 +328,37 @@
 	return s.accepts(p.revision) && p.revision > s.unreadable && !now.Before(p.notBefore)
 }
 
-// wantsRead is true when the store is known to have a newer file and no peer is
-// about to give it, which spares the store the large read.
+// wantsRead reports whether to read the complete file: the store is known to have a
+// newer one and no peer can provide it, which would save the store a large read.
 func (s *state) wantsRead(now time.Time) bool {
 	if s.storeRevision <= max(s.inForce, s.unreadable) || now.Before(s.nextRead) {
 		return false
 	}
-	if s.duty && s.inForce > 0 {
-		return true // the others wait for this node
+	if s.watcher && s.inForce > 0 {
+		return true // other nodes get the change from the watchers
 	}
 	return !s.fetching && len(s.bestPeers(now)) == 0
 }
 
 func (s *state) wantsCheck(now time.Time) bool {
 	starting := s.inForce == 0 && !s.storeAnswered
-	return (s.duty || s.silent || starting) && !now.Before(s.nextCheck)
+	return (s.watcher || s.silent || starting) && !now.Before(s.nextCheck)
 }
 
-// longer is the next pause after a failure.
-func (s *state) longer(pause time.Duration) time.Duration {
+// nextBackoff returns the pause that follows pause in the exponential backoff.
+func (s *state) nextBackoff(pause time.Duration) time.Duration {
 	return min(max(2*pause, s.timing.RetryMin), s.timing.RetryMax)
 }
 
-// jitter is a random part of d.
+// jitter returns a random duration between 0 and d.
 func (s *state) jitter(d time.Duration) time.Duration {
 	return time.Duration(s.rand.Int64N(int64(d) + 1))
 }
 
-// around is d, give or take half of it.
-func (s *state) around(d time.Duration) time.Duration { return d/2 + s.jitter(d) }
+// jitterAround returns a random duration between d/2 and 3d/2.
+func (s *state) jitterAround(d time.Duration) time.Duration { return d/2 + s.jitter(d) }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/rulestore/trace_test.go
+++ b/internal/rulestore/trace_test.go
@@ -16,8 +16,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// TestTraces replays recorded events and compares the decisions with those stated
-// in the trace. The format is in testdata/traces/README.md.
+// TestTraces replays recorded events and compares the decisions with those in the
+// trace. The format is described in testdata/traces/README.md.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/traces/*.trace")
 	require.NoError(t, err)
@@ -25,24 +25,24 @@
 	for _, name := range files {
 		t.Run(filepath.Base(name), func(t *testing.T) {
 			tr := readTrace(t, name)
-			require.Equal(t, strings.Join(tr.stated, "\n"), strings.Join(tr.replay(), "\n"))
+			require.Equal(t, strings.Join(tr.expected, "\n"), strings.Join(tr.replay(), "\n"))
 		})
 	}
 }
 
-// trace is a recorded history of one node's events.
+// trace is a recorded sequence of one node's events and the expected decisions.
 type trace struct {
-	seed   uint64
-	events []traceEvent
-	end    time.Duration
-	stated []string
+	seed     uint64
+	events   []traceEvent
+	end      time.Duration
+	expected []string
 }
 
 type traceEvent struct {
 	at time.Duration
 	ev event
-	// duty, when set, changes what the ticks after it say.
-	duty *bool
+	// watcher, if set, applies to the ticks that follow.
+	watcher *bool
 }
 
 func readTrace(t *testing.T, name string) *trace {
@@ -58,7 +58,7 @@
 		case words[0] == "decisions":
 			decisions = true
 		case decisions:
-			tr.stated = append(tr.stated, strings.Join(words, " "))
+			tr.expected = append(tr.expected, strings.Join(words, " "))
 		case words[0] == "seed":
 			tr.seed = uint64(number(t, words[1]))
 		default:
@@ -76,21 +76,21 @@
 	e := traceEvent{at: at}
 	switch words[1] {
 	case "duty":
-		duty := arg(0) == "yes"
-		e.duty = &duty
+		watcher := arg(0) == "yes"
+		e.watcher = &watcher
 	case "shown":
-		e.ev = peerShown{cluster.NodeID(arg(0)), number(t, arg(1))}
+		e.ev = peerObserved{cluster.NodeID(arg(0)), number(t, arg(1))}
 	case "answered":
-		e.ev = peerAnswered{cluster.NodeID(arg(0)), !failed}
+		e.ev = fetchDone{cluster.NodeID(arg(0)), !failed}
 	case "checked":
-		e.ev = storeChecked{}
+		e.ev = checkDone{}
 		if !failed {
-			e.ev = storeChecked{number(t, arg(0)), true}
+			e.ev = checkDone{number(t, arg(0)), true}
 		}
 	case "read":
-		e.ev = storeRead{!failed}
+		e.ev = readDone{!failed}
 	case "watched":
-		e.ev = watchShowed{number(t, arg(0))}
+		e.ev = watchObserved{number(t, arg(0))}
 	case "in-force":
 		e.ev = adopted{number(t, arg(0))}
 	case "end":
@@ -108,38 +108,40 @@
 	return n
 }
 
-// replay feeds the events, with the ticks between them, and lists the decisions.
+// replay feeds the events and the ticks between them to a state and returns its
+// decisions.
 func (tr *trace) replay() []string {
 	var log []string
 	start := time.Unix(0, 0)
 	s := newState(DefaultTiming(), rand.New(rand.NewPCG(tr.seed, tr.seed)), start)
-	duty := false
+	watcher := false
 	events := tr.events
-	for at := time.Duration(0); at <= tr.end; at += tickEvery {
+	for at := time.Duration(0); at <= tr.end; at += tickInterval {
 		for len(events) > 0 && events[0].at <= at {
 			e := events[0]
 			events = events[1:]
-			if e.duty != nil {
-				duty = *e.duty
+			if e.watcher != nil {
+				watcher = *e.watcher
 				continue
 			}
-			if !s.asked(e.ev) {
+			if !s.awaits(e.ev) {
 				log = append(log, fmt.Sprintf("%s answer without a question", e.at))
 			}
 			log = append(log, describe(e.at, s.step(e.ev, start.Add(e.at)))...)
 		}
-		log = append(log, describe(at, s.step(ticked{duty}, start.Add(at)))...)
+		log = append(log, describe(at, s.step(ticked{watcher}, start.Add(at)))...)
 	}
 	return log
 }
 
-// asked reports whether an event that is an answer follows on a decision.
-func (s *state) asked(ev event) bool {
+// awaits reports whether the state expects the event: the end of a call must follow
+// the decision to make it.
+func (s *state) awaits(ev event) bool {
 	switch ev.(type) {
-	case peerAnswered:
+	case fetchDone:
 		return s.fetching
-	case storeChecked, storeRead:
-		return s.askingStore
+	case checkDone, readDone:
+		return s.storeCallActive
 	default:
 		return true
 	}
--- a/internal/rulestore/watch.go
+++ b/internal/rulestore/watch.go
@@ -9,38 +9,38 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// watchControl starts, ends and replaces the watch of the history records.
+// watchControl holds the cancel functions of the watch on the history records.
 type watchControl struct {
-	mu      sync.Mutex
-	stop    context.CancelFunc // ends the watching; nil when not on duty
-	renewed context.CancelFunc // ends the call that is open now
+	mu         sync.Mutex
+	stop       context.CancelFunc // ends the watch loop; nil if it isn't running
+	cancelCall context.CancelFunc // ends the open Watch call; the loop opens a new one
 }
 
 func (w *watchControl) restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.renewed != nil {
-		w.renewed()
+	if w.cancelCall != nil {
+		w.cancelCall()
 	}
 }
 
-// keepWatch watches exactly while the node has the duty.
-func (h *Holder) keepWatch(ctx context.Context, work *sync.WaitGroup, duty bool) {
+// updateWatch starts or stops the watch loop so that it runs while watcher is set.
+func (h *Holder) updateWatch(ctx context.Context, workers *sync.WaitGroup, watcher bool) {
 	w := &h.watch
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if duty && w.stop == nil {
+	if watcher && w.stop == nil {
 		ctx, stop := context.WithCancel(ctx)
 		w.stop = stop
-		work.Go(func() { h.watchLoop(ctx) })
+		workers.Go(func() { h.watchLoop(ctx) })
 	}
-	if !duty && w.stop != nil {
+	if !watcher && w.stop != nil {
 		w.stop()
 		w.stop = nil
 	}
 }
 
-// watchLoop opens the watch again whenever it ends, after a growing pause.
+// watchLoop reopens the watch whenever it ends, with exponential backoff.
 func (h *Holder) watchLoop(ctx context.Context) {
 	pause := time.Duration(0)
 	for ctx.Err() == nil {
@@ -49,8 +49,8 @@
 			pause = 0
 		}
 		h.mu.Lock()
-		pause = h.state.longer(pause)
-		wait := h.state.around(pause)
+		pause = h.state.nextBackoff(pause)
+		wait := h.state.jitterAround(pause)
 		h.mu.Unlock()
 		if ctx.Err() == nil {
 			h.log.Warn("rules watch ended", "event", "rules_watch_ended", "err", err, "again_in", wait)
@@ -62,13 +62,13 @@
 	}
 }
 
-// watchOnce reads one watch to its end. It returns nil if the watch brought
-// anything, since the store was then well.
+// watchOnce reads one watch to its end. It returns nil if the watch delivered any
+// batch, since the store was then working.
 func (h *Holder) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	h.watch.mu.Lock()
-	h.watch.renewed = cancel
+	h.watch.cancelCall = cancel
 	h.watch.mu.Unlock()
 	from := int64(0)
 	if have := h.Revision(); have > 0 {
@@ -79,81 +79,82 @@
 	if err != nil {
 		return err
 	}
-	served := false
+	received := false
 	for batch := range batches {
 		if batch.Err != nil {
 			err = batch.Err
 			continue
 		}
-		served = true
+		received = true
 		for i := range batch.Events {
-			h.follow(&batch.Events[i])
+			h.handleWatchEvent(&batch.Events[i])
 		}
 	}
-	if served {
+	if received {
 		return nil
 	}
 	return err
 }
 
-// verdict says what a watched change means for a node.
-type verdict int
+// watchDecision tells how to handle a change seen by the watch.
+type watchDecision int
 
 const (
-	ignore verdict = iota // repeated or already known
-	apply                 // the next change
-	reread                // changes between were skipped
+	ignoreChange watchDecision = iota // the revision is not newer than the one in force
+	applyChange                       // the edits apply to the text in force
+	rereadFile                        // changes in between were skipped
 )
 
-// judge compares a watched change with the revision in force.
-func judge(inForce, base, revision int64) verdict {
+// decideWatch compares a change seen by the watch with the revision in force.
+func decideWatch(inForce, base, revision int64) watchDecision {
 	switch {
 	case revision <= inForce:
-		return ignore
+		return ignoreChange
 	case base == inForce && inForce > 0:
-		return apply
+		return applyChange
 	default:
-		return reread
+		return rereadFile
 	}
 }
 
-// follow takes one event of the watch into force, or has the file read again if
-// the edits don't lead there.
-func (h *Holder) follow(ev *store.Event) {
+// handleWatchEvent puts a watched change into force, or has the complete file read if
+// its edits can't be applied.
+func (h *Holder) handleWatchEvent(ev *store.Event) {
 	if ev.Type != store.EventPut {
-		return // old records are removed
+		return // a deletion by trimHistory
 	}
-	base, err := baseOf(ev.KV.Key)
+	base, err := parseHistoryKey(ev.KV.Key)
 	if err != nil {
-		return // not ours
+		return // not a history record
 	}
-	switch judge(h.Revision(), base, ev.KV.ModRevision) {
-	case ignore:
-	case apply:
-		o, ok := h.edited(&ev.KV, base)
-		if ok && h.offer(o) == nil {
+	switch decideWatch(h.Revision(), base, ev.KV.ModRevision) {
+	case ignoreChange:
+	case applyChange:
+		o, ok := h.applyRecord(&ev.KV, base)
+		if ok && h.adopt(o) == nil {
 			return
 		}
-		h.post(watchShowed{ev.KV.ModRevision})
-	case reread:
-		h.post(watchShowed{ev.KV.ModRevision})
+		h.handle(watchObserved{ev.KV.ModRevision})
+	case rereadFile:
+		h.handle(watchObserved{ev.KV.ModRevision})
 	}
 }
 
-// edited applies the record's edits to the text in force.
-func (h *Holder) edited(kv *store.KV, base int64) (offer, bool) {
+// applyRecord applies the edits of a history record to the text in force. It reports
+// false if the record has no edits or they don't produce the accepted text.
+func (h *Holder) applyRecord(kv *store.KV, base int64) (candidate, bool) {
 	change, err := decodeChange(kv)
-	if err != nil || change.Whole {
-		return offer{}, false
+	if err != nil || change.EditsOmitted {
+		return candidate{}, false
 	}
 	set := h.Current()
 	if set.Revision != base {
-		return offer{}, false
+		return candidate{}, false
 	}
 	text, err := rules.ApplyEdits(set.Text, change.Edits)
 	if err != nil || checksum(text) != change.SHA256 {
-		h.log.Error("rules edits don't fit", "event", "rules_edits_misfit", "revision", kv.ModRevision, "err", err)
-		return offer{}, false
+		h.log.Error("rules edits do not produce the accepted text", "event", "rules_edits_misfit", "revision", kv.ModRevision, "err", err)
+		return candidate{}, false
 	}
-	return offer{revision: kv.ModRevision, text: text, source: "watch", base: base, edits: change.Edits}, true
+	return candidate{revision: kv.ModRevision, text: text, source: "watch", base: base, edits: change.Edits}, true
 }
