--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -51,7 +51,7 @@
 // or the end of the route's timeout, whichever is earlier. It is zero if neither is set.
 func (c *Call) EffectiveDeadline() time.Time {
 	deadline := c.Deadline
-	if timeout := c.Route.Terms.Timeout; timeout > 0 {
+	if timeout := c.Route.Policy.Timeout; timeout > 0 {
 		if end := c.ReceivedAt.Add(timeout); deadline.IsZero() || end.Before(deadline) {
 			deadline = end
 		}
@@ -103,7 +103,7 @@
 // LikelyRetry reports whether the caller has probably sent this request before and was
 // refused or disconnected: less time is left than first attempts on the route have.
 func (c *Call) LikelyRetry() bool {
-	timeout := c.Route.Terms.Timeout
+	timeout := c.Route.Policy.Timeout
 	if timeout <= 0 || c.Deadline.IsZero() {
 		return false
 	}
--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -78,7 +78,7 @@
 		Transport: n.transport, Interval: n.cfg.Peers.Heartbeat, CheckDuplicate: n.findDuplicateNode, Log: n.log,
 	})
 	n.rules = rulestore.New(rulestore.Options{Store: n.store, Peers: peerFetcher{n}, Log: n.log,
-		Watch: func() bool { return n.members.Responsible("watch-rules", storeWatchersPerZone) }})
+		IsWatcher: func() bool { return n.members.Responsible("watch-rules", storeWatchersPerZone) }})
 	return nil
 }
 
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -182,28 +182,28 @@
 	return f
 }
 
-func (f *fixture) serve(ctx context.Context, terms rules.Terms) *recorder {
+func (f *fixture) serve(ctx context.Context, terms rules.RoutePolicy) *recorder {
 	if terms.MaxAttempts == 0 {
 		terms.MaxAttempts = 2
 	}
 	if terms.Timeout == 0 {
 		terms.Timeout = 5 * time.Second
 	}
-	terms.Split = []rules.Weighted{{Service: "s", Weight: 1}}
+	terms.Split = []rules.WeightedService{{Service: "s", Weight: 1}}
 	got := &recorder{}
 	model := ""
 	if terms.Kind == rules.CallStream {
 		model = "m"
 	}
-	f.relay.Serve(ctx, &call.Call{ID: "id-1", Model: model, Route: &rules.Route{Terms: &terms}, ReceivedAt: time.Now()}, got)
+	f.relay.Serve(ctx, &call.Call{ID: "id-1", Model: model, Route: &rules.Route{Policy: &terms}, ReceivedAt: time.Now()}, got)
 	return got
 }
 
 var (
-	safeTerms         = rules.Terms{Kind: rules.CallSafe}
-	unsafeTerms       = rules.Terms{Kind: rules.CallUnsafe}
-	resumableTerms    = rules.Terms{Kind: rules.CallStream, Resumable: true, TargetGap: 100 * time.Millisecond, Target: 100 * time.Millisecond}
-	nonResumableTerms = rules.Terms{Kind: rules.CallStream}
+	safeTerms         = rules.RoutePolicy{Kind: rules.CallSafe}
+	unsafeTerms       = rules.RoutePolicy{Kind: rules.CallUnsafe}
+	resumableTerms    = rules.RoutePolicy{Kind: rules.CallStream, Resumable: true, TargetGap: 100 * time.Millisecond, Target: 100 * time.Millisecond}
+	nonResumableTerms = rules.RoutePolicy{Kind: rules.CallStream}
 )
 
 func requireNotRun(t *testing.T, e *fennelerr.Error) {
