--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -76,7 +76,7 @@
 
 // ailment is what the servers suffer from while the faults come and go. It is no fault
 // of the list: recorded seeds draw from that.
-var ailment = standin.Faults{Shows: []standin.Fault{standin.FaultServerError, standin.FaultTruncated, standin.FaultWrongResponse, standin.FaultMissingEvent}, OneIn: ailingOneIn}
+var ailment = standin.Faults{Kinds: []standin.Fault{standin.FaultServerError, standin.FaultTruncated, standin.FaultWrongResponse, standin.FaultMissingEvent}, OneIn: ailingOneIn}
 
 func storeMode(mode Mode) func(*World, *rand.Rand) func() {
 	return func(w *World, rnd *rand.Rand) func() {
