--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -190,8 +190,8 @@
 		pending = kept
 	}
 	if w.opts.Ailing {
-		w.fleet.SetAilment(ailment)
-		defer w.fleet.SetAilment(standin.Faults{})
+		w.fleet.SetFaults(ailment)
+		defer w.fleet.SetFaults(standin.Faults{})
 	}
 	end := time.Now().Add(w.opts.Faults)
 	for time.Now().Before(end) {
