--- a/internal/soak/wire.go
+++ b/internal/soak/wire.go
@@ -10,7 +10,7 @@
 
 const configuration = standin.SmallConfig
 
-func stampRequest(h http.Header, id, model string) { standin.StampRequest(h, id, model) }
+func stampRequest(h http.Header, id, model string) { standin.SetRequestHeaders(h, id, model) }
 
 // wholeAnswer is what a call's answer must be.
 func wholeAnswer(c Call) string {
