--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -232,7 +232,7 @@
 			find("%s was told by %d that it did not run, and ran %d times", c.ID, c.Status, runs)
 		}
 	}
-	for _, wrong := range w.fleet.Wrong() {
+	for _, wrong := range w.fleet.Violations() {
 		find("%s", wrong)
 	}
 	for _, n := range w.nodes {
