--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -63,7 +63,7 @@
 	w.http = &http.Server{Handler: &standin.StoreHandler{Store: w.mem}}
 	go func() { _ = w.http.Serve(listener) }() // ends with close
 	shape := standin.DefaultOptions()
-	shape.Events, shape.Lease, shape.Advertise = soakPieces, 900*time.Millisecond, w.proxied
+	shape.Events, shape.LeaseTTL, shape.Advertise = soakPieces, 900*time.Millisecond, w.proxied
 	w.fleet = standin.NewFleet(w.mem, shape)
 	if err := w.configure(""); err != nil {
 		return nil, err
