--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -76,7 +76,7 @@
 
 // ailment is what the servers suffer from while the faults come and go. It is no fault
 // of the list: recorded seeds draw from that.
-var ailment = standin.Ailment{Shows: []standin.Misbehaviour{standin.FailItself, standin.BreakOff, standin.MixUp, standin.LoseEvent}, OneIn: ailingOneIn}
+var ailment = standin.Faults{Kinds: []standin.Fault{standin.FaultServerError, standin.FaultTruncated, standin.FaultWrongResponse, standin.FaultMissingEvent}, OneIn: ailingOneIn}
 
 func storeMode(mode Mode) func(*World, *rand.Rand) func() {
 	return func(w *World, rnd *rand.Rand) func() {
@@ -190,8 +190,8 @@
 		pending = kept
 	}
 	if w.opts.Ailing {
-		w.fleet.SetAilment(ailment)
-		defer w.fleet.SetAilment(standin.Ailment{})
+		w.fleet.SetFaults(ailment)
+		defer w.fleet.SetFaults(standin.Faults{})
 	}
 	end := time.Now().Add(w.opts.Faults)
 	for time.Now().Before(end) {
@@ -232,7 +232,7 @@
 			find("%s was told by %d that it did not run, and ran %d times", c.ID, c.Status, runs)
 		}
 	}
-	for _, wrong := range w.fleet.Wrong() {
+	for _, wrong := range w.fleet.Violations() {
 		find("%s", wrong)
 	}
 	for _, n := range w.nodes {
