--- a/internal/fleet/mirror.go
+++ b/internal/fleet/mirror.go
@@ -110,7 +110,7 @@
 
 // Run follows the store until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
-	retry := clock.Backoff{Least: retryInterval, Most: retryInterval}
+	retry := clock.Backoff{Min: retryInterval, Most: retryInterval}
 	if m.feed != nil {
 		retry.Most = maxFeedRetryInterval
 	}
