--- a/internal/clock/backoff.go
+++ b/internal/clock/backoff.go
@@ -8,13 +8,13 @@
 // Backoff chooses the pauses between tries that fail. Each is about twice the one
 // before, and random, so that many callers of one service spread.
 type Backoff struct {
-	Min, Most time.Duration
-	next        time.Duration
+	Min, Max time.Duration
+	next     time.Duration
 }
 
 // Next is the pause before the next try.
 func (b *Backoff) Next() time.Duration {
-	mean := min(max(b.next, b.Min), b.Most)
+	mean := min(max(b.next, b.Min), b.Max)
 	b.next = 2 * mean
 	return mean/2 + rand.N(mean)
 }
--- a/internal/fleet/mirror.go
+++ b/internal/fleet/mirror.go
@@ -110,9 +110,9 @@
 
 // Run follows the store until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
-	retry := clock.Backoff{Min: retryInterval, Most: retryInterval}
+	retry := clock.Backoff{Min: retryInterval, Max: retryInterval}
 	if m.feed != nil {
-		retry.Most = maxFeedRetryInterval
+		retry.Max = maxFeedRetryInterval
 	}
 	started := time.Now()
 	var nextRead time.Time // earliest time of the next read of the store
--- a/internal/formation/acquire_schedule.go
+++ b/internal/formation/acquire_schedule.go
@@ -34,7 +34,7 @@
 }
 
 func newAcquireSchedule(standby bool) *acquireSchedule {
-	return &acquireSchedule{standby: standby, retry: clock.Backoff{Min: minRetryDelay, Most: maxRetryDelay}}
+	return &acquireSchedule{standby: standby, retry: clock.Backoff{Min: minRetryDelay, Max: maxRetryDelay}}
 }
 
 // due reports whether to attempt to acquire the lease now, given whether it is free.
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -215,7 +215,7 @@
 // it retries soon: two intervals without an extension use up most of the lease's TTL.
 func (c *Controller) extendLease(ctx context.Context, lease *grouping.Lease) {
 	interval := c.opts.LeaseTTL / 4
-	retry := clock.Backoff{Min: interval / 8, Most: interval}
+	retry := clock.Backoff{Min: interval / 8, Max: interval}
 	pause := interval
 	for clock.Pause(ctx, pause) && lease.Remaining(time.Now()) > 0 {
 		callCtx, cancel := context.WithTimeout(ctx, interval)
