--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -6,8 +6,8 @@
 
 import "time"
 
-// Figures are an engine's published figures. The zero value says that none are known.
-type Figures struct {
+// Profile are an engine's published figures. The zero value says that none are known.
+type Profile struct {
 	// Slots is how many requests a replica runs at once; the others wait.
 	Slots int
 	// Stride is how many token steps a pass has in which requests write.
@@ -29,17 +29,17 @@
 }
 
 // Known reports whether there are figures to reckon with.
-func (f Figures) Known() bool { return f.Slots > 0 && f.Step > 0 && f.ReadPerSecond > 0 }
+func (f Profile) Known() bool { return f.Slots > 0 && f.Step > 0 && f.ReadPerSecond > 0 }
 
 // StepTime is how long a token step takes in which so many requests write, with so
 // many tokens of context in all.
-func (f Figures) StepTime(writers, context int) time.Duration {
+func (f Profile) StepTime(writers, context int) time.Duration {
 	perContext := float64(f.PerContext) * float64(context) / 1000
 	return f.paced(f.Step + time.Duration(writers)*f.PerSequence + time.Duration(perContext))
 }
 
 // ReadTime is how long so many prompt tokens take to be read after so many before them.
-func (f Figures) ReadTime(tokens, before int) time.Duration {
+func (f Profile) ReadTime(tokens, before int) time.Duration {
 	pairs := float64(tokens) * (float64(before) + float64(tokens)/2) / 1e6
 	reading := time.Duration(float64(tokens) / f.ReadPerSecond * float64(time.Second))
 	return f.paced(reading + time.Duration(pairs*float64(f.PerPairs)))
@@ -47,13 +47,13 @@
 
 // Work is the part of a replica's time that a call takes when the replica is full: the
 // reading of its prompt, and its part of the steps that it shares with the others.
-func (f Figures) Work(prompt, answer int) time.Duration {
+func (f Profile) Work(prompt, answer int) time.Duration {
 	context := f.Slots * (prompt + answer/2)
 	step := f.StepTime(f.Slots, context)
 	return f.ReadTime(prompt, 0) + time.Duration(float64(answer)*float64(step)/float64(f.Slots))
 }
 
-func (f Figures) paced(d time.Duration) time.Duration {
+func (f Profile) paced(d time.Duration) time.Duration {
 	if f.Pace <= 0 {
 		return d
 	}
--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -21,7 +21,7 @@
 // Replica plays the passes of one replica. It has no clock: Pass says how long a pass
 // takes, and what it wrote by its end. It is not safe for concurrent use.
 type Replica struct {
-	Figures Figures
+	Figures Profile
 	// Slow is a factor on all times, for a replica with a slow member; 1 where it is 0.
 	Slow float64
 
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -141,9 +141,9 @@
 }
 
 // figures are the engine's for one model.
-func (s *Scenario) figures(m Model) enginemodel.Figures {
+func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
-	return enginemodel.Figures{Slots: e.Slots, Stride: e.Stride, Chunk: e.Chunk, Step: e.Step, PerSequence: e.PerSequence, PerContext: e.PerContext,
+	return enginemodel.Profile{Slots: e.Slots, Stride: e.Stride, Chunk: e.Chunk, Step: e.Step, PerSequence: e.PerSequence, PerContext: e.PerContext,
 		ReadPerSecond: e.ReadPerSecond, PerPairs: e.PerPairs, Pace: m.Pace}
 }
 
--- a/internal/rules/types.go
+++ b/internal/rules/types.go
@@ -92,7 +92,7 @@
 	WarmLoad time.Duration
 	// Engine has the published figures of the group's engines; the zero value where
 	// none are known.
-	Engine enginemodel.Figures
+	Engine enginemodel.Profile
 }
 
 // Once says whether calls on a route need an idempotency key.
