--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -10,8 +10,8 @@
 type Profile struct {
 	// Slots is how many requests a replica runs at once; the others wait.
 	Slots int
-	// Stride is how many token steps a pass has in which requests write.
-	Stride int
+	// StepsPerPass is how many token steps a pass has in which requests write.
+	StepsPerPass int
 	// Chunk is the most prompt tokens that are read in one step.
 	Chunk int
 	// Step is how long a token step takes without requests, PerSequence what each
--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -62,10 +62,10 @@
 		}
 	}
 	if len(wrote) > 0 {
-		took += time.Duration(r.Figures.Stride) * r.Figures.StepTime(len(wrote), context)
+		took += time.Duration(r.Figures.StepsPerPass) * r.Figures.StepTime(len(wrote), context)
 	}
 	for _, j := range wrote {
-		j.written = min(j.written+r.Figures.Stride, j.Answer)
+		j.written = min(j.written+r.Figures.StepsPerPass, j.Answer)
 	}
 	r.running = slices.DeleteFunc(r.running, (*Job).Done)
 	if r.Slow > 0 {
@@ -85,7 +85,7 @@
 // readPrompts reads prompts in the order in which their jobs got slots, as many tokens
 // as the steps of the pass allow.
 func (r *Replica) readPrompts() (took time.Duration) {
-	room := r.Figures.Chunk * max(r.Figures.Stride, 1)
+	room := r.Figures.Chunk * max(r.Figures.StepsPerPass, 1)
 	for _, j := range r.running {
 		n := min(j.Prompt-j.read, room)
 		if n <= 0 {
