--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -12,8 +12,8 @@
 	Slots int
 	// StepsPerPass is how many token steps a pass has in which requests write.
 	StepsPerPass int
-	// Chunk is the most prompt tokens that are read in one step.
-	Chunk int
+	// PrefillChunk is the most prompt tokens that are read in one step.
+	PrefillChunk int
 	// Step is how long a token step takes without requests, PerSequence what each
 	// request that writes adds to it, and PerContext what 1,000 tokens before its last
 	// one add.
--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -85,7 +85,7 @@
 // readPrompts reads prompts in the order in which their jobs got slots, as many tokens
 // as the steps of the pass allow.
 func (r *Replica) readPrompts() (took time.Duration) {
-	room := r.Figures.Chunk * max(r.Figures.StepsPerPass, 1)
+	room := r.Figures.PrefillChunk * max(r.Figures.StepsPerPass, 1)
 	for _, j := range r.running {
 		n := min(j.Prompt-j.read, room)
 		if n <= 0 {
