--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -14,10 +14,10 @@
 	StepsPerPass int
 	// PrefillChunk is the most prompt tokens that are read in one step.
 	PrefillChunk int
-	// BaseStep is how long a token step takes without requests, PerSequence what each
+	// BaseStep is how long a token step takes without requests, StepPerSequence what each
 	// request that writes adds to it, and PerContext what 1,000 tokens before its last
 	// one add.
-	BaseStep, PerSequence, PerContext time.Duration
+	BaseStep, StepPerSequence, PerContext time.Duration
 	// ReadPerSecond is how many prompt tokens are read in a second; PerPairs is what a
 	// million pairs of a prompt token and an earlier one add.
 	ReadPerSecond float64
@@ -35,7 +35,7 @@
 // many tokens of context in all.
 func (f Profile) StepTime(writers, context int) time.Duration {
 	perContext := float64(f.PerContext) * float64(context) / 1000
-	return f.paced(f.BaseStep + time.Duration(writers)*f.PerSequence + time.Duration(perContext))
+	return f.paced(f.BaseStep + time.Duration(writers)*f.StepPerSequence + time.Duration(perContext))
 }
 
 // ReadTime is how long so many prompt tokens take to be read after so many before them.
