--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -15,9 +15,9 @@
 	// PrefillChunk is the most prompt tokens that are read in one step.
 	PrefillChunk int
 	// BaseStep is how long a token step takes without requests, StepPerSequence what each
-	// request that writes adds to it, and PerContext what 1,000 tokens before its last
+	// request that writes adds to it, and StepPerContext what 1,000 tokens before its last
 	// one add.
-	BaseStep, StepPerSequence, PerContext time.Duration
+	BaseStep, StepPerSequence, StepPerContext time.Duration
 	// ReadPerSecond is how many prompt tokens are read in a second; PerPairs is what a
 	// million pairs of a prompt token and an earlier one add.
 	ReadPerSecond float64
@@ -34,7 +34,7 @@
 // StepTime is how long a token step takes in which so many requests write, with so
 // many tokens of context in all.
 func (f Profile) StepTime(writers, context int) time.Duration {
-	perContext := float64(f.PerContext) * float64(context) / 1000
+	perContext := float64(f.StepPerContext) * float64(context) / 1000
 	return f.paced(f.BaseStep + time.Duration(writers)*f.StepPerSequence + time.Duration(perContext))
 }
 
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -143,7 +143,7 @@
 // figures are the engine's for one model.
 func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
-	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.Stride, PrefillChunk: e.Chunk, BaseStep: e.Step, StepPerSequence: e.PerSequence, PerContext: e.PerContext,
+	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.Stride, PrefillChunk: e.Chunk, BaseStep: e.Step, StepPerSequence: e.PerSequence, StepPerContext: e.PerContext,
 		ReadPerSecond: e.ReadPerSecond, PerPairs: e.PerPairs, Pace: m.Pace}
 }
 
