--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -18,10 +18,10 @@
 	// request that writes adds to it, and StepPerContext what 1,000 tokens before its last
 	// one add.
 	BaseStep, StepPerSequence, StepPerContext time.Duration
-	// ReadPerSecond is how many prompt tokens are read in a second; PerPairs is what a
+	// PrefillPerSecond is how many prompt tokens are read in a second; PerPairs is what a
 	// million pairs of a prompt token and an earlier one add.
-	ReadPerSecond float64
-	PerPairs      time.Duration
+	PrefillPerSecond float64
+	PerPairs         time.Duration
 	// Pace is the model's factor on all times; 1 where it is 0.
 	Pace float64
 	// UsualPrompt and UsualAnswer are the mean tokens of a call.
@@ -29,7 +29,7 @@
 }
 
 // Known reports whether there are figures to reckon with.
-func (f Profile) Known() bool { return f.Slots > 0 && f.BaseStep > 0 && f.ReadPerSecond > 0 }
+func (f Profile) Known() bool { return f.Slots > 0 && f.BaseStep > 0 && f.PrefillPerSecond > 0 }
 
 // StepTime is how long a token step takes in which so many requests write, with so
 // many tokens of context in all.
@@ -41,7 +41,7 @@
 // ReadTime is how long so many prompt tokens take to be read after so many before them.
 func (f Profile) ReadTime(tokens, before int) time.Duration {
 	pairs := float64(tokens) * (float64(before) + float64(tokens)/2) / 1e6
-	reading := time.Duration(float64(tokens) / f.ReadPerSecond * float64(time.Second))
+	reading := time.Duration(float64(tokens) / f.PrefillPerSecond * float64(time.Second))
 	return f.paced(reading + time.Duration(pairs*float64(f.PerPairs)))
 }
 
