--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -12,7 +12,7 @@
 // figures are those of a published sheet.
 var figures = enginemodel.Profile{
 	Slots: 17, StepsPerPass: 5, PrefillChunk: 2048, BaseStep: 7800 * time.Microsecond, StepPerSequence: 94700 * time.Nanosecond,
-	StepPerContext: 9600 * time.Nanosecond, PrefillPerSecond: 45900, PerPairs: 433 * time.Microsecond,
+	StepPerContext: 9600 * time.Nanosecond, PrefillPerSecond: 45900, AttentionPerPairs: 433 * time.Microsecond,
 }
 
 // A replica that is never without work finishes as much of it as Work says, whatever
--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -20,8 +20,8 @@
 	BaseStep, StepPerSequence, StepPerContext time.Duration
 	// PrefillPerSecond is how many prompt tokens are read in a second; PerPairs is what a
 	// million pairs of a prompt token and an earlier one add.
-	PrefillPerSecond float64
-	PerPairs         time.Duration
+	PrefillPerSecond  float64
+	AttentionPerPairs time.Duration
 	// Pace is the model's factor on all times; 1 where it is 0.
 	Pace float64
 	// UsualPrompt and UsualAnswer are the mean tokens of a call.
@@ -42,7 +42,7 @@
 func (f Profile) ReadTime(tokens, before int) time.Duration {
 	pairs := float64(tokens) * (float64(before) + float64(tokens)/2) / 1e6
 	reading := time.Duration(float64(tokens) / f.PrefillPerSecond * float64(time.Second))
-	return f.paced(reading + time.Duration(pairs*float64(f.PerPairs)))
+	return f.paced(reading + time.Duration(pairs*float64(f.AttentionPerPairs)))
 }
 
 // Work is the part of a replica's time that a call takes when the replica is full: the
