--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -22,8 +22,8 @@
 	// million pairs of a prompt token and an earlier one add.
 	PrefillPerSecond  float64
 	AttentionPerPairs time.Duration
-	// Pace is the model's factor on all times; 1 where it is 0.
-	Pace float64
+	// TimeFactor is the model's factor on all times; 1 where it is 0.
+	TimeFactor float64
 	// UsualPrompt and UsualAnswer are the mean tokens of a call.
 	UsualPrompt, UsualAnswer int
 }
@@ -54,8 +54,8 @@
 }
 
 func (f Profile) paced(d time.Duration) time.Duration {
-	if f.Pace <= 0 {
+	if f.TimeFactor <= 0 {
 		return d
 	}
-	return time.Duration(float64(d) * f.Pace)
+	return time.Duration(float64(d) * f.TimeFactor)
 }
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -144,7 +144,7 @@
 func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
 	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.Stride, PrefillChunk: e.Chunk, BaseStep: e.Step, StepPerSequence: e.PerSequence, StepPerContext: e.PerContext,
-		PrefillPerSecond: e.ReadPerSecond, AttentionPerPairs: e.PerPairs, Pace: m.Pace}
+		PrefillPerSecond: e.ReadPerSecond, AttentionPerPairs: e.PerPairs, TimeFactor: m.Pace}
 }
 
 // ScenarioError says what a scenario lacks.
