--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -24,8 +24,8 @@
 	AttentionPerPairs time.Duration
 	// TimeFactor is the model's factor on all times; 1 where it is 0.
 	TimeFactor float64
-	// UsualPrompt and UsualAnswer are the mean tokens of a call.
-	UsualPrompt, UsualAnswer int
+	// MeanPromptTokens and UsualAnswer are the mean tokens of a call.
+	MeanPromptTokens, UsualAnswer int
 }
 
 // Known reports whether there are figures to reckon with.
