--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -28,8 +28,8 @@
 	MeanPromptTokens, MeanOutputTokens int
 }
 
-// Known reports whether there are figures to reckon with.
-func (f Profile) Known() bool { return f.Slots > 0 && f.BaseStep > 0 && f.PrefillPerSecond > 0 }
+// IsSet reports whether there are figures to reckon with.
+func (f Profile) IsSet() bool { return f.Slots > 0 && f.BaseStep > 0 && f.PrefillPerSecond > 0 }
 
 // StepTime is how long a token step takes in which so many requests write, with so
 // many tokens of context in all.
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -222,7 +222,7 @@
 		return 0
 	}
 	g := placement.FindGroup(set.Groups, cluster.GroupName(c.Model))
-	if g == nil || !g.Engine.Known() {
+	if g == nil || !g.Engine.IsSet() {
 		return 0
 	}
 	return g.Engine.Work(c.PromptTokens, c.ExpectedOutputTokens())
