--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -31,9 +31,9 @@
 // IsSet reports whether there are figures to reckon with.
 func (f Profile) IsSet() bool { return f.Slots > 0 && f.BaseStep > 0 && f.PrefillPerSecond > 0 }
 
-// StepTime is how long a token step takes in which so many requests write, with so
+// DecodeStepTime is how long a token step takes in which so many requests write, with so
 // many tokens of context in all.
-func (f Profile) StepTime(writers, context int) time.Duration {
+func (f Profile) DecodeStepTime(writers, context int) time.Duration {
 	perContext := float64(f.StepPerContext) * float64(context) / 1000
 	return f.paced(f.BaseStep + time.Duration(writers)*f.StepPerSequence + time.Duration(perContext))
 }
@@ -49,7 +49,7 @@
 // reading of its prompt, and its part of the steps that it shares with the others.
 func (f Profile) Work(prompt, answer int) time.Duration {
 	context := f.Slots * (prompt + answer/2)
-	step := f.StepTime(f.Slots, context)
+	step := f.DecodeStepTime(f.Slots, context)
 	return f.ReadTime(prompt, 0) + time.Duration(float64(answer)*float64(step)/float64(f.Slots))
 }
 
--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -62,7 +62,7 @@
 		}
 	}
 	if len(wrote) > 0 {
-		took += time.Duration(r.Figures.StepsPerPass) * r.Figures.StepTime(len(wrote), context)
+		took += time.Duration(r.Figures.StepsPerPass) * r.Figures.DecodeStepTime(len(wrote), context)
 	}
 	for _, j := range wrote {
 		j.written = min(j.written+r.Figures.StepsPerPass, j.Answer)
