--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -47,7 +47,7 @@
 	r.Add(first)
 	took, wrote := r.Pass()
 	require.Equal(t, []*enginemodel.Job{first}, wrote)
-	require.InDelta(t, (figures.ReadTime(1420, 0) + 5*figures.DecodeStepTime(1, 1420)).Seconds(), took.Seconds(), 1e-6)
+	require.InDelta(t, (figures.PrefillTime(1420, 0) + 5*figures.DecodeStepTime(1, 1420)).Seconds(), took.Seconds(), 1e-6)
 	for range figures.Slots {
 		r.Add(&enginemodel.Job{Prompt: 10, Answer: 500, Urgency: 5})
 	}
--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -38,8 +38,8 @@
 	return f.paced(f.BaseStep + time.Duration(writers)*f.StepPerSequence + time.Duration(perContext))
 }
 
-// ReadTime is how long so many prompt tokens take to be read after so many before them.
-func (f Profile) ReadTime(tokens, before int) time.Duration {
+// PrefillTime is how long so many prompt tokens take to be read after so many before them.
+func (f Profile) PrefillTime(tokens, before int) time.Duration {
 	pairs := float64(tokens) * (float64(before) + float64(tokens)/2) / 1e6
 	reading := time.Duration(float64(tokens) / f.PrefillPerSecond * float64(time.Second))
 	return f.paced(reading + time.Duration(pairs*float64(f.AttentionPerPairs)))
@@ -50,7 +50,7 @@
 func (f Profile) Work(prompt, answer int) time.Duration {
 	context := f.Slots * (prompt + answer/2)
 	step := f.DecodeStepTime(f.Slots, context)
-	return f.ReadTime(prompt, 0) + time.Duration(float64(answer)*float64(step)/float64(f.Slots))
+	return f.PrefillTime(prompt, 0) + time.Duration(float64(answer)*float64(step)/float64(f.Slots))
 }
 
 func (f Profile) paced(d time.Duration) time.Duration {
--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -91,7 +91,7 @@
 		if n <= 0 {
 			continue
 		}
-		took += r.Figures.ReadTime(n, j.read)
+		took += r.Figures.PrefillTime(n, j.read)
 		j.read += n
 		room -= n
 	}
