--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -33,7 +33,7 @@
 				}
 			}
 		}
-		work := time.Duration(done) * figures.Work(c.prompt, c.answer)
+		work := time.Duration(done) * figures.RequestCost(c.prompt, c.answer)
 		require.InEpsilon(t, passed.Seconds(), work.Seconds(), 0.1, "%+v", c)
 	}
 }
--- a/internal/enginemodel/figures.go
+++ b/internal/enginemodel/figures.go
@@ -45,9 +45,9 @@
 	return f.paced(reading + time.Duration(pairs*float64(f.AttentionPerPairs)))
 }
 
-// Work is the part of a replica's time that a call takes when the replica is full: the
+// RequestCost is the part of a replica's time that a call takes when the replica is full: the
 // reading of its prompt, and its part of the steps that it shares with the others.
-func (f Profile) Work(prompt, answer int) time.Duration {
+func (f Profile) RequestCost(prompt, answer int) time.Duration {
 	context := f.Slots * (prompt + answer/2)
 	step := f.DecodeStepTime(f.Slots, context)
 	return f.PrefillTime(prompt, 0) + time.Duration(float64(answer)*float64(step)/float64(f.Slots))
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -225,7 +225,7 @@
 	if g == nil || !g.Engine.IsSet() {
 		return 0
 	}
-	return g.Engine.Work(c.PromptTokens, c.ExpectedOutputTokens())
+	return g.Engine.RequestCost(c.PromptTokens, c.ExpectedOutputTokens())
 }
 
 // maxConfigAge is how long the configuration counts as the newest after the store's last
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -196,7 +196,7 @@
 func (s *Scenario) work(k *Kind, prompt, answer int) time.Duration {
 	for _, m := range s.Models {
 		if m.Name == k.Model {
-			return s.figures(m).Work(prompt, answer)
+			return s.figures(m).RequestCost(prompt, answer)
 		}
 	}
 	return 0
