--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -8,9 +8,9 @@
 
 // Job is one request on a replica.
 type Job struct {
-	// Prompt and Answer are its tokens; Urgency is 0 for first, and decides who gets a
+	// PromptTokens and Answer are its tokens; Urgency is 0 for first, and decides who gets a
 	// free slot.
-	Prompt, Answer, Urgency int
+	PromptTokens, Answer, Urgency int
 
 	read, written int
 }
@@ -56,9 +56,9 @@
 	took = r.readPrompts()
 	context := 0
 	for _, j := range r.running {
-		if j.read == j.Prompt {
+		if j.read == j.PromptTokens {
 			wrote = append(wrote, j)
-			context += j.Prompt + j.written
+			context += j.PromptTokens + j.written
 		}
 	}
 	if len(wrote) > 0 {
@@ -87,7 +87,7 @@
 func (r *Replica) readPrompts() (took time.Duration) {
 	room := r.Figures.PrefillChunk * max(r.Figures.StepsPerPass, 1)
 	for _, j := range r.running {
-		n := min(j.Prompt-j.read, room)
+		n := min(j.PromptTokens-j.read, room)
 		if n <= 0 {
 			continue
 		}
