--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -23,7 +23,7 @@
 		passed, done := time.Duration(0), 0
 		for passed < 2*time.Minute {
 			for r.Waiting() < figures.Slots {
-				r.Add(&enginemodel.Job{PromptTokens: c.prompt, Answer: c.answer})
+				r.Add(&enginemodel.Job{PromptTokens: c.prompt, OutputTokens: c.answer})
 			}
 			took, wrote := r.Pass()
 			passed += took
@@ -43,15 +43,15 @@
 // urgent of two that wait goes first.
 func TestPasses(t *testing.T) {
 	r := enginemodel.Replica{Figures: figures}
-	first := &enginemodel.Job{PromptTokens: 1420, Answer: 10}
+	first := &enginemodel.Job{PromptTokens: 1420, OutputTokens: 10}
 	r.Add(first)
 	took, wrote := r.Pass()
 	require.Equal(t, []*enginemodel.Job{first}, wrote)
 	require.InDelta(t, (figures.PrefillTime(1420, 0) + 5*figures.DecodeStepTime(1, 1420)).Seconds(), took.Seconds(), 1e-6)
 	for range figures.Slots {
-		r.Add(&enginemodel.Job{PromptTokens: 10, Answer: 500, Urgency: 5})
+		r.Add(&enginemodel.Job{PromptTokens: 10, OutputTokens: 500, Urgency: 5})
 	}
-	late, urgent := &enginemodel.Job{PromptTokens: 10, Answer: 5, Urgency: 5}, &enginemodel.Job{PromptTokens: 10, Answer: 5, Urgency: 1}
+	late, urgent := &enginemodel.Job{PromptTokens: 10, OutputTokens: 5, Urgency: 5}, &enginemodel.Job{PromptTokens: 10, OutputTokens: 5, Urgency: 1}
 	r.Add(late)
 	r.Add(urgent)
 	_, wrote = r.Pass()
@@ -66,7 +66,7 @@
 // A prompt longer than a pass can read is read over several.
 func TestLongPromptsTakeSeveralPasses(t *testing.T) {
 	r := enginemodel.Replica{Figures: figures}
-	r.Add(&enginemodel.Job{PromptTokens: 2*5*2048 + 1, Answer: 5})
+	r.Add(&enginemodel.Job{PromptTokens: 2*5*2048 + 1, OutputTokens: 5})
 	_, wrote := r.Pass()
 	require.Empty(t, wrote)
 	_, wrote = r.Pass()
--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -8,15 +8,15 @@
 
 // Job is one request on a replica.
 type Job struct {
-	// PromptTokens and Answer are its tokens; Urgency is 0 for first, and decides who gets a
+	// PromptTokens and OutputTokens are its tokens; Urgency is 0 for first, and decides who gets a
 	// free slot.
-	PromptTokens, Answer, Urgency int
+	PromptTokens, OutputTokens, Urgency int
 
 	read, written int
 }
 
 // Done reports whether the whole answer is written.
-func (j *Job) Done() bool { return j.written >= j.Answer }
+func (j *Job) Done() bool { return j.written >= j.OutputTokens }
 
 // Replica plays the passes of one replica. It has no clock: Pass says how long a pass
 // takes, and what it wrote by its end. It is not safe for concurrent use.
@@ -65,7 +65,7 @@
 		took += time.Duration(r.Figures.StepsPerPass) * r.Figures.DecodeStepTime(len(wrote), context)
 	}
 	for _, j := range wrote {
-		j.written = min(j.written+r.Figures.StepsPerPass, j.Answer)
+		j.written = min(j.written+r.Figures.StepsPerPass, j.OutputTokens)
 	}
 	r.running = slices.DeleteFunc(r.running, (*Job).Done)
 	if r.Slow > 0 {
