--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -49,9 +49,9 @@
 	require.Equal(t, []*enginemodel.Job{first}, wrote)
 	require.InDelta(t, (figures.PrefillTime(1420, 0) + 5*figures.DecodeStepTime(1, 1420)).Seconds(), took.Seconds(), 1e-6)
 	for range figures.Slots {
-		r.Add(&enginemodel.Job{PromptTokens: 10, OutputTokens: 500, Urgency: 5})
+		r.Add(&enginemodel.Job{PromptTokens: 10, OutputTokens: 500, Priority: 5})
 	}
-	late, urgent := &enginemodel.Job{PromptTokens: 10, OutputTokens: 5, Urgency: 5}, &enginemodel.Job{PromptTokens: 10, OutputTokens: 5, Urgency: 1}
+	late, urgent := &enginemodel.Job{PromptTokens: 10, OutputTokens: 5, Priority: 5}, &enginemodel.Job{PromptTokens: 10, OutputTokens: 5, Priority: 1}
 	r.Add(late)
 	r.Add(urgent)
 	_, wrote = r.Pass()
--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -8,9 +8,9 @@
 
 // Job is one request on a replica.
 type Job struct {
-	// PromptTokens and OutputTokens are its tokens; Urgency is 0 for first, and decides who gets a
+	// PromptTokens and OutputTokens are its tokens; Priority is 0 for first, and decides who gets a
 	// free slot.
-	PromptTokens, OutputTokens, Urgency int
+	PromptTokens, OutputTokens, Priority int
 
 	read, written int
 }
@@ -76,7 +76,7 @@
 
 // admit gives free slots to the most urgent of those that wait, the earliest first.
 func (r *Replica) admit() {
-	slices.SortStableFunc(r.waiting, func(a, b *Job) int { return cmp.Compare(a.Urgency, b.Urgency) })
+	slices.SortStableFunc(r.waiting, func(a, b *Job) int { return cmp.Compare(a.Priority, b.Priority) })
 	n := min(r.Figures.Slots-len(r.running), len(r.waiting))
 	r.running = append(r.running, r.waiting[:n]...)
 	r.waiting = slices.Delete(r.waiting, 0, n)
