--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -19,7 +19,7 @@
 // the mix of long and short calls: that is what makes calls of two models comparable.
 func TestFullReplicaDoesTheWorkThatIsReckoned(t *testing.T) {
 	for _, c := range []struct{ prompt, answer int }{{1420, 172}, {674, 174}, {1960, 22}, {200, 400}} {
-		r := enginemodel.Replica{Figures: figures}
+		r := enginemodel.Replica{Profile: figures}
 		passed, done := time.Duration(0), 0
 		for passed < 2*time.Minute {
 			for r.Waiting() < figures.Slots {
@@ -42,7 +42,7 @@
 // prompt is read; a call beyond the slots waits until another has ended, and the more
 // urgent of two that wait goes first.
 func TestPasses(t *testing.T) {
-	r := enginemodel.Replica{Figures: figures}
+	r := enginemodel.Replica{Profile: figures}
 	first := &enginemodel.Job{PromptTokens: 1420, OutputTokens: 10}
 	r.Add(first)
 	took, wrote := r.Pass()
@@ -65,7 +65,7 @@
 
 // A prompt longer than a pass can read is read over several.
 func TestLongPromptsTakeSeveralPasses(t *testing.T) {
-	r := enginemodel.Replica{Figures: figures}
+	r := enginemodel.Replica{Profile: figures}
 	r.Add(&enginemodel.Job{PromptTokens: 2*5*2048 + 1, OutputTokens: 5})
 	_, wrote := r.Pass()
 	require.Empty(t, wrote)
--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -21,7 +21,7 @@
 // Replica plays the passes of one replica. It has no clock: Pass says how long a pass
 // takes, and what it wrote by its end. It is not safe for concurrent use.
 type Replica struct {
-	Figures Profile
+	Profile Profile
 	// Slow is a factor on all times, for a replica with a slow member; 1 where it is 0.
 	Slow float64
 
@@ -62,10 +62,10 @@
 		}
 	}
 	if len(wrote) > 0 {
-		took += time.Duration(r.Figures.StepsPerPass) * r.Figures.DecodeStepTime(len(wrote), context)
+		took += time.Duration(r.Profile.StepsPerPass) * r.Profile.DecodeStepTime(len(wrote), context)
 	}
 	for _, j := range wrote {
-		j.written = min(j.written+r.Figures.StepsPerPass, j.OutputTokens)
+		j.written = min(j.written+r.Profile.StepsPerPass, j.OutputTokens)
 	}
 	r.running = slices.DeleteFunc(r.running, (*Job).Done)
 	if r.Slow > 0 {
@@ -77,7 +77,7 @@
 // admit gives free slots to the most urgent of those that wait, the earliest first.
 func (r *Replica) admit() {
 	slices.SortStableFunc(r.waiting, func(a, b *Job) int { return cmp.Compare(a.Priority, b.Priority) })
-	n := min(r.Figures.Slots-len(r.running), len(r.waiting))
+	n := min(r.Profile.Slots-len(r.running), len(r.waiting))
 	r.running = append(r.running, r.waiting[:n]...)
 	r.waiting = slices.Delete(r.waiting, 0, n)
 }
@@ -85,13 +85,13 @@
 // readPrompts reads prompts in the order in which their jobs got slots, as many tokens
 // as the steps of the pass allow.
 func (r *Replica) readPrompts() (took time.Duration) {
-	room := r.Figures.PrefillChunk * max(r.Figures.StepsPerPass, 1)
+	room := r.Profile.PrefillChunk * max(r.Profile.StepsPerPass, 1)
 	for _, j := range r.running {
 		n := min(j.PromptTokens-j.read, room)
 		if n <= 0 {
 			continue
 		}
-		took += r.Figures.PrefillTime(n, j.read)
+		took += r.Profile.PrefillTime(n, j.read)
 		j.read += n
 		room -= n
 	}
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -208,7 +208,7 @@
 		}
 		v.w.checkWhole(v)
 		v.setState(fleet.Open)
-		v.head = &head{replica: enginemodel.Replica{Figures: v.w.scenario.figures(v.w.model(v.model))}, jobs: make(map[*enginemodel.Job]*answer)}
+		v.head = &head{replica: enginemodel.Replica{Profile: v.w.scenario.figures(v.w.model(v.model))}, jobs: make(map[*enginemodel.Job]*answer)}
 		v.publish()
 	})
 	return lifecycle.Accepted
