--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -22,8 +22,8 @@
 // takes, and what it wrote by its end. It is not safe for concurrent use.
 type Replica struct {
 	Profile Profile
-	// Slow is a factor on all times, for a replica with a slow member; 1 where it is 0.
-	Slow float64
+	// SlowFactor is a factor on all times, for a replica with a slow member; 1 where it is 0.
+	SlowFactor float64
 
 	running, waiting []*Job
 }
@@ -68,8 +68,8 @@
 		j.written = min(j.written+r.Profile.StepsPerPass, j.OutputTokens)
 	}
 	r.running = slices.DeleteFunc(r.running, (*Job).Done)
-	if r.Slow > 0 {
-		took = time.Duration(float64(took) * r.Slow)
+	if r.SlowFactor > 0 {
+		took = time.Duration(float64(took) * r.SlowFactor)
 	}
 	return took, wrote
 }
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -282,7 +282,7 @@
 			w.mu.Unlock()
 			return
 		}
-		h.replica.Slow = w.slowest(v)
+		h.replica.SlowFactor = w.slowest(v)
 		took, wrote := h.replica.Pass()
 		if took == 0 {
 			h.turning = false
