--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -25,7 +25,7 @@
 			for r.Waiting() < figures.Slots {
 				r.Add(&enginemodel.Job{PromptTokens: c.prompt, OutputTokens: c.answer})
 			}
-			took, wrote := r.Pass()
+			took, wrote := r.RunPass()
 			passed += took
 			for _, j := range wrote {
 				if j.Done() {
@@ -45,7 +45,7 @@
 	r := enginemodel.Replica{Profile: figures}
 	first := &enginemodel.Job{PromptTokens: 1420, OutputTokens: 10}
 	r.Add(first)
-	took, wrote := r.Pass()
+	took, wrote := r.RunPass()
 	require.Equal(t, []*enginemodel.Job{first}, wrote)
 	require.InDelta(t, (figures.PrefillTime(1420, 0) + 5*figures.DecodeStepTime(1, 1420)).Seconds(), took.Seconds(), 1e-6)
 	for range figures.Slots {
@@ -54,7 +54,7 @@
 	late, urgent := &enginemodel.Job{PromptTokens: 10, OutputTokens: 5, Priority: 5}, &enginemodel.Job{PromptTokens: 10, OutputTokens: 5, Priority: 1}
 	r.Add(late)
 	r.Add(urgent)
-	_, wrote = r.Pass()
+	_, wrote = r.RunPass()
 	require.True(t, first.Done())
 	require.Contains(t, wrote, urgent, "the most urgent takes the slot that is free first")
 	require.NotContains(t, wrote, late)
@@ -67,10 +67,10 @@
 func TestLongPromptsTakeSeveralPasses(t *testing.T) {
 	r := enginemodel.Replica{Profile: figures}
 	r.Add(&enginemodel.Job{PromptTokens: 2*5*2048 + 1, OutputTokens: 5})
-	_, wrote := r.Pass()
+	_, wrote := r.RunPass()
 	require.Empty(t, wrote)
-	_, wrote = r.Pass()
+	_, wrote = r.RunPass()
 	require.Empty(t, wrote)
-	_, wrote = r.Pass()
+	_, wrote = r.RunPass()
 	require.Len(t, wrote, 1)
 }
--- a/internal/enginemodel/passes.go
+++ b/internal/enginemodel/passes.go
@@ -44,11 +44,11 @@
 // Waiting counts the jobs without a slot.
 func (r *Replica) Waiting() int { return len(r.waiting) }
 
-// Pass plays one pass: waiting jobs take free slots, prompts are read, and every job
+// RunPass plays one pass: waiting jobs take free slots, prompts are read, and every job
 // whose prompt is read writes up to a stride of tokens. It returns how long the pass
 // takes and the jobs that have written by its end; done ones have left their slots.
 // Without a job there is no pass.
-func (r *Replica) Pass() (took time.Duration, wrote []*Job) {
+func (r *Replica) RunPass() (took time.Duration, wrote []*Job) {
 	r.admit()
 	if len(r.running) == 0 {
 		return 0, nil
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -283,7 +283,7 @@
 			return
 		}
 		h.replica.SlowFactor = w.slowest(v)
-		took, wrote := h.replica.Pass()
+		took, wrote := h.replica.RunPass()
 		if took == 0 {
 			h.turning = false
 			v.settle()
