--- a/internal/clock/backoff.go
+++ b/internal/clock/backoff.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Backoff chooses the pauses between tries that fail. Each is about twice the one
-// before, and random, so that many callers of one service spread.
+// Backoff computes exponentially growing, jittered delays between failed attempts.
+// The jitter keeps the many callers of one service from retrying at the same time.
 type Backoff struct {
 	Min, Max time.Duration
 	next     time.Duration
 }
 
-// Next is the pause before the next try.
+// Next returns the delay before the next attempt and doubles the mean of the one after it.
 func (b *Backoff) Next() time.Duration {
 	mean := min(max(b.next, b.Min), b.Max)
 	b.next = 2 * mean
 	return mean/2 + rand.N(mean)
 }
 
-// Reset begins anew, after a try that succeeded.
+// Reset restarts at Min, after a successful attempt.
 func (b *Backoff) Reset() { b.next = 0 }
--- a/internal/clock/every.go
+++ b/internal/clock/every.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Every calls f each period until ctx ends. A call that takes longer than the period
-// delays the next one; none is made up for.
+// Every calls f once per period until ctx is done. A call that takes longer than the
+// period delays the next one; missed ticks are dropped.
 func Every(ctx context.Context, period time.Duration, f func(now time.Time)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/internal/clock/pause.go
+++ b/internal/clock/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause waits for d, or until ctx ends, and reports whether ctx is still alive.
-// A d of zero or less does not wait.
+// Pause waits for d or until ctx is done, and reports whether ctx is still active.
+// It returns at once if d is zero or negative.
 func Pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
