--- a/internal/fennelerr/fennelerr.go
+++ b/internal/fennelerr/fennelerr.go
@@ -1,9 +1,10 @@
 // Package fennelerr defines the typed error that crosses package boundaries.
 //
 // An Error carries a Code that callers and operators can act on, and the run
-// state: whether the request it speaks of was executed by a backend server.
-// Packages with richer failures (a bad rules line, a store conflict) define
-// their own types and wrap or convert to Error at the edge.
+// state: whether a backend server executed the request that failed.
+// Packages whose errors need more fields (an invalid rules line, a store conflict)
+// define their own types and wrap them in an Error, or convert them to one, at
+// their boundary.
 package fennelerr
 
 import (
@@ -14,11 +15,11 @@
 	"github.com/go-faster/errors"
 )
 
-// Code classifies a failure. Its text is stable: it appears in the "type" field
-// of error bodies, in logs and in metrics labels.
+// Code classifies a failure. Its text is part of the interface: it appears in the
+// "type" field of error bodies, in logs and in metric labels.
 type Code string
 
-// The codes in use. Each names the HTTP status it is served with in Code.HTTPStatus.
+// Codes. Code.HTTPStatus maps each of them to an HTTP status.
 const (
 	InvalidRequest   Code = "invalid_request"
 	Unauthenticated  Code = "unauthenticated"
@@ -53,25 +54,27 @@
 // RunState says whether a backend server executed the request.
 type RunState string
 
-// NotRun is said only when proved: refused before any byte went to a backend
-// server, the dial failed, or the backend server answered that it did not start.
+// Run states. NotRun is used only where it is certain: the request was refused before
+// any byte was sent to a backend server, the dial failed, or the backend server
+// answered that it did not start the request.
 const (
 	NotRun  RunState = "not-run"
 	Ran     RunState = "ran"
 	Unknown RunState = "unknown"
 )
 
-// Error is a failure with a code, the operation that failed and what to do next.
+// Error is a failure with its code, the operation that failed and the time after which
+// a retry is worthwhile.
 type Error struct {
 	Code Code
-	// Op names the operation, such as "claims.claim"; empty when the message says it.
+	// Op names the operation, such as "claims.claim"; empty if the message names it.
 	Op string
-	// Field names the request or settings field at fault; may be empty.
+	// Field names the invalid field of the request or the settings; may be empty.
 	Field   string
 	Message string
-	// Run is empty for failures that are not about one caller's request.
+	// Run is empty for failures that do not concern a single caller's request.
 	Run RunState
-	// RetryAfter tells a caller when to come back; zero means "do not promise anything".
+	// RetryAfter is the delay after which the caller should retry; zero if unknown.
 	RetryAfter time.Duration
 	Cause      error
 }
@@ -81,8 +84,8 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// Invalid returns an InvalidRequest error about one field of a caller's request,
-// which was refused and did not run.
+// Invalid returns an InvalidRequest error for one field of a caller's request, with run
+// state NotRun.
 func Invalid(field, format string, args ...any) *Error {
 	return New(InvalidRequest, format, args...).WithField(field).WithRun(NotRun)
 }
@@ -120,13 +123,13 @@
 // WithOp sets the operation and returns e.
 func (e *Error) WithOp(op string) *Error { e.Op = op; return e }
 
-// WithField sets the field at fault and returns e.
+// WithField sets the invalid field and returns e.
 func (e *Error) WithField(field string) *Error { e.Field = field; return e }
 
 // WithRun sets the run state and returns e.
 func (e *Error) WithRun(run RunState) *Error { e.Run = run; return e }
 
-// WithRetryAfter sets when to come back and returns e.
+// WithRetryAfter sets the retry delay and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error { e.RetryAfter = d; return e }
 
 // CodeOf returns the code of the first Error in err's chain, or Internal.
@@ -137,5 +140,5 @@
 	return Internal
 }
 
-// Is reports whether err's chain holds an Error with the given code.
+// Is reports whether err is not nil and CodeOf(err) is code.
 func Is(err error, code Code) bool { return err != nil && CodeOf(err) == code }
--- a/internal/fennelerr/http.go
+++ b/internal/fennelerr/http.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// statusByCode maps codes to HTTP statuses; codes not listed are 500.
+// statusByCode maps codes to HTTP statuses; all other codes map to 500.
 var statusByCode = map[Code]int{
 	InvalidRequest:   http.StatusBadRequest,
 	Unauthenticated:  http.StatusUnauthorized,
@@ -31,7 +31,7 @@
 	Timeout:          http.StatusGatewayTimeout,
 }
 
-// HTTPStatus returns the status that a response with this code is served with.
+// HTTPStatus returns the HTTP status of an error response with this code.
 func (c Code) HTTPStatus() int {
 	if s, ok := statusByCode[c]; ok {
 		return s
