--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -125,7 +125,7 @@
 	n.suspects = suspect.New(suspect.Options{Node: n.cfg.Node, Log: n.log, TriggerHeartbeat: n.members.Nudge, Peers: n.livePeerCount, Rank: n.members.Rank})
 	n.pools = engine.NewPools(engine.PoolOptions{})
 	n.gateway = gateway.New(gateway.Options{
-		Node: n.cfg.Node, Protocol: openai.Front{}, Rules: n.rules, Router: confirmingRouter{n.routing, n.health}, Services: n.vms, Admitter: n.admission, Claimer: gateway.StoreClaimer{Manager: n.claims},
+		Node: n.cfg.Node, Protocol: openai.Protocol{}, Rules: n.rules, Router: confirmingRouter{n.routing, n.health}, Services: n.vms, Admitter: n.admission, Claimer: gateway.StoreClaimer{Manager: n.claims},
 		Quarantine: n.suspects, Pools: n.pools, Streamer: engine.NewStreamer(n.pools, 0), Prober: n.prober, Log: n.log,
 		OnReplicaFailed: func(r cluster.Replica, _ string) { n.health.Doubt(r.ID) },
 		NewRequestID:    newRequestID,
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -195,7 +195,7 @@
 	prober := engine.NewProber(time.Second)
 	var ids atomic.Int64
 	b.opts = Options{
-		Protocol: openai.Front{}, Rules: fakeRules{testRuleSet(t)}, Router: b.router, Admitter: b.admitter, Claimer: b.claims, Quarantine: b.quarantine,
+		Protocol: openai.Protocol{}, Rules: fakeRules{testRuleSet(t)}, Router: b.router, Admitter: b.admitter, Claimer: b.claims, Quarantine: b.quarantine,
 		Pools: pools, Streamer: engine.NewStreamer(pools, time.Second), Prober: prober,
 		NewRequestID: func() string { return fmt.Sprintf("req-%d", ids.Add(1)) },
 	}
@@ -447,10 +447,10 @@
 func testSession(t testing.TB, out http.ResponseWriter) *session {
 	t.Helper()
 	set := testRuleSet(t)
-	modelCall, err := openai.Front{}.Parse(engine.ChatPath, []byte(chatStreamBody))
+	modelCall, err := openai.Protocol{}.Parse(engine.ChatPath, []byte(chatStreamBody))
 	require.NoError(t, err)
 	exchange := modelCall.NewExchange(call.Caller{W: out, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
 	t.Cleanup(exchange.Close)
-	return &session{g: New(Options{Protocol: openai.Front{}}), c: caller{requestID: "r", rules: set, team: &set.Teams[0]}, modelCall: modelCall, exchange: exchange,
+	return &session{g: New(Options{Protocol: openai.Protocol{}}), c: caller{requestID: "r", rules: set, team: &set.Teams[0]}, modelCall: modelCall, exchange: exchange,
 		target: &target{}, slot: unlimitedSlot{&unlimitedAdmitter{}}}
 }
--- a/internal/openai/exchange_test.go
+++ b/internal/openai/exchange_test.go
@@ -21,7 +21,7 @@
 
 func begin(t *testing.T, body string) (call.Exchange, *httptest.ResponseRecorder) {
 	t.Helper()
-	asked, err := Front{}.Parse(engine.ChatPath, []byte(body))
+	asked, err := Protocol{}.Parse(engine.ChatPath, []byte(body))
 	require.NoError(t, err)
 	seen := httptest.NewRecorder()
 	x := asked.NewExchange(call.Caller{W: seen, RequestID: "r", WriteTimeout: time.Minute, KeepAlive: time.Minute})
@@ -109,9 +109,9 @@
 // A rejection without a document still has to become an answer.
 func TestRejection(t *testing.T) {
 	refusal := fennelerr.Invalid("max_tokens", "too many")
-	message, field := Front{}.ParseRejection(Front{}.Error(refusal, "r"))
+	message, field := Protocol{}.ParseRejection(Protocol{}.Error(refusal, "r"))
 	require.Equal(t, "too many", message)
 	require.Equal(t, "max_tokens", field)
-	message, field = Front{}.ParseRejection([]byte("<html>"))
+	message, field = Protocol{}.ParseRejection([]byte("<html>"))
 	require.Empty(t, message+field)
 }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -10,12 +10,12 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// Front translates the protocol; the zero value is ready.
-type Front struct{}
+// Protocol translates the protocol; the zero value is ready.
+type Protocol struct{}
 
 // Parse checks a completion request's body. Its errors are *fennelerr.Error that
 // name the field.
-func (Front) Parse(path string, body []byte) (*call.ModelCall, error) {
+func (Protocol) Parse(path string, body []byte) (*call.ModelCall, error) {
 	req, err := parse(path, body)
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 }
 
 // Models is the document that lists models.
-func (Front) Models(names []string) []byte {
+func (Protocol) Models(names []string) []byte {
 	list := modelList{Object: "list", Data: []modelCard{}}
 	for _, name := range names {
 		list.Data = append(list.Data, modelCard{ID: name, Object: "model", OwnedBy: "fennelcourse"})
@@ -61,7 +61,7 @@
 }
 
 // Error is the document of a refusal.
-func (Front) Error(e *fennelerr.Error, requestID string) []byte {
+func (Protocol) Error(e *fennelerr.Error, requestID string) []byte {
 	message := e.Message
 	if message == "" {
 		message = string(e.Code)
@@ -73,7 +73,7 @@
 
 // ParseRejection reads an engine's rejection of a request; both results are empty where it
 // gives no reason.
-func (Front) ParseRejection(body []byte) (message, field string) {
+func (Protocol) ParseRejection(body []byte) (message, field string) {
 	var doc errorBody
 	if json.Unmarshal(body, &doc) != nil {
 		return "", ""
