--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// Fresh returns a transport that opens a new connection for every request: for
+// Unpooled returns a transport that opens a new connection for every request: for
 // probes, and for calls that must not meet a connection gone silent.
-func (p *Pools) Fresh() *http.Transport {
+func (p *Pools) Unpooled() *http.Transport {
 	t := p.newTransport()
 	t.DisableKeepAlives = true
 	return t
--- a/internal/gateway/plaincall.go
+++ b/internal/gateway/plaincall.go
@@ -145,7 +145,7 @@
 	if p.repeatable {
 		return p.g.opts.Pools.Get(addr)
 	}
-	return p.g.opts.Pools.Fresh()
+	return p.g.opts.Pools.Unpooled()
 }
 
 func (p *plainCall) newRequest(ctx context.Context, addr string) (*http.Request, error) {
