--- a/internal/openai/assemble.go
+++ b/internal/openai/accumulator.go
@@ -7,14 +7,14 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// assembly builds the one-piece answer of a caller that did not ask for a stream.
-type assembly struct {
+// accumulator builds the complete response for a caller that did not request a stream.
+type accumulator struct {
 	first   *chunk
 	usage   json.RawMessage
-	choices map[int]*assembledChoice
+	choices map[int]*accumulatedChoice
 }
 
-type assembledChoice struct {
+type accumulatedChoice struct {
 	message  message
 	text     string
 	finish   *string
@@ -27,14 +27,14 @@
 }
 
 type message struct {
-	Role      string        `json:"role"`
-	Content   *string       `json:"content"`
-	Refusal   *string       `json:"refusal"`
-	Reasoning string        `json:"reasoning_content,omitempty"`
-	ToolCalls []messageTool `json:"tool_calls,omitempty"`
+	Role             string     `json:"role"`
+	Content          *string    `json:"content"`
+	Refusal          *string    `json:"refusal"`
+	ReasoningContent string     `json:"reasoning_content,omitempty"`
+	ToolCalls        []toolCall `json:"tool_calls,omitempty"`
 }
 
-type messageTool struct {
+type toolCall struct {
 	ID       string `json:"id"`
 	Type     string `json:"type"`
 	Function struct {
@@ -43,17 +43,17 @@
 	} `json:"function"`
 }
 
-type answer struct {
-	ID      string          `json:"id"`
-	Object  string          `json:"object"`
-	Created int64           `json:"created"`
-	Model   string          `json:"model"`
-	System  string          `json:"system_fingerprint,omitempty"`
-	Choices []answerChoice  `json:"choices"`
-	Usage   json.RawMessage `json:"usage,omitempty"`
+type response struct {
+	ID                string           `json:"id"`
+	Object            string           `json:"object"`
+	Created           int64            `json:"created"`
+	Model             string           `json:"model"`
+	SystemFingerprint string           `json:"system_fingerprint,omitempty"`
+	Choices           []responseChoice `json:"choices"`
+	Usage             json.RawMessage  `json:"usage,omitempty"`
 }
 
-type answerChoice struct {
+type responseChoice struct {
 	Index        int       `json:"index"`
 	Message      *message  `json:"message,omitempty"`
 	Text         *string   `json:"text,omitempty"`
@@ -61,13 +61,13 @@
 	FinishReason *string   `json:"finish_reason"`
 }
 
-// maxToolCalls bounds the tool calls of one choice, so that a wrong index in an
-// engine's answer cannot take the node's memory.
+// maxToolCalls bounds the tool calls of one choice, so that an invalid index in an
+// engine's response cannot exhaust the node's memory.
 const maxToolCalls = 1024
 
-func newAssembly() *assembly { return &assembly{choices: map[int]*assembledChoice{}} }
+func newAccumulator() *accumulator { return &accumulator{choices: map[int]*accumulatedChoice{}} }
 
-func (a *assembly) add(c *chunk) {
+func (a *accumulator) add(c *chunk) {
 	if a.first == nil {
 		a.first = c
 	}
@@ -79,29 +79,29 @@
 	}
 }
 
-func (a *assembly) choice(index int) *assembledChoice {
+func (a *accumulator) choice(index int) *accumulatedChoice {
 	ch := a.choices[index]
 	if ch == nil {
-		ch = &assembledChoice{}
+		ch = &accumulatedChoice{}
 		a.choices[index] = ch
 	}
 	return ch
 }
 
-func (ch *assembledChoice) add(c *chunkChoice) {
+func (ch *accumulatedChoice) add(c *chunkChoice) {
 	m := &ch.message
 	if c.Delta.Role != "" {
 		m.Role = c.Delta.Role
 	}
 	m.Content = appendText(m.Content, c.Delta.Content)
 	m.Refusal = appendText(m.Refusal, c.Delta.Refusal)
-	m.Reasoning += c.Delta.Reasoning
+	m.ReasoningContent += c.Delta.ReasoningContent
 	ch.text += c.Text
 	if c.FinishReason != nil {
 		ch.finish = c.FinishReason
 	}
 	for i := range c.Delta.ToolCalls {
-		ch.addTool(&c.Delta.ToolCalls[i])
+		ch.addToolCall(&c.Delta.ToolCalls[i])
 	}
 	var lp logprobs
 	if json.Unmarshal(c.Logprobs, &lp) == nil {
@@ -110,13 +110,13 @@
 	}
 }
 
-func (ch *assembledChoice) addTool(t *chunkTool) {
+func (ch *accumulatedChoice) addToolCall(t *toolCallDelta) {
 	if t.Index < 0 || t.Index >= maxToolCalls {
 		return
 	}
 	calls := &ch.message.ToolCalls
 	for len(*calls) <= t.Index {
-		*calls = append(*calls, messageTool{Type: "function"})
+		*calls = append(*calls, toolCall{Type: "function"})
 	}
 	call := &(*calls)[t.Index]
 	if t.ID != "" {
@@ -139,15 +139,15 @@
 	return &text
 }
 
-// document returns the answer as one JSON document.
-func (a *assembly) document(path string) ([]byte, error) {
-	out := answer{ID: a.first.ID, Created: a.first.Created, Model: a.first.Model, System: a.first.System, Usage: a.usage,
-		Object: "chat.completion", Choices: []answerChoice{}}
+// document returns the response as a JSON document.
+func (a *accumulator) document(path string) ([]byte, error) {
+	out := response{ID: a.first.ID, Created: a.first.Created, Model: a.first.Model, SystemFingerprint: a.first.SystemFingerprint, Usage: a.usage,
+		Object: "chat.completion", Choices: []responseChoice{}}
 	if path == engine.CompletionsPath {
 		out.Object = "text_completion"
 	}
 	for index, ch := range a.choices {
-		choice := answerChoice{Index: index, FinishReason: ch.finish}
+		choice := responseChoice{Index: index, FinishReason: ch.finish}
 		if path == engine.CompletionsPath {
 			choice.Text = &ch.text
 		} else {
--- a/internal/openai/chunk.go
+++ b/internal/openai/chunk.go
@@ -7,14 +7,14 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// chunk is one event of an engine's stream, as far as the gateway reads it.
+// chunk is one event of an engine's stream, with the fields that the gateway reads.
 type chunk struct {
-	ID      string          `json:"id"`
-	Created int64           `json:"created"`
-	Model   string          `json:"model"`
-	System  string          `json:"system_fingerprint,omitempty"`
-	Choices []chunkChoice   `json:"choices"`
-	Usage   json.RawMessage `json:"usage"`
+	ID                string          `json:"id"`
+	Created           int64           `json:"created"`
+	Model             string          `json:"model"`
+	SystemFingerprint string          `json:"system_fingerprint,omitempty"`
+	Choices           []chunkChoice   `json:"choices"`
+	Usage             json.RawMessage `json:"usage"`
 }
 
 type chunkChoice struct {
@@ -26,14 +26,14 @@
 }
 
 type chunkDelta struct {
-	Role      string      `json:"role"`
-	Content   string      `json:"content"`
-	Refusal   string      `json:"refusal"`
-	Reasoning string      `json:"reasoning_content"`
-	ToolCalls []chunkTool `json:"tool_calls"`
+	Role             string          `json:"role"`
+	Content          string          `json:"content"`
+	Refusal          string          `json:"refusal"`
+	ReasoningContent string          `json:"reasoning_content"`
+	ToolCalls        []toolCallDelta `json:"tool_calls"`
 }
 
-type chunkTool struct {
+type toolCallDelta struct {
 	Index    int    `json:"index"`
 	ID       string `json:"id"`
 	Type     string `json:"type"`
@@ -43,25 +43,25 @@
 	} `json:"function"`
 }
 
-// idPrefixes are what engines put before the request id in a chunk's id.
+// idPrefixes maps paths to the prefix that engines put before the request id in a chunk's id.
 var idPrefixes = map[string]string{engine.ChatPath: "chatcmpl-", engine.CompletionsPath: "cmpl-"}
 
 func chunkID(path, requestID string) string { return idPrefixes[path] + requestID }
 
-// progress tracks how far an answer has come.
+// progress tracks which part of a response has been received.
 type progress struct {
-	// lastID is the id of the last event taken in.
+	// lastID is the id of the last event added.
 	lastID int64
-	// text is the text of choice 0 so far, for continuing on another replica.
+	// text is the text of choice 0 so far, used to continue on another replica.
 	text strings.Builder
-	// plain stays true while the answer is text of a single choice.
-	plain    bool
-	seen     map[int]bool
-	finished map[int]bool
+	// plainText is true as long as the response is text of a single choice.
+	plainText bool
+	seen      map[int]bool
+	finished  map[int]bool
 }
 
 func newProgress() *progress {
-	return &progress{plain: true, seen: map[int]bool{}, finished: map[int]bool{}}
+	return &progress{plainText: true, seen: map[int]bool{}, finished: map[int]bool{}}
 }
 
 func (p *progress) add(id int64, c *chunk) {
@@ -72,16 +72,17 @@
 		if choice.FinishReason != nil && *choice.FinishReason != "" {
 			p.finished[choice.Index] = true
 		}
-		if choice.Index != 0 || len(choice.Delta.ToolCalls) > 0 || choice.Delta.Reasoning != "" {
-			p.plain = false
+		if choice.Index != 0 || len(choice.Delta.ToolCalls) > 0 || choice.Delta.ReasoningContent != "" {
+			p.plainText = false
 		}
 		p.text.WriteString(choice.Delta.Content)
 		p.text.WriteString(choice.Text)
 	}
 }
 
-// whole reports whether every one of n choices has come to its end. A stream's
-// end marker alone does not prove it: an engine that lost events could still send one.
-func (p *progress) whole(n int) bool {
+// complete reports whether at least n choices, and all that the stream contains, have a
+// finish reason. The stream's end marker alone is no proof of a complete response: an
+// engine that lost events could still send one.
+func (p *progress) complete(n int) bool {
 	return len(p.finished) >= n && len(p.finished) == len(p.seen)
 }
--- a/internal/openai/exchange.go
+++ b/internal/openai/exchange.go
@@ -11,22 +11,22 @@
 
 // exchange implements call.Exchange.
 type exchange struct {
-	req  *request
-	id   string // of every chunk of this call's answer
-	sink sink
-	prog *progress
-	// checked is what Check read last; nil after an end marker.
-	checked *chunk
+	req      *request
+	id       string // expected in every chunk of the response
+	sink     sink
+	progress *progress
+	// checkedChunk is the chunk that Check decoded last; nil after an end marker.
+	checkedChunk *chunk
 }
 
 var _ call.Exchange = (*exchange)(nil)
 
 func newExchange(req *request, to call.Caller) *exchange {
-	x := &exchange{req: req, id: chunkID(req.path, to.RequestID), prog: newProgress()}
+	x := &exchange{req: req, id: chunkID(req.path, to.RequestID), progress: newProgress()}
 	if req.stream {
 		x.sink = newStreamSink(to)
 	} else {
-		x.sink = newWholeSink(to.W, req.path)
+		x.sink = newBufferedSink(to.W, req.path)
 	}
 	return x
 }
@@ -36,15 +36,15 @@
 	if !continuation {
 		return x.req.engineBody("")
 	}
-	return x.req.engineBody(x.prog.text.String())
+	return x.req.engineBody(x.progress.text.String())
 }
 
 // Check implements call.Exchange.
 func (x *exchange) Check(addr string, ev engine.Event) error {
-	x.checked = nil
+	x.checkedChunk = nil
 	if ev.Done {
-		if !x.prog.whole(x.req.choices) {
-			return &engine.BrokenError{Addr: addr, Err: errors.New("end marker before the end of the answer")}
+		if !x.progress.complete(x.req.choices) {
+			return &engine.BrokenError{Addr: addr, Err: errors.New("end marker received before every choice was finished")}
 		}
 		return nil
 	}
@@ -55,35 +55,35 @@
 	if c.ID != x.id {
 		return &engine.MismatchError{Addr: addr, Want: x.id, Got: c.ID}
 	}
-	x.checked = c
+	x.checkedChunk = c
 	return nil
 }
 
 // Forward implements call.Exchange.
 func (x *exchange) Forward(ev engine.Event) error {
-	if x.checked == nil {
+	if x.checkedChunk == nil {
 		return nil
 	}
-	if err := x.sink.event(ev.Data, x.checked); err != nil {
+	if err := x.sink.writeEvent(ev.Data, x.checkedChunk); err != nil {
 		return err
 	}
-	x.prog.add(ev.ID, x.checked)
+	x.progress.add(ev.ID, x.checkedChunk)
 	return nil
 }
 
 // LastEventID implements call.Exchange.
-func (x *exchange) LastEventID() int64 { return x.prog.lastID }
+func (x *exchange) LastEventID() int64 { return x.progress.lastID }
 
-// CanContinue implements call.Exchange: text of a single choice can be continued.
-func (x *exchange) CanContinue() bool { return x.req.choices == 1 && x.prog.plain }
+// CanContinue implements call.Exchange: only text of a single choice can be continued.
+func (x *exchange) CanContinue() bool { return x.req.choices == 1 && x.progress.plainText }
 
 // ResponseStarted implements call.Exchange.
 func (x *exchange) ResponseStarted() bool { return x.sink.committed() }
 
 // Reset implements call.Exchange.
 func (x *exchange) Reset() {
-	x.sink.restart()
-	x.prog = newProgress()
+	x.sink.reset()
+	x.progress = newProgress()
 }
 
 // Finish implements call.Exchange.
@@ -91,8 +91,8 @@
 
 // ResponseDocument implements call.Exchange.
 func (x *exchange) ResponseDocument() []byte {
-	if whole, ok := x.sink.(*wholeSink); ok {
-		return whole.sent
+	if buffered, ok := x.sink.(*bufferedSink); ok {
+		return buffered.sent
 	}
 	return nil
 }
--- a/internal/openai/front.go
+++ b/internal/openai/protocol.go
@@ -1,6 +1,6 @@
-// Package openai is the front for callers of the OpenAI protocol: it checks their
-// requests, asks model engines in the same protocol, and makes their answers of the
-// engines' events. It decides nothing about where a call goes or how often.
+// Package openai implements the OpenAI protocol towards callers: it validates their
+// requests, builds the requests to model engines, which use the same protocol, and builds
+// the responses from the engines' events. Routing and retries are decided elsewhere.
 package openai
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// Protocol translates the protocol; the zero value is ready.
+// Protocol translates between callers and model engines; the zero value is ready to use.
 type Protocol struct{}
 
-// Parse checks a completion request's body. Its errors are *fennelerr.Error that
-// name the field.
+// Parse validates the body of a completion request. Its errors are of type
+// *fennelerr.Error and name the invalid field.
 func (Protocol) Parse(path string, body []byte) (*call.ModelCall, error) {
 	req, err := parse(path, body)
 	if err != nil {
@@ -37,7 +37,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// Models is the document that lists models.
+// Models returns the document that lists the models.
 func (Protocol) Models(names []string) []byte {
 	list := modelList{Object: "list", Data: []modelCard{}}
 	for _, name := range names {
@@ -46,7 +46,7 @@
 	return encode(list)
 }
 
-// errorBody is the OpenAI-shaped error document.
+// errorBody is the error document of the OpenAI protocol.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -60,7 +60,7 @@
 	RequestID string             `json:"request_id,omitempty"`
 }
 
-// Error is the document of a refusal.
+// Error returns the error document for e.
 func (Protocol) Error(e *fennelerr.Error, requestID string) []byte {
 	message := e.Message
 	if message == "" {
@@ -71,8 +71,8 @@
 	}})
 }
 
-// ParseRejection reads an engine's rejection of a request; both results are empty where it
-// gives no reason.
+// ParseRejection decodes the body with which an engine rejected a request. Both results
+// are empty if it is not an error document.
 func (Protocol) ParseRejection(body []byte) (message, field string) {
 	var doc errorBody
 	if json.Unmarshal(body, &doc) != nil {
@@ -81,7 +81,7 @@
 	return doc.Error.Message, doc.Error.Param
 }
 
-// encode marshals a document of strings, which can't fail.
+// encode marshals a document whose values are strings, for which json.Marshal cannot fail.
 func encode(doc any) []byte {
 	text, err := json.Marshal(doc)
 	if err != nil {
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -10,20 +10,20 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// request is a checked completion request.
+// request is a validated completion request.
 type request struct {
 	path   string
 	body   []byte // as the caller sent it
 	fields map[string]json.RawMessage
 	model  string
 	stream bool
-	// choices is the request's n; only single choices can continue on another replica.
+	// choices is the request's n; only a single choice can continue on another replica.
 	choices      int
 	maxTokens    int
 	prefixHashes []uint64
 }
 
-// knownFields are the fields that are read here; the others go on as they came.
+// knownFields are the fields that the gateway reads; all others are forwarded unchanged.
 type knownFields struct {
 	Model               string           `json:"model"`
 	Messages            []engine.Message `json:"messages"`
@@ -32,19 +32,19 @@
 	N                   *int             `json:"n"`
 	MaxTokens           *int             `json:"max_tokens"`
 	MaxCompletionTokens *int             `json:"max_completion_tokens"`
-	// StreamOptions is read only so that one of the wrong shape is refused here.
+	// StreamOptions is decoded only to reject a value of the wrong type.
 	StreamOptions struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
 }
 
-// defaultMaxTokens is assumed for cost estimates when a request names no bound.
+// defaultMaxTokens is assumed in cost estimates for a request without a token limit.
 const defaultMaxTokens = 256
 
-// bytesPerToken turns prompt bytes into an estimate of prompt tokens.
+// bytesPerToken is the ratio by which prompt tokens are estimated from the body's size.
 const bytesPerToken = 4
 
-// parse checks a completion request's body.
+// parse validates the body of a completion request.
 func parse(path string, body []byte) (*request, error) {
 	var f knownFields
 	if err := json.Unmarshal(body, &f); err != nil {
@@ -106,11 +106,12 @@
 	return ""
 }
 
-// cost estimates the request's work in tokens.
+// cost estimates the request's prompt and output tokens.
 func (q *request) cost() int { return len(q.body)/bytesPerToken + q.maxTokens*q.choices }
 
-// engineBody is the body sent to the engine: always streamed, with the usage
-// counted, so that one code path sees to the wholeness of every answer.
+// engineBody returns the body sent to the engine. It always requests a stream, so that a
+// single code path verifies that a response is complete; if the caller did not ask for a
+// stream, it also requests the usage. A prefix that is not empty is the text to continue.
 func (q *request) engineBody(prefix string) ([]byte, error) {
 	fields := make(map[string]json.RawMessage, len(q.fields)+3)
 	for k, v := range q.fields {
--- a/internal/openai/request_test.go
+++ b/internal/openai/request_test.go
@@ -10,8 +10,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// Whatever a caller sends is either refused with a typed error that says not-run, or
-// becomes a body that an engine takes for the same model, streamed.
+// Any body is either refused with a typed error with run state not-run, or converted to a
+// body for the same model that requests a stream and that parse accepts.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"model":"assistente-fit","messages":[{"role":"user","content":"cold left foot"}],"max_tokens":12}`))
 	f.Add([]byte(`{"model":"a","prompt":["x"],"n":2}`))
@@ -21,17 +21,17 @@
 		for _, path := range []string{engine.ChatPath, engine.CompletionsPath} {
 			req, err := parse(path, body)
 			if err != nil {
-				refused, ok := errors.Into[*fennelerr.Error](err)
+				refusal, ok := errors.Into[*fennelerr.Error](err)
 				require.True(t, ok, "%T", err)
-				require.Equal(t, fennelerr.NotRun, refused.Run)
+				require.Equal(t, fennelerr.NotRun, refusal.Run)
 				continue
 			}
 			sent, err := req.engineBody("")
 			require.NoError(t, err)
-			again, err := parse(path, sent)
+			reparsed, err := parse(path, sent)
 			require.NoError(t, err)
-			require.True(t, again.stream)
-			require.Equal(t, req.model, again.model)
+			require.True(t, reparsed.stream)
+			require.Equal(t, req.model, reparsed.model)
 		}
 	})
 }
--- a/internal/openai/sink.go
+++ b/internal/openai/sink.go
@@ -10,22 +10,22 @@
 	"github.com/fennelcourse/fennelcourse/internal/fennelerr"
 )
 
-// sink takes an answer to the caller.
+// sink delivers a response to the caller.
 type sink interface {
-	// event passes on one event; an error means that the caller is gone.
-	event(data []byte, c *chunk) error
-	// committed reports whether the caller has received bytes.
+	// writeEvent delivers one event; an error means that the caller has disconnected.
+	writeEvent(data []byte, c *chunk) error
+	// committed reports whether any part of the response has been written.
 	committed() bool
-	// restart drops what was taken in; only allowed before committed.
-	restart()
-	// finish ends a whole answer.
+	// reset discards the events so far; only allowed before the response is committed.
+	reset()
+	// finish completes the response.
 	finish() error
-	// abort ends a committed answer with an error's document.
+	// abort ends a committed response with an error document.
 	abort(document []byte)
 	close()
 }
 
-// streamSink passes events on as they come.
+// streamSink forwards events as they arrive.
 type streamSink struct {
 	w       http.ResponseWriter
 	rc      *http.ResponseController
@@ -44,8 +44,8 @@
 	return s
 }
 
-// keepAlive writes a comment when a started stream has been still for a while,
-// as during a resume, so that nothing between here and the caller gives it up.
+// keepAlive writes a comment after a pause in a started stream, for example during a
+// resume, so that no proxy on the way to the caller times out the connection.
 func (s *streamSink) keepAlive(every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -56,14 +56,14 @@
 		case now := <-ticker.C:
 			s.mu.Lock()
 			if s.started && now.Sub(s.last) >= every {
-				_ = s.write([]byte(": keep-alive\n\n")) // a caller gone shows at the next event
+				_ = s.write([]byte(": keep-alive\n\n")) // writeEvent reports a disconnected caller
 			}
 			s.mu.Unlock()
 		}
 	}
 }
 
-func (s *streamSink) event(data []byte, _ *chunk) error {
+func (s *streamSink) writeEvent(data []byte, _ *chunk) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.started {
@@ -84,8 +84,8 @@
 	return append(buf, "\n\n"...)
 }
 
-// write sends bytes within the write timeout: a caller that takes nothing for
-// that long counts as gone, else it would hold its replica slot for good.
+// write sends bytes within the write timeout. A caller that reads nothing for that long
+// is treated as disconnected; it would otherwise occupy its replica slot indefinitely.
 func (s *streamSink) write(p []byte) error {
 	s.last = time.Now()
 	_ = s.rc.SetWriteDeadline(s.last.Add(s.timeout)) // not supported by test recorders
@@ -101,16 +101,16 @@
 	return s.started
 }
 
-func (s *streamSink) restart() {}
+func (s *streamSink) reset() {}
 
 func (s *streamSink) finish() error {
-	return s.event([]byte(engine.DoneMarker), nil)
+	return s.writeEvent([]byte(engine.DoneMarker), nil)
 }
 
 func (s *streamSink) abort(document []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.write(sseEvent(document)) // the caller may be gone
+	_ = s.write(sseEvent(document)) // the caller may have disconnected
 }
 
 func (s *streamSink) close() {
@@ -118,31 +118,31 @@
 	s.stopped.Wait()
 }
 
-// wholeSink collects the answer and sends it in one piece, so that before the
-// end any failure can still be told by a status.
-type wholeSink struct {
+// bufferedSink collects the response and sends it at once, so that any failure before
+// the end can still be reported by the HTTP status.
+type bufferedSink struct {
 	w    http.ResponseWriter
 	path string
-	asm  *assembly
-	// sent is the document after finish, else nil.
+	acc  *accumulator
+	// sent is the document that finish wrote; nil before.
 	sent []byte
 }
 
-func newWholeSink(w http.ResponseWriter, path string) *wholeSink {
-	return &wholeSink{w: w, path: path, asm: newAssembly()}
+func newBufferedSink(w http.ResponseWriter, path string) *bufferedSink {
+	return &bufferedSink{w: w, path: path, acc: newAccumulator()}
 }
 
-func (s *wholeSink) event(_ []byte, c *chunk) error {
-	s.asm.add(c)
+func (s *bufferedSink) writeEvent(_ []byte, c *chunk) error {
+	s.acc.add(c)
 	return nil
 }
 
-func (s *wholeSink) committed() bool { return s.sent != nil }
+func (s *bufferedSink) committed() bool { return s.sent != nil }
 
-func (s *wholeSink) restart() { s.asm = newAssembly() }
+func (s *bufferedSink) reset() { s.acc = newAccumulator() }
 
-func (s *wholeSink) finish() error {
-	doc, err := s.asm.document(s.path)
+func (s *bufferedSink) finish() error {
+	doc, err := s.acc.document(s.path)
 	if err != nil {
 		return err
 	}
@@ -154,6 +154,6 @@
 	return err
 }
 
-func (s *wholeSink) abort([]byte) {}
+func (s *bufferedSink) abort([]byte) {}
 
-func (s *wholeSink) close() {}
+func (s *bufferedSink) close() {}
