--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -68,9 +68,9 @@
 	return t
 }
 
-// Renew replaces the pool of addr if it is still old. Requests in flight on old
+// Replace replaces the pool of addr if it is still old. Requests in flight on old
 // connections go on; each notices for itself whether its connection is silent.
-func (p *Pools) Renew(addr string, old *http.Transport) {
+func (p *Pools) Replace(addr string, old *http.Transport) {
 	s := p.shard(addr)
 	s.mu.Lock()
 	current := s.byAddr[addr]
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -100,7 +100,7 @@
 	gap := info.MaxGap + gapGrace
 	err = readEvents(&watchedBody{body: resp.Body, dog: dog, gap: gap}, req, onEvent)
 	if err != nil && dog.fired.Load() {
-		s.pools.Renew(req.Addr, pool)
+		s.pools.Replace(req.Addr, pool)
 		return &SilentError{Addr: req.Addr, Gap: gap}
 	}
 	return err
@@ -140,7 +140,7 @@
 	case dog.fired.Load() && !sent:
 		return &NotStartedError{Addr: req.Addr, Err: errors.Wrap(err, "dial took too long")}
 	case dog.fired.Load():
-		s.pools.Renew(req.Addr, pool)
+		s.pools.Replace(req.Addr, pool)
 		return &SilentError{Addr: req.Addr, Gap: s.headerTimeout}
 	case ctx.Err() != nil:
 		return ctx.Err()
