--- a/internal/engine/brief.go
+++ b/internal/engine/brief.go
@@ -11,17 +11,17 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// MemberSummary says in a few bytes what a list of MemberDigest says in some
-// thousands, for as long as all members agree.
+// MemberSummary replaces a list of MemberDigest, which takes some thousands of bytes,
+// by a few bytes. It suffices as long as all members agree.
 type MemberSummary struct {
 	Count int `json:"count"`
 	// OldestMs is the largest SeenAgoMs.
 	OldestMs int64 `json:"oldest_ms"`
-	// Hash is MembersHash of what the members believe.
+	// Hash is the MembersHash of the members' digests.
 	Hash string `json:"hash"`
 }
 
-// Brief returns the state with Summary in place of the members' lists.
+// Brief returns the state with Summary in place of the lists of members.
 func (s State) Brief() State {
 	summary := &MemberSummary{Count: len(s.Members), Hash: MembersHash(s.Members)}
 	for _, m := range s.Members {
@@ -34,8 +34,8 @@
 	return s
 }
 
-// MembersHash identifies members with their replicas and generations, whatever
-// their order.
+// MembersHash returns a hash of the members with their replicas and generations,
+// independent of their order.
 func MembersHash(members []MemberDigest) string {
 	sorted := slices.SortedFunc(slices.Values(members), func(a, b MemberDigest) int { return cmp.Compare(a.VM, b.VM) })
 	hash := xxhash.New()
@@ -45,7 +45,7 @@
 	return strconv.FormatUint(hash.Sum64(), 16)
 }
 
-// ReplicaHash is the MembersHash of a replica whose members all confirm it.
+// ReplicaHash returns the MembersHash of a replica that all its members confirm.
 func ReplicaHash(r cluster.Replica) string {
 	members := make([]MemberDigest, len(r.Members))
 	for i, vm := range r.Members {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -20,14 +20,14 @@
 	DefaultCallTimeout = 2 * time.Second
 	defaultDialTimeout = time.Second
 	idleConnTimeout    = 90 * time.Second
-	// maxAnswerBytes bounds an answer; a digest of 32 members needs about 4 KB.
-	maxAnswerBytes = 1 << 20
+	// maxResponseBytes bounds a response; a digest of 32 members needs about 4 KB.
+	maxResponseBytes = 1 << 20
 )
 
 // CallErrorKind classifies a failed call to an engine.
 type CallErrorKind string
 
-// Kinds of failed calls. Only CallNotSent proves that the engine did not see the call.
+// Kinds of failed calls. Only CallNotSent proves that the engine did not receive the call.
 const (
 	CallNotSent   CallErrorKind = "not-sent"
 	CallNoAnswer  CallErrorKind = "no-answer"
@@ -52,14 +52,14 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Client makes the short control calls to engines. It is safe for concurrent use.
+// Client makes short control calls to engines. It is safe for concurrent use.
 type Client struct {
 	http    *http.Client
 	timeout time.Duration
 }
 
-// NewClient returns a Client whose calls take at most timeout each;
-// zero means DefaultCallTimeout.
+// NewClient returns a Client with the given timeout per call; zero means
+// DefaultCallTimeout.
 func NewClient(timeout time.Duration) *Client {
 	if timeout <= 0 {
 		timeout = DefaultCallTimeout
@@ -73,17 +73,17 @@
 	return &Client{http: &http.Client{Transport: transport}, timeout: timeout}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// State asks the engine at addr (ip:port) for its state.
+// State returns the state of the engine at addr (ip:port).
 func (c *Client) State(ctx context.Context, addr string) (State, error) {
 	var state State
 	err := c.call(ctx, request{op: "state", method: http.MethodGet, addr: addr, path: StatePath}, &state)
 	return state, err
 }
 
-// BriefState asks for the state in brief.
+// BriefState returns the state with a summary of the members.
 func (c *Client) BriefState(ctx context.Context, addr string) (State, error) {
 	var state State
 	path := StatePath + "?" + BriefQuery
@@ -98,7 +98,7 @@
 	return result, err
 }
 
-// Cancel stops the request with the given id.
+// Cancel cancels the request with the given id.
 func (c *Client) Cancel(ctx context.Context, addr, id string) error {
 	body := CancelRequest{RequestID: id}
 	return c.call(ctx, request{op: "cancel", method: http.MethodPost, addr: addr, path: CancelPath, body: body}, nil)
@@ -118,25 +118,25 @@
 	body                   any
 }
 
-// call makes one HTTP exchange and decodes the answer into out, unless out is nil.
+// call makes one HTTP exchange and decodes the response into out, unless out is nil.
 func (c *Client) call(ctx context.Context, r request, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := r.build(ctx)
 	if err != nil {
-		return r.fail(CallNotSent, 0, err)
+		return r.newError(CallNotSent, 0, err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return r.fail(kindOfFailure(err), 0, err)
+		return r.newError(callErrorKind(err), 0, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return r.fail(CallNoAnswer, resp.StatusCode, err)
+		return r.newError(CallNoAnswer, resp.StatusCode, err)
 	}
-	if len(body) > maxAnswerBytes {
-		return r.fail(CallBadAnswer, resp.StatusCode, errors.New("answer too large"))
+	if len(body) > maxResponseBytes {
+		return r.newError(CallBadAnswer, resp.StatusCode, errors.Errorf("response exceeds %d bytes", maxResponseBytes))
 	}
 	return r.decode(resp.StatusCode, body, out)
 }
@@ -146,7 +146,7 @@
 	if r.body != nil {
 		data, err := json.Marshal(r.body)
 		if err != nil {
-			return nil, errors.Wrap(err, "encode")
+			return nil, errors.Wrap(err, "encode request body")
 		}
 		body = bytes.NewReader(data)
 	}
@@ -160,27 +160,27 @@
 	return req, nil
 }
 
-// decode accepts an OrderResult also from an answer of 409, which is how an
-// engine may refuse an order with an old fencing number.
+// decode accepts an OrderResult also with status 409, with which an engine may refuse
+// an order that has a stale fencing token.
 func (r request) decode(status int, body []byte, out any) error {
 	refusedOrder := r.op == "order" && status == http.StatusConflict
 	if status/100 != 2 && !refusedOrder {
-		return r.fail(CallBadStatus, status, errors.New(http.StatusText(status)))
+		return r.newError(CallBadStatus, status, errors.New(http.StatusText(status)))
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return r.fail(CallBadAnswer, status, err)
+		return r.newError(CallBadAnswer, status, err)
 	}
 	return nil
 }
 
-func (r request) fail(kind CallErrorKind, status int, err error) error {
+func (r request) newError(kind CallErrorKind, status int, err error) error {
 	return &CallError{Kind: kind, Op: r.op, Addr: r.addr, Status: status, Err: err}
 }
 
-func kindOfFailure(err error) CallErrorKind {
+func callErrorKind(err error) CallErrorKind {
 	if op, ok := errors.Into[*net.OpError](err); ok && op.Op == "dial" {
 		return CallNotSent
 	}
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func clientFor(t *testing.T, handler http.HandlerFunc) (client *Client, addr string) {
+func newTestClient(t *testing.T, handler http.HandlerFunc) (client *Client, addr string) {
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	client = NewClient(time.Second)
@@ -22,7 +22,7 @@
 }
 
 func TestClientCalls(t *testing.T) {
-	client, addr := clientFor(t, func(w http.ResponseWriter, r *http.Request) {
+	client, addr := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
 		case "GET " + StatePath:
 			_ = json.NewEncoder(w).Encode(State{VM: "a", Loaded: true})
@@ -30,7 +30,7 @@
 			var order Order
 			if json.NewDecoder(r.Body).Decode(&order) != nil || order.Fence < 7 {
 				w.WriteHeader(http.StatusConflict)
-				_ = json.NewEncoder(w).Encode(OrderResult{Reason: "old fence"})
+				_ = json.NewEncoder(w).Encode(OrderResult{Reason: "stale fencing token"})
 				return
 			}
 			_ = json.NewEncoder(w).Encode(OrderResult{Accepted: true, State: State{VM: order.VM}})
@@ -48,16 +48,16 @@
 	require.True(t, result.Accepted)
 	result, err = client.Order(t.Context(), addr, Order{VM: "a", Fence: 6})
 	require.NoError(t, err, "a refusal is a result")
-	require.Equal(t, OrderResult{Reason: "old fence"}, result)
+	require.Equal(t, OrderResult{Reason: "stale fencing token"}, result)
 	require.NoError(t, client.Cancel(t.Context(), addr, "x"))
 	events, err := client.CacheEvents(t.Context(), addr, 42)
 	require.NoError(t, err)
 	require.Equal(t, "42", events.Boot)
 }
 
-// Engines are stopped, hang, answer nonsense or are replaced by another server.
-// Whoever sends an order has to know whether the engine may have acted on it.
-func TestClientErrors(t *testing.T) {
+// Engines stop, hang, send invalid responses or are replaced by another server. The
+// sender of an order must know whether the engine may have executed it.
+func TestClientErrorKinds(t *testing.T) {
 	release := make(chan struct{})
 	handlers := map[CallErrorKind]http.HandlerFunc{
 		CallNoAnswer:  func(http.ResponseWriter, *http.Request) { <-release },
@@ -66,7 +66,7 @@
 	}
 	for kind, handler := range handlers {
 		t.Run(string(kind), func(t *testing.T) {
-			client, addr := clientFor(t, handler)
+			client, addr := newTestClient(t, handler)
 			client.timeout = 50 * time.Millisecond
 			if kind == CallNoAnswer {
 				defer close(release)
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// NotStartedError says that the backend server certainly did not run the
-// request: the dial failed, or the server answered that it did not start.
+// NotStartedError means that the backend server definitely did not run the request:
+// the dial failed, or the server answered that it did not start the request.
 type NotStartedError struct {
 	Addr string
-	// Status is the HTTP status of the server's refusal; 0 when the dial failed.
+	// Status is the HTTP status of the server's refusal; 0 if the dial failed.
 	Status  int
 	Message string
-	// RetryAfter is the server's own wish; may be zero.
+	// RetryAfter is the delay that the server asked for; may be zero.
 	RetryAfter time.Duration
 	Err        error
 }
@@ -20,7 +20,7 @@
 // Error implements error.
 func (e *NotStartedError) Error() string {
 	if e.Err != nil {
-		return fmt.Sprintf("backend server %s not reached: %v", e.Addr, e.Err)
+		return fmt.Sprintf("backend server %s unreachable: %v", e.Addr, e.Err)
 	}
 	return fmt.Sprintf("backend server %s did not start the request: status %d: %s", e.Addr, e.Status, e.Message)
 }
@@ -28,12 +28,12 @@
 // Unwrap returns the cause.
 func (e *NotStartedError) Unwrap() error { return e.Err }
 
-// RejectedError is a final answer of the engine about the request itself (4xx).
+// RejectedError is a final rejection of the request by the engine (4xx).
 type RejectedError struct {
 	Addr   string
 	Status int
 	Body   []byte
-	// NotStarted is true when the server said so.
+	// NotStarted is true if the server stated that it did not start the request.
 	NotStarted bool
 }
 
@@ -42,17 +42,17 @@
 	return fmt.Sprintf("backend server %s rejected the request: status %d", e.Addr, e.Status)
 }
 
-// MismatchError says that the answer carries another request's id.
+// MismatchError means that the response has the id of another request.
 type MismatchError struct {
 	Addr, Want, Got string
 }
 
 // Error implements error.
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("backend server %s answered request %q on the connection of %q", e.Addr, e.Got, e.Want)
+	return fmt.Sprintf("backend server %s returned the response to request %q, expected %q", e.Addr, e.Got, e.Want)
 }
 
-// SequenceError says that an event was skipped.
+// SequenceError means that events are missing from the stream.
 type SequenceError struct {
 	Addr      string
 	Want, Got int64
@@ -60,10 +60,10 @@
 
 // Error implements error.
 func (e *SequenceError) Error() string {
-	return fmt.Sprintf("backend server %s: event %d came where %d was due", e.Addr, e.Got, e.Want)
+	return fmt.Sprintf("backend server %s: received event %d, expected %d", e.Addr, e.Got, e.Want)
 }
 
-// SilentError says that no byte came for longer than the engine promised.
+// SilentError means that no byte arrived for longer than the engine's maximum gap.
 type SilentError struct {
 	Addr string
 	Gap  time.Duration
@@ -71,11 +71,11 @@
 
 // Error implements error.
 func (e *SilentError) Error() string {
-	return fmt.Sprintf("backend server %s: connection silent for %s", e.Addr, e.Gap)
+	return fmt.Sprintf("backend server %s: no data received for %s", e.Addr, e.Gap)
 }
 
-// BrokenError says that the exchange ended without the end marker, or failed
-// after bytes had gone out.
+// BrokenError means that the exchange ended without the end marker, or failed after
+// bytes had been sent.
 type BrokenError struct {
 	Addr string
 	Err  error
@@ -83,7 +83,7 @@
 
 // Error implements error.
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("backend server %s: answer broke off: %v", e.Addr, e.Err)
+	return fmt.Sprintf("backend server %s: response incomplete: %v", e.Addr, e.Err)
 }
 
 // Unwrap returns the cause.
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -12,14 +12,14 @@
 // Defaults of PoolOptions.
 const (
 	DefaultDialTimeout = time.Second
-	// DefaultIdleTimeout is short: the longer a connection idles, the likelier
-	// something between the two ends has forgotten it.
+	// DefaultIdleTimeout is short: the longer a connection is idle, the likelier a
+	// middlebox on its path has dropped its state.
 	DefaultIdleTimeout = 20 * time.Second
 	maxIdlePerHost     = 64
 	poolShards         = 16
 )
 
-// PoolOptions sets how connections to backend servers are made; zero fields take the defaults.
+// PoolOptions configures connections to backend servers; zero fields mean the defaults.
 type PoolOptions struct {
 	DialTimeout time.Duration
 	IdleTimeout time.Duration
@@ -27,9 +27,9 @@
 
 // Pools keeps one connection pool per backend server address.
 //
-// An open connection can go silent for good while new ones work. Whoever
-// notices calls Renew: from then on nobody takes an idle connection of the old
-// pool, which may have been forgotten in the same way.
+// An open connection can stop delivering data permanently while new connections work.
+// The request that detects it calls Replace: from then on no request takes an idle
+// connection of the old pool, which may be dead for the same reason.
 type Pools struct {
 	opts   PoolOptions
 	shards [poolShards]poolShard
@@ -68,8 +68,9 @@
 	return t
 }
 
-// Replace replaces the pool of addr if it is still old. Requests in flight on old
-// connections go on; each notices for itself whether its connection is silent.
+// Replace installs a new pool for addr if the current one is still old. Requests in
+// flight continue on their old connections; each detects by itself whether its
+// connection is dead.
 func (p *Pools) Replace(addr string, old *http.Transport) {
 	s := p.shard(addr)
 	s.mu.Lock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// Close closes idle connections of all pools.
+// Close closes the idle connections of all pools.
 func (p *Pools) Close() {
 	for i := range p.shards {
 		s := &p.shards[i]
@@ -95,8 +96,8 @@
 	}
 }
 
-// Unpooled returns a transport that opens a new connection for every request: for
-// probes, and for calls that must not meet a connection gone silent.
+// Unpooled returns a transport that opens a new connection for every request. It is
+// for probes and for calls that must not run into a dead connection.
 func (p *Pools) Unpooled() *http.Transport {
 	t := p.newTransport()
 	t.DisableKeepAlives = true
--- a/internal/engine/prober.go
+++ b/internal/engine/prober.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// NewProber returns a Client that opens a new connection for every call. A probe
-// over a pooled connection would ask the very connection that may have gone silent.
+// NewProber returns a Client that opens a new connection for every call. A probe over a
+// pooled connection could fail because that connection is dead, not the engine.
 func NewProber(timeout time.Duration) *Client {
 	c := NewClient(timeout)
 	c.http.Transport.(*http.Transport).DisableKeepAlives = true
--- a/internal/engine/prompt.go
+++ b/internal/engine/prompt.go
@@ -7,34 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxPrefixHashes bounds how many prefixes of one prompt are hashed. A prompt
-// longer than MaxPrefixHashes*PrefixBlock bytes is told apart by its start only.
+// MaxPrefixHashes bounds the number of hashed prefixes per prompt. Longer prompts are
+// distinguished by their first MaxPrefixHashes*PrefixBlock bytes only.
 const MaxPrefixHashes = 64
 
-// Message is one message of a chat request, as far as the prompt's text needs it.
+// Message is one message of a chat request, with the fields that form the prompt text.
 type Message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// PromptText is the text whose prefixes engines cache: for a chat the roles and
+// PromptText returns the text whose prefixes engines cache: for a chat the roles and
 // contents of its messages in order, otherwise the completion's prompt. Content
-// that is not a string counts as its JSON text.
+// that is not a string is represented by its JSON text.
 func PromptText(messages []Message, prompt json.RawMessage) string {
 	if len(messages) == 0 {
-		return textOf(prompt)
+		return contentText(prompt)
 	}
 	var b strings.Builder
 	for _, m := range messages {
 		b.WriteString(m.Role)
 		b.WriteByte('\n')
-		b.WriteString(textOf(m.Content))
+		b.WriteString(contentText(m.Content))
 		b.WriteByte('\n')
 	}
 	return b.String()
 }
 
-func textOf(raw json.RawMessage) string {
+func contentText(raw json.RawMessage) string {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
 		return s
@@ -42,8 +42,8 @@
 	return string(raw)
 }
 
-// PrefixHashes returns the hashes of the text's prefixes that end at multiples
-// of PrefixBlock bytes, longest first; none for a text shorter than one block.
+// PrefixHashes returns the hashes of the text's prefixes whose length is a multiple of
+// PrefixBlock bytes, longest first; none for a text shorter than one block.
 func PrefixHashes(text string) []uint64 {
 	n := min(len(text)/PrefixBlock, MaxPrefixHashes)
 	hashes := make([]uint64, n)
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// DefaultHeaderTimeout bounds the wait for the first byte of an answer.
+	// DefaultHeaderTimeout bounds the wait for the response header, including the dial.
 	DefaultHeaderTimeout = 3 * time.Second
-	// DefaultMaxGap is assumed of an engine that promises nothing.
+	// DefaultMaxGap is assumed if the engine sends no HeaderMaxGap.
 	DefaultMaxGap = 2 * time.Second
-	// gapGrace is added to the promised gap for the network and the scheduler.
+	// gapGrace is added to the engine's maximum gap for network and scheduling delays.
 	gapGrace = 500 * time.Millisecond
 	// maxEventSize bounds one event of a stream, in bytes.
 	maxEventSize = 1 << 20
-	// maxRefusalBody bounds what is read of a refusal, in bytes.
+	// maxRefusalBody bounds the part of a refusal's body that is read, in bytes.
 	maxRefusalBody = 64 << 10
 )
 
-// StreamRequest is one attempt to get the rest of an answer from one replica.
+// StreamRequest is one attempt to obtain a response, or the rest of it, from one replica.
 type StreamRequest struct {
 	Addr       string
 	Path       string
@@ -37,34 +37,35 @@
 	Generation int64
 	Priority   int
 	Body       []byte
-	// ResumeAfter is the id of the last event that the caller of Stream has.
+	// ResumeAfter is the id of the last event that the caller of Stream has received.
 	ResumeAfter int64
-	// Resume says that an earlier attempt may have started the request on this replica.
+	// Resume is true if an earlier attempt may have started the request on this replica.
 	Resume bool
-	// Continue asks another replica to go on after ResumeAfter events.
+	// Continue asks another replica to continue after ResumeAfter events.
 	Continue bool
 }
 
-// StreamInfo is what the engine says about a stream in its answer's header.
+// StreamInfo describes a stream; it is taken from the response header.
 type StreamInfo struct {
 	CanContinue bool
 	MaxGap      time.Duration
 }
 
-// Event is one event of a stream. Done marks the end marker.
+// Event is one event of a stream. Done is true for the end marker.
 type Event struct {
 	ID   int64
 	Data []byte
 	Done bool
 }
 
-// Streamer reads answers of engines over pooled connections.
+// Streamer reads streamed responses of engines over pooled connections.
 type Streamer struct {
 	pools         *Pools
 	headerTimeout time.Duration
 }
 
-// NewStreamer returns a Streamer on the given pools; headerTimeout zero takes the default.
+// NewStreamer returns a Streamer on the given pools; a zero headerTimeout means
+// DefaultHeaderTimeout.
 func NewStreamer(pools *Pools, headerTimeout time.Duration) *Streamer {
 	if headerTimeout <= 0 {
 		headerTimeout = DefaultHeaderTimeout
@@ -72,23 +73,22 @@
 	return &Streamer{pools: pools, headerTimeout: headerTimeout}
 }
 
-// Stream runs one attempt. It calls onStart once the engine has accepted, then
-// onEvent for each event in order, without gaps and without repeats. It returns
-// nil only after the end marker. Other errors are *NotStartedError,
-// *RejectedError, *MismatchError, *SequenceError, *SilentError, *BrokenError, the
-// error of a callback, or ctx's error.
+// Stream runs one attempt. It calls onStart once the engine has accepted the request,
+// then onEvent for each event in order, without gaps or duplicates. It returns nil only
+// after the end marker; otherwise *NotStartedError, *RejectedError, *MismatchError,
+// *SequenceError, *SilentError, *BrokenError, the error of a callback, or ctx's error.
 func (s *Streamer) Stream(ctx context.Context, req StreamRequest, onStart func(StreamInfo), onEvent func(Event) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dog := newWatchdog(cancel)
-	defer dog.disarm()
+	wd := newWatchdog(cancel)
+	defer wd.disarm()
 	pool := s.pools.Get(req.Addr)
 
-	dog.arm(s.headerTimeout)
+	wd.arm(s.headerTimeout)
 	resp, sent, err := s.send(ctx, pool, req)
-	dog.disarm()
+	wd.disarm()
 	if err != nil {
-		return s.sendError(ctx, err, sent, dog, pool, req)
+		return s.classifySendError(ctx, err, sent, wd, pool, req)
 	}
 	defer resp.Body.Close()
 
@@ -98,16 +98,16 @@
 	}
 	onStart(info)
 	gap := info.MaxGap + gapGrace
-	err = readEvents(&watchedBody{body: resp.Body, dog: dog, gap: gap}, req, onEvent)
-	if err != nil && dog.fired.Load() {
+	err = readEvents(&watchedBody{body: resp.Body, watchdog: wd, gap: gap}, req, onEvent)
+	if err != nil && wd.fired.Load() {
 		s.pools.Replace(req.Addr, pool)
 		return &SilentError{Addr: req.Addr, Gap: gap}
 	}
 	return err
 }
 
-// send posts the request. sent reports whether a connection was obtained, so
-// that bytes may have gone out.
+// send posts the request. sent reports whether a connection was obtained, in which
+// case bytes may have been sent.
 func (s *Streamer) send(ctx context.Context, pool http.RoundTripper, req StreamRequest) (resp *http.Response, sent bool, err error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }}
 	hreq, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace),
@@ -135,11 +135,11 @@
 	}
 }
 
-func (s *Streamer) sendError(ctx context.Context, err error, sent bool, dog *watchdog, pool *http.Transport, req StreamRequest) error {
+func (s *Streamer) classifySendError(ctx context.Context, err error, sent bool, wd *watchdog, pool *http.Transport, req StreamRequest) error {
 	switch {
-	case dog.fired.Load() && !sent:
-		return &NotStartedError{Addr: req.Addr, Err: errors.Wrap(err, "dial took too long")}
-	case dog.fired.Load():
+	case wd.fired.Load() && !sent:
+		return &NotStartedError{Addr: req.Addr, Err: errors.Wrap(err, "dial timed out")}
+	case wd.fired.Load():
 		s.pools.Replace(req.Addr, pool)
 		return &SilentError{Addr: req.Addr, Gap: s.headerTimeout}
 	case ctx.Err() != nil:
@@ -153,7 +153,7 @@
 
 func checkHeader(resp *http.Response, req StreamRequest) (StreamInfo, error) {
 	if resp.StatusCode != http.StatusOK {
-		return StreamInfo{}, refusal(resp, req.Addr)
+		return StreamInfo{}, refusalError(resp, req.Addr)
 	}
 	if got := resp.Header.Get(HeaderRequestID); got != req.RequestID {
 		return StreamInfo{}, &MismatchError{Addr: req.Addr, Want: req.RequestID, Got: got}
@@ -165,7 +165,7 @@
 	return info, nil
 }
 
-func refusal(resp *http.Response, addr string) error {
+func refusalError(resp *http.Response, addr string) error {
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBody))
 	notStarted := resp.Header.Get(HeaderStarted) == StartedNo
 	if resp.StatusCode >= 400 && resp.StatusCode < 500 {
@@ -181,8 +181,8 @@
 	return e
 }
 
-// readEvents passes on events in order. Events may be repeated or come late
-// after a resume: an id already passed on is dropped, a skipped one is an error.
+// readEvents delivers events in order. After a resume events may be repeated or arrive
+// late: an id that was already delivered is dropped, a skipped one is an error.
 func readEvents(body io.Reader, req StreamRequest, onEvent func(Event) error) error {
 	last := req.ResumeAfter
 	for ev, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventSize}) {
--- a/internal/engine/watchdog.go
+++ b/internal/engine/watchdog.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// watchdog ends an exchange whose connection delivers no bytes for too long.
+// watchdog cancels an exchange whose connection delivers no bytes for too long.
 //
-// What goes wrong: a connection stays open for good but passes nothing, so a
-// read on it would block until the caller gives up; TCP keepalive notices only
-// after minutes, or never when a middlebox answers it. It is armed only while a
-// read waits, so a slow caller does not make the engine look silent.
+// A connection can stay open but deliver nothing, and a read on it would block until
+// the caller disconnects: TCP keepalive detects this only after minutes, or never if a
+// middlebox responds to it. The watchdog is armed only while a read waits, so that a
+// slow caller is not mistaken for a silent engine.
 type watchdog struct {
 	timer *time.Timer
 	fired atomic.Bool
@@ -32,15 +32,15 @@
 
 // watchedBody arms the watchdog around each read.
 type watchedBody struct {
-	body io.Reader
-	dog  *watchdog
-	gap  time.Duration
+	body     io.Reader
+	watchdog *watchdog
+	gap      time.Duration
 }
 
 // Read implements io.Reader.
 func (b *watchedBody) Read(p []byte) (int, error) {
-	b.dog.arm(b.gap)
+	b.watchdog.arm(b.gap)
 	n, err := b.body.Read(p)
-	b.dog.disarm()
+	b.watchdog.disarm()
 	return n, err
 }
