--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -222,10 +222,10 @@
 		return 0
 	}
 	g := placement.FindGroup(set.Groups, cluster.GroupName(c.Model))
-	if g == nil || !g.Engine.Known() {
+	if g == nil || !g.Engine.IsSet() {
 		return 0
 	}
-	return g.Engine.Work(c.PromptTokens, c.ExpectedOutputTokens())
+	return g.Engine.RequestCost(c.PromptTokens, c.ExpectedOutputTokens())
 }
 
 // maxConfigAge is how long the configuration counts as the newest after the store's last
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -141,10 +141,10 @@
 }
 
 // figures are the engine's for one model.
-func (s *Scenario) figures(m Model) enginemodel.Figures {
+func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
-	return enginemodel.Figures{Slots: e.Slots, Stride: e.Stride, Chunk: e.Chunk, Step: e.Step, PerSequence: e.PerSequence, PerContext: e.PerContext,
-		ReadPerSecond: e.ReadPerSecond, PerPairs: e.PerPairs, Pace: m.Pace}
+	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.Stride, PrefillChunk: e.Chunk, BaseStep: e.Step, StepPerSequence: e.PerSequence, StepPerContext: e.PerContext,
+		PrefillPerSecond: e.ReadPerSecond, AttentionPerPairs: e.PerPairs, TimeFactor: m.Pace}
 }
 
 // ScenarioError says what a scenario lacks.
@@ -196,7 +196,7 @@
 func (s *Scenario) work(k *Kind, prompt, answer int) time.Duration {
 	for _, m := range s.Models {
 		if m.Name == k.Model {
-			return s.figures(m).Work(prompt, answer)
+			return s.figures(m).RequestCost(prompt, answer)
 		}
 	}
 	return 0
--- a/internal/rules/types.go
+++ b/internal/rules/types.go
@@ -92,7 +92,7 @@
 	WarmLoad time.Duration
 	// Engine holds the published performance figures of the group's engines; the zero
 	// value if there are none.
-	Engine enginemodel.Figures
+	Engine enginemodel.Profile
 }
 
 // Once says whether calls on a route require an idempotency key.
