--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -66,7 +66,7 @@
 	s := &system{t: t}
 	s.holder = rulestore.New(rulestore.Options{Store: memstore.New(memstore.Options{})})
 	mux := http.NewServeMux()
-	mux.Handle(wirepbconnect.NewOperatorServiceHandler(operator.New(operator.Parts{Rules: s.holder, Nodes: s, Status: s, Explain: s, Outages: s})))
+	mux.Handle(wirepbconnect.NewOperatorServiceHandler(operator.New(operator.Dependencies{Rules: s.holder, Nodes: s, Status: s, Explain: s, Outages: s})))
 	s.handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.loseAnswers.Add(-1) >= 0 {
 			mux.ServeHTTP(httptest.NewRecorder(), r)
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -32,7 +32,7 @@
 func (n *Node) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(peer.NewHandler(peerSource{n}, peerSource{n}, peerSource{n}))
-	mux.Handle(wirepbconnect.NewOperatorServiceHandler(operator.New(operator.Parts{
+	mux.Handle(wirepbconnect.NewOperatorServiceHandler(operator.New(operator.Dependencies{
 		Rules: n.rules, Nodes: operatorAPI{n}, Status: operatorAPI{n}, Explain: operatorAPI{n}, Outages: operatorAPI{n},
 	})))
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -20,8 +20,8 @@
 type operatorAPI struct{ n *Node }
 
 // parts returns the parts of the operator service that this kind of node implements.
-func (o operatorAPI) parts() operator.Parts {
-	return operator.Parts{Rules: o, Nodes: o, Status: o, Explain: o, Outages: o}
+func (o operatorAPI) parts() operator.Dependencies {
+	return operator.Dependencies{Rules: o, Nodes: o, Status: o, Explain: o, Outages: o}
 }
 
 // Get implements operator.RulesAdmin; the node knows only the version in force.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -56,9 +56,9 @@
 	Outages(ctx context.Context, from, to time.Time, zone cluster.ZoneID) (*wirepb.OutagesResponse, error)
 }
 
-// Parts are what the service is put together from. A nil part answers its calls
+// Dependencies are what the service is put together from. A nil part answers its calls
 // with CodeUnimplemented.
-type Parts struct {
+type Dependencies struct {
 	Rules   RulesAdmin
 	Nodes   NodeSource
 	Status  StatusSource
@@ -68,13 +68,13 @@
 
 // Service implements the operators' service.
 type Service struct {
-	parts Parts
+	parts Dependencies
 }
 
 var _ wirepbconnect.OperatorServiceHandler = (*Service)(nil)
 
 // New returns a Service over the parts.
-func New(parts Parts) *Service { return &Service{parts: parts} }
+func New(parts Dependencies) *Service { return &Service{parts: parts} }
 
 func missing(what string) error {
 	return connect.NewError(connect.CodeUnimplemented, &MissingError{Part: what})
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -23,7 +23,7 @@
 
 func (n nodeList) NodeRevisions() []NodeRevision { return n }
 
-func serve(t *testing.T, parts Parts) wirepbconnect.OperatorServiceClient {
+func serve(t *testing.T, parts Dependencies) wirepbconnect.OperatorServiceClient {
 	mux := http.NewServeMux()
 	mux.Handle(wirepbconnect.NewOperatorServiceHandler(New(parts)))
 	srv := httptest.NewServer(mux)
@@ -32,7 +32,7 @@
 }
 
 func TestMissingPartsSaySo(t *testing.T) {
-	c := serve(t, Parts{})
+	c := serve(t, Dependencies{})
 	ctx := t.Context()
 	_, rulesErr := c.GetRules(ctx, connect.NewRequest(&wirepb.GetRulesRequest{}))
 	_, applyErr := c.ApplyRules(ctx, connect.NewRequest(&wirepb.ApplyRulesRequest{}))
@@ -49,7 +49,7 @@
 
 func TestRulesOverTheWire(t *testing.T) {
 	s := memstore.New(memstore.Options{})
-	c := serve(t, Parts{
+	c := serve(t, Dependencies{
 		Rules: rulestore.New(rulestore.Options{Store: s}),
 		Nodes: nodeList{{Node: "a", Zone: "z", Revision: 7, Heard: true}, {Node: "b", Zone: "z", Revision: 6, Heard: true}, {Node: "c", Zone: "z", Revision: 9, HeardAgo: time.Minute}},
 	})
@@ -93,7 +93,7 @@
 	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
 	var unknown *rulestore.OutcomeUnknownError
-	_, err = New(Parts{Rules: rulestore.New(rulestore.Options{Store: s})}).ApplyRules(short, connect.NewRequest(&wirepb.ApplyRulesRequest{Text: fileA, Author: "Ana", WriteId: "7"}))
+	_, err = New(Dependencies{Rules: rulestore.New(rulestore.Options{Store: s})}).ApplyRules(short, connect.NewRequest(&wirepb.ApplyRulesRequest{Text: fileA, Author: "Ana", WriteId: "7"}))
 	require.ErrorAs(t, err, &unknown)
 	require.Equal(t, connect.CodeUnknown, connect.CodeOf(err))
 }
