--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -77,16 +77,16 @@
 func New(parts Dependencies) *Service { return &Service{parts: parts} }
 
 func missing(what string) error {
-	return connect.NewError(connect.CodeUnimplemented, &UnsupportedError{Part: what})
+	return connect.NewError(connect.CodeUnimplemented, &UnsupportedError{Feature: what})
 }
 
 // UnsupportedError says that the node does not serve a part of the operators' service.
 type UnsupportedError struct {
-	Part string
+	Feature string
 }
 
 // Error implements error.
-func (e *UnsupportedError) Error() string { return "this node does not serve " + e.Part }
+func (e *UnsupportedError) Error() string { return "this node does not serve " + e.Feature }
 
 // GetRules returns a revision of the rules file.
 func (s *Service) GetRules(ctx context.Context, req *connect.Request[wirepb.GetRulesRequest]) (*connect.Response[wirepb.GetRulesResponse], error) {
