--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -26,8 +26,8 @@
 	Queued Cause = "queued-on-a-working-replica"
 	// Slow: the replica worked and had slots, and the first piece came late all the same.
 	Slow Cause = "slow-with-free-slots"
-	// StoodStill: the replica lost a member, or brought nothing to anybody.
-	StoodStill Cause = "replica-stood-still"
+	// ReplicaStalled: the replica lost a member, or brought nothing to anybody.
+	ReplicaStalled Cause = "replica-stood-still"
 	// Unreachable: no connection to the replica's serving VM came about.
 	Unreachable Cause = "head-not-reachable"
 	// TurnedDown: the server said that it would not run the call.
@@ -48,7 +48,7 @@
 
 // Causes lists all causes, in the order in which they are shown.
 func Causes() []Cause {
-	return []Cause{Queued, Slow, StoodStill, Unreachable, TurnedDown, Full, Paused, Broke, ServerFailed, Left, Other}
+	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, TurnedDown, Full, Paused, Broke, ServerFailed, Left, Other}
 }
 
 // Call is one call as one node served it.
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -41,7 +41,7 @@
 		"queued":  {losses.Late, losses.Queued},
 		"slow":    {losses.Late, losses.Slow},
 		"paused":  {losses.Late, losses.Paused},
-		"still":   {losses.Late, losses.StoodStill},
+		"still":   {losses.Late, losses.ReplicaStalled},
 		"hung":    {losses.Refused, losses.Unreachable},
 		"full":    {losses.Refused, losses.Full},
 		"shed":    {losses.Refused, losses.TurnedDown},
