--- a/internal/losses/judge.go
+++ b/internal/losses/judge.go
@@ -17,7 +17,7 @@
 	{"broken: the server failed", ServerFailed},
 	{"not run: no connection", Unreachable},
 	{"not run: connection refused", Unreachable},
-	{"not run: status", TurnedDown},
+	{"not run: status", ServerRejected},
 	{"broken:", Broke},
 }
 
@@ -38,8 +38,8 @@
 		return Refused, Full
 	case c.answered():
 		return c.judgeAnswer(wrong)
-	case c.noReplica && wrong == TurnedDown:
-		return Refused, TurnedDown
+	case c.noReplica && wrong == ServerRejected:
+		return Refused, ServerRejected
 	case c.noReplica:
 		return Refused, wrong
 	}
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -30,8 +30,8 @@
 	ReplicaStalled Cause = "replica-stood-still"
 	// Unreachable: no connection to the replica's serving VM came about.
 	Unreachable Cause = "head-not-reachable"
-	// TurnedDown: the server said that it would not run the call.
-	TurnedDown Cause = "server-would-not-take-it"
+	// ServerRejected: the server said that it would not run the call.
+	ServerRejected Cause = "server-would-not-take-it"
 	// Full: no whole replica had room, or there was none, by this system's own word.
 	Full Cause = "refused-by-us"
 	// Paused: the first piece was on time, and a later one was not.
@@ -48,7 +48,7 @@
 
 // Causes lists all causes, in the order in which they are shown.
 func Causes() []Cause {
-	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, TurnedDown, Full, Paused, Broke, ServerFailed, Left, Other}
+	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, ServerRejected, Full, Paused, Broke, ServerFailed, Left, Other}
 }
 
 // Call is one call as one node served it.
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -44,7 +44,7 @@
 		"still":   {losses.Late, losses.ReplicaStalled},
 		"hung":    {losses.Refused, losses.Unreachable},
 		"full":    {losses.Refused, losses.Full},
-		"shed":    {losses.Refused, losses.TurnedDown},
+		"shed":    {losses.Refused, losses.ServerRejected},
 		"broke":   {losses.Failed, losses.Broke},
 		"own":     {losses.Failed, losses.ServerFailed},
 		"left":    {losses.Failed, losses.Left},
