--- a/internal/losses/judge.go
+++ b/internal/losses/judge.go
@@ -35,7 +35,7 @@
 	wrong := c.firstWrong()
 	switch {
 	case len(c.attempts) == 0:
-		return Refused, Full
+		return Refused, NoCapacity
 	case c.answered():
 		return c.judgeAnswer(wrong)
 	case c.noReplica && wrong == ServerRejected:
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -32,8 +32,8 @@
 	Unreachable Cause = "head-not-reachable"
 	// ServerRejected: the server said that it would not run the call.
 	ServerRejected Cause = "server-would-not-take-it"
-	// Full: no whole replica had room, or there was none, by this system's own word.
-	Full Cause = "refused-by-us"
+	// NoCapacity: no whole replica had room, or there was none, by this system's own word.
+	NoCapacity Cause = "refused-by-us"
 	// Paused: the first piece was on time, and a later one was not.
 	Paused Cause = "stream-paused"
 	// Broke: the connection broke off, or the answer was not one.
@@ -48,7 +48,7 @@
 
 // Causes lists all causes, in the order in which they are shown.
 func Causes() []Cause {
-	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, ServerRejected, Full, Paused, Broke, ServerFailed, Left, Other}
+	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, ServerRejected, NoCapacity, Paused, Broke, ServerFailed, Left, Other}
 }
 
 // Call is one call as one node served it.
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -43,7 +43,7 @@
 		"paused":  {losses.Late, losses.Paused},
 		"still":   {losses.Late, losses.ReplicaStalled},
 		"hung":    {losses.Refused, losses.Unreachable},
-		"full":    {losses.Refused, losses.Full},
+		"full":    {losses.Refused, losses.NoCapacity},
 		"shed":    {losses.Refused, losses.ServerRejected},
 		"broke":   {losses.Failed, losses.Broke},
 		"own":     {losses.Failed, losses.ServerFailed},
