--- a/internal/losses/judge.go
+++ b/internal/losses/judge.go
@@ -72,7 +72,7 @@
 	case wrong != "":
 		return Late, wrong
 	case !late:
-		return Late, Paused
+		return Late, StreamPaused
 	case a.slots > 0 && a.running+a.waitingNow > a.slots:
 		return Late, Queued
 	}
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -34,8 +34,8 @@
 	ServerRejected Cause = "server-would-not-take-it"
 	// NoCapacity: no whole replica had room, or there was none, by this system's own word.
 	NoCapacity Cause = "refused-by-us"
-	// Paused: the first piece was on time, and a later one was not.
-	Paused Cause = "stream-paused"
+	// StreamPaused: the first piece was on time, and a later one was not.
+	StreamPaused Cause = "stream-paused"
 	// Broke: the connection broke off, or the answer was not one.
 	Broke Cause = "stream-broke"
 	// ServerFailed: the server ran the call and failed by itself.
@@ -48,7 +48,7 @@
 
 // Causes lists all causes, in the order in which they are shown.
 func Causes() []Cause {
-	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, ServerRejected, NoCapacity, Paused, Broke, ServerFailed, Left, Other}
+	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, ServerRejected, NoCapacity, StreamPaused, Broke, ServerFailed, Left, Other}
 }
 
 // Call is one call as one node served it.
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -40,7 +40,7 @@
 		"saved":   {losses.OnTime, ""},
 		"queued":  {losses.Late, losses.Queued},
 		"slow":    {losses.Late, losses.Slow},
-		"paused":  {losses.Late, losses.Paused},
+		"paused":  {losses.Late, losses.StreamPaused},
 		"still":   {losses.Late, losses.ReplicaStalled},
 		"hung":    {losses.Refused, losses.Unreachable},
 		"full":    {losses.Refused, losses.NoCapacity},
