--- a/internal/losses/judge.go
+++ b/internal/losses/judge.go
@@ -18,7 +18,7 @@
 	{"not run: no connection", Unreachable},
 	{"not run: connection refused", Unreachable},
 	{"not run: status", ServerRejected},
-	{"broken:", Broke},
+	{"broken:", StreamBroken},
 }
 
 func causeOf(outcome string) Cause {
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -36,8 +36,8 @@
 	NoCapacity Cause = "refused-by-us"
 	// StreamPaused: the first piece was on time, and a later one was not.
 	StreamPaused Cause = "stream-paused"
-	// Broke: the connection broke off, or the answer was not one.
-	Broke Cause = "stream-broke"
+	// StreamBroken: the connection broke off, or the answer was not one.
+	StreamBroken Cause = "stream-broke"
 	// ServerFailed: the server ran the call and failed by itself.
 	ServerFailed Cause = "server-failed"
 	// Left: the caller went away, or its time was up, before anything else went wrong.
@@ -48,7 +48,7 @@
 
 // Causes lists all causes, in the order in which they are shown.
 func Causes() []Cause {
-	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, ServerRejected, NoCapacity, StreamPaused, Broke, ServerFailed, Left, Other}
+	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, ServerRejected, NoCapacity, StreamPaused, StreamBroken, ServerFailed, Left, Other}
 }
 
 // Call is one call as one node served it.
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -45,7 +45,7 @@
 		"hung":    {losses.Refused, losses.Unreachable},
 		"full":    {losses.Refused, losses.NoCapacity},
 		"shed":    {losses.Refused, losses.ServerRejected},
-		"broke":   {losses.Failed, losses.Broke},
+		"broke":   {losses.Failed, losses.StreamBroken},
 		"own":     {losses.Failed, losses.ServerFailed},
 		"left":    {losses.Failed, losses.Left},
 	} {
