--- a/internal/losses/judge.go
+++ b/internal/losses/judge.go
@@ -8,9 +8,9 @@
 	prefix string
 	cause  Cause
 }{
-	{"broken: no answer: context canceled", Left},
-	{"broken: no answer: context deadline exceeded", Left},
-	{"broken: the caller takes nothing", Left},
+	{"broken: no answer: context canceled", CallerGone},
+	{"broken: no answer: context deadline exceeded", CallerGone},
+	{"broken: the caller takes nothing", CallerGone},
 	{"broken: the replica stands still", ReplicaStalled},
 	{"broken: the replica lost a member", ReplicaStalled},
 	{"broken: nothing came for too long", ReplicaStalled},
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -40,15 +40,15 @@
 	StreamBroken Cause = "stream-broke"
 	// ServerFailed: the server ran the call and failed by itself.
 	ServerFailed Cause = "server-failed"
-	// Left: the caller went away, or its time was up, before anything else went wrong.
-	Left Cause = "caller-left-or-time-up"
+	// CallerGone: the caller went away, or its time was up, before anything else went wrong.
+	CallerGone Cause = "caller-left-or-time-up"
 	// Other is what these lines do not tell.
 	Other Cause = "not-told"
 )
 
 // Causes lists all causes, in the order in which they are shown.
 func Causes() []Cause {
-	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, ServerRejected, NoCapacity, StreamPaused, StreamBroken, ServerFailed, Left, Other}
+	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, ServerRejected, NoCapacity, StreamPaused, StreamBroken, ServerFailed, CallerGone, Other}
 }
 
 // Call is one call as one node served it.
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -47,7 +47,7 @@
 		"shed":    {losses.Refused, losses.ServerRejected},
 		"broke":   {losses.Failed, losses.StreamBroken},
 		"own":     {losses.Failed, losses.ServerFailed},
-		"left":    {losses.Failed, losses.Left},
+		"left":    {losses.Failed, losses.CallerGone},
 	} {
 		require.Equal(t, want.outcome, got[request].Outcome, request)
 		require.Equal(t, want.cause, got[request].Cause, request)
