--- a/internal/ctl/losses.go
+++ b/internal/ctl/losses.go
@@ -59,7 +59,7 @@
 func (a *app) readLogs(files []string) (*losses.Log, error) {
 	log := &losses.Log{}
 	for _, name := range files {
-		torn := len(log.Torn)
+		torn := len(log.SkippedLines)
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, err
@@ -69,7 +69,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, name)
 		}
-		if more := log.Torn[torn:]; len(more) > 0 {
+		if more := log.SkippedLines[torn:]; len(more) > 0 {
 			printf(a.log, "fennelctl: %s: %d lines can't be read and are passed over, the first: %v\n", name, len(more), more[0])
 		}
 	}
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -59,8 +59,8 @@
 // still tell what happened; what was passed over is said.
 func TestTornLinesArePassedOverAndTold(t *testing.T) {
 	log := readEntryA(t)
-	require.Len(t, log.Torn, 1)
-	require.Equal(t, 16, log.Torn[0].Line)
+	require.Len(t, log.SkippedLines, 1)
+	require.Equal(t, 16, log.SkippedLines[0].Line)
 	for _, call := range log.Calls() {
 		require.NotEqual(t, "cut", call.Request)
 	}
--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -32,9 +32,9 @@
 type Log struct {
 	calls       []*open
 	inventories []Inventory
-	// Torn are lines that can't be read: a log that was cut while it was written has
+	// SkippedLines are lines that can't be read: a log that was cut while it was written has
 	// some. They are passed over.
-	Torn []*LineError
+	SkippedLines []*LineError
 }
 
 // longestLine bounds a line, in bytes.
@@ -67,7 +67,7 @@
 			err = one.take(f)
 		}
 		if err != nil {
-			l.Torn = append(l.Torn, &LineError{number, err})
+			l.SkippedLines = append(l.SkippedLines, &LineError{number, err})
 		}
 	}
 	return lines.Err()
