--- a/internal/ctl/losses.go
+++ b/internal/ctl/losses.go
@@ -115,7 +115,7 @@
 			row = append(row, fmt.Sprint(c.Outcomes[o]))
 		}
 		rows = append(rows, row)
-		for _, cause := range c.Largest() {
+		for _, cause := range c.CausesByCount() {
 			rows = append(rows, []string{"  " + string(cause), fmt.Sprint(c.Causes[cause])})
 		}
 	}
@@ -139,7 +139,7 @@
 			row = append(row, fmt.Sprint(w.Inventory.Held), fmt.Sprint(w.Inventory.Free), fmt.Sprint(w.Inventory.Cold), fmt.Sprint(w.Inventory.Loading))
 		}
 		var named []string
-		for _, cause := range w.Largest()[:min(shownCauses, len(w.Largest()))] {
+		for _, cause := range w.CausesByCount()[:min(shownCauses, len(w.CausesByCount()))] {
 			named = append(named, fmt.Sprintf("%s %d", cause, w.Causes[cause]))
 		}
 		rows = append(rows, append(row, strings.Join(named, ", ")))
--- a/internal/losses/plot.go
+++ b/internal/losses/plot.go
@@ -72,7 +72,7 @@
 func (r *Report) addBars(p *plot.Plot) error {
 	width := min(barWidth, plotWidth*0.8/vg.Length(max(len(r.Windows), 1)))
 	var below *plotter.BarChart
-	for i, cause := range r.All.Largest() {
+	for i, cause := range r.All.CausesByCount() {
 		values := make(plotter.Values, len(r.Windows))
 		for at, w := range r.Windows {
 			values[at] = float64(w.Causes[cause])
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -87,8 +87,8 @@
 	return by[name]
 }
 
-// Largest are the causes that were seen, the most frequent first.
-func (c *Counts) Largest() []Cause {
+// CausesByCount are the causes that were seen, the most frequent first.
+func (c *Counts) CausesByCount() []Cause {
 	seen := slices.DeleteFunc(Causes(), func(cause Cause) bool { return c.Causes[cause] == 0 })
 	slices.SortStableFunc(seen, func(a, b Cause) int { return cmp.Compare(c.Causes[b], c.Causes[a]) })
 	return seen
