--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -10,7 +10,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// FieldError names the field that is wrong, what was found and what would be right.
+// FieldError reports an invalid field: its name, the value found and what is expected.
 type FieldError struct {
 	Field, Found, Want string
 }
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%s: found %q; want %s", e.Field, e.Found, e.Want)
 }
 
-// Errors are all faults of one file.
+// Errors lists all errors found in one file.
 type Errors []error
 
 // Error implements error.
@@ -32,24 +32,24 @@
 	return strings.Join(lines, "\n")
 }
 
-// yamlError turns the YAML library's error into one that shows no source: the
-// lines around a fault may hold a key's secret, and the text goes into the log.
+// yamlError converts an error of the YAML library to one that quotes no source text:
+// the lines around the error may contain a key's secret, and the message is logged.
 func yamlError(err error) *FieldError {
-	fault, ok := errors.Into[yaml.Error](err)
-	if !ok || fault.GetToken() == nil {
-		return &FieldError{"settings", notShown, "YAML: " + yaml.FormatError(err, false, false)}
+	yamlErr, ok := errors.Into[yaml.Error](err)
+	if !ok || yamlErr.GetToken() == nil {
+		return &FieldError{"settings", redacted, "YAML: " + yaml.FormatError(err, false, false)}
 	}
-	at := fault.GetToken().Position
-	where := fmt.Sprintf("line %d, column %d", at.Line, at.Column)
+	position := yamlErr.GetToken().Position
+	location := fmt.Sprintf("line %d, column %d", position.Line, position.Column)
 	unknown, ok := errors.Into[*yaml.UnknownFieldError](err)
 	if ok {
-		return &FieldError{where, unknown.Token.Value, "a known key (examples/ has all of them)"}
+		return &FieldError{location, unknown.Token.Value, "a known key (see the files in examples/)"}
 	}
 	mismatch, ok := errors.Into[*yaml.TypeError](err)
 	if ok {
-		return &FieldError{where, "a value read as " + mismatch.SrcType.String(), wantType(mismatch.DstType)}
+		return &FieldError{location, "a value read as " + mismatch.SrcType.String(), wantType(mismatch.DstType)}
 	}
-	return &FieldError{where, notShown, "YAML without this fault: " + fault.GetMessage()}
+	return &FieldError{location, redacted, "valid YAML: " + yamlErr.GetMessage()}
 }
 
 func wantType(t reflect.Type) string {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings reads and checks the daemon's YAML settings file.
 //
-// A settings file belongs to one node; what all nodes share is in the operators'
-// rules file, in the platform's store. Unknown keys are errors.
+// A settings file configures one node. Configuration shared by all nodes is in the
+// operators' rules file, which is kept in the platform's store. Unknown keys are errors.
 package settings
 
 import (
@@ -19,12 +19,13 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// Settings of one fenneld.
+// Settings configures one fenneld process.
 type Settings struct {
-	// Node is the node's name, unique over the whole system.
+	// Node is the node's name, unique in the whole system.
 	Node cluster.NodeID `yaml:"node"`
 	Zone cluster.ZoneID `yaml:"zone"`
-	// Region names the region of the zone; information for operators only.
+	// Region is the region of the zone. With platform.driver managed it is required;
+	// otherwise it is informational.
 	Region   string   `yaml:"region"`
 	Listen   Listen   `yaml:"listen"`
 	Platform Platform `yaml:"platform"`
@@ -34,48 +35,50 @@
 	Control  Control  `yaml:"control"`
 	Drain    Drain    `yaml:"drain"`
 	Log      Log      `yaml:"log"`
-	// Retries and Process apply with platform.driver managed only.
+	// Retries, Feeds and Process apply only with platform.driver managed.
 	Retries Retries `yaml:"retries"`
 	Feeds   Feeds   `yaml:"feeds"`
 	Process Process `yaml:"process"`
 }
 
-// Listen names the addresses that the node serves on, each ip:port.
+// Listen holds the addresses that the node serves on, each as ip:port.
 type Listen struct {
-	// Callers is where the platform's balancer sends callers; also /livez and /readyz.
+	// Callers receives callers' requests from the platform's load balancer and serves
+	// /livez and /readyz.
 	Callers string `yaml:"callers"`
-	// Control serves peers and operators (connect-go) and /metrics.
+	// Control serves peers and operators (Connect RPC) and /metrics.
 	Control string `yaml:"control"`
-	// Datagrams is the UDP address of the inner protocol.
+	// Datagrams is the UDP address of the protocol between nodes.
 	Datagrams string `yaml:"datagrams"`
-	// Ready answers the balancer's question whether this node takes callers, where the
-	// platform asks at an address of its own (platform.driver managed). Metrics serves
-	// the scraper and operators there, without TLS, inside the network; it may be empty.
+	// Ready serves the load balancer's readiness check on a separate address
+	// (platform.driver managed). Metrics serves the metrics scraper and operators, without
+	// TLS and for the internal network only (platform.driver managed); it may be empty.
 	Ready   string `yaml:"ready"`
 	Metrics string `yaml:"metrics"`
 }
 
-// Driver names the platform that a node runs on.
+// Driver selects the platform that a node runs on.
 type Driver string
 
-// DriverEtcd, the default, is an etcd gateway with a VM list and the operators'
-// rules file. DriverManaged is a platform whose key-value service also holds the
-// list of backend servers and the operator's configuration.
+// DriverEtcd, the default, uses an etcd gateway, a VM list and the operators' rules
+// file. DriverManaged uses a platform whose key-value service also holds the list of
+// backend servers and the operators' configuration.
 const (
 	DriverEtcd    Driver = "etcd"
 	DriverManaged Driver = "managed"
 )
 
-// Feeds are the nodes that watch the store for others (driver managed).
+// Feeds configures the relaying of store changes between nodes (driver managed): feed
+// nodes watch the store, and the others follow a feed node.
 type Feeds struct {
-	// Listen is this node's ip:port for others, empty where it serves none; Seeds are
-	// the addresses of the nodes to follow. A node that is a seed itself watches the
-	// store; so does one without any.
+	// Listen is the ip:port on which this node serves its feed; empty if it serves none.
+	// Seeds are the addresses of the nodes to follow. A node that is itself a seed
+	// watches the store directly, and so does a node without seeds.
 	Listen string   `yaml:"listen"`
 	Seeds  []string `yaml:"seeds"`
 }
 
-// Platform says where the platform's services are.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
 	Driver Driver `yaml:"driver"`
 	// Address is the ip:port of the key-value service (driver managed).
@@ -84,106 +87,111 @@
 	Store []string `yaml:"store"`
 	// VMList is the base URL of the VM list.
 	VMList string `yaml:"vm_list"`
-	// Timeout of one call; default 2s.
+	// Timeout limits one call; default 2s.
 	Timeout time.Duration `yaml:"timeout"`
-	// VMListEvery is how often the VM list is read; default 5s.
+	// VMListEvery is the interval between reads of the VM list; default 5s.
 	VMListEvery time.Duration `yaml:"vm_list_every"`
 }
 
-// Peers says how nodes find and trust each other.
+// Peers configures how nodes discover and authenticate each other.
 type Peers struct {
-	// System names the whole system, the same on all its nodes: what nodes of another
-	// system say is dropped, also where both have the same keys. Without it a node hears
-	// all that have its keys.
+	// System is the name of the whole system, the same on all its nodes: datagrams from
+	// nodes of another system are dropped even if both systems have the same keys. If it
+	// is empty, a node accepts datagrams from every node that has its keys.
 	System string `yaml:"system"`
-	// Seeds are datagram addresses of a few other nodes, of any zone.
+	// Seeds are the datagram addresses of a few other nodes in any zone.
 	Seeds []string `yaml:"seeds"`
 	// Heartbeat is the interval between datagrams to a peer; default 1s.
 	Heartbeat time.Duration `yaml:"heartbeat"`
-	// Keys authenticate datagrams. The first signs, all verify: to rotate, add the
-	// new key last on all nodes, then move it first, then drop the old one.
+	// Keys authenticate datagrams. The first key signs; all keys verify. To rotate, add
+	// the new key last on all nodes, then move it first, then remove the old one.
 	Keys []Key `yaml:"keys"`
 }
 
-// Key is one datagram key. Exactly one of Secret and SecretFile is given.
+// Key is one datagram key. Exactly one of Secret and SecretFile must be set.
 type Key struct {
 	ID uint32 `yaml:"id"`
-	// Secret is at least 32 hex digits.
+	// Secret has at least 32 hex digits.
 	Secret     string `yaml:"secret"`
 	SecretFile string `yaml:"secret_file"`
 }
 
-// TLS holds the files for the control address. They are read again when they change.
+// TLS names the certificate files of the control address. They are reloaded when they
+// change.
 type TLS struct {
 	Cert string `yaml:"cert"`
 	Key  string `yaml:"key"`
 	CA   string `yaml:"ca"`
-	// Off serves and calls control addresses without TLS: for trials on one machine only.
+	// Off disables TLS on control addresses, for both serving and calling. It is meant
+	// only for tests on one machine.
 	Off bool `yaml:"off"`
 }
 
-// Requests bounds callers' requests.
+// Requests sets limits for callers' requests.
 type Requests struct {
-	// MaxBody in bytes; default 4 MiB.
+	// MaxBody is the maximum size of a request body in bytes; default 4 MiB.
 	MaxBody int64 `yaml:"max_body"`
-	// Deadline for the first token when the caller names none; default 30s.
+	// Deadline is the time allowed until the first token when the caller sets no
+	// deadline; default 30s.
 	Deadline time.Duration `yaml:"deadline"`
-	// CallTimeout of plain services; default 20s.
+	// CallTimeout limits one call to a plain service; default 20s.
 	CallTimeout time.Duration `yaml:"call_timeout"`
 	// ClaimRetention is how long idempotency keys are remembered; default 24h.
 	ClaimRetention time.Duration `yaml:"claim_retention"`
 }
 
-// Control sets the node's control duties.
+// Control configures the node's part in placement and health checks.
 type Control struct {
-	// PlacementLease is the lease time of the zone's placement duty; default 10s.
+	// PlacementLease is the lease duration of the zone's placement leader; default 10s.
 	PlacementLease time.Duration `yaml:"placement_lease"`
-	// ConfirmWithin is the greatest age of a replica's confirmation by all its VMs; default 8s.
+	// ConfirmWithin is the maximum age of the confirmation of a replica by all its VMs;
+	// default 8s.
 	ConfirmWithin time.Duration `yaml:"confirm_within"`
 	// NeighborZones are other zones whose replicas this node also uses: when its own
-	// are lost or full, or the route says prefer=any. Each costs polls of its
-	// replicas, shared by the zone's nodes; default none.
+	// zone's replicas are lost or full, or when the route says prefer=any. Each neighbor
+	// zone adds polls of its replicas, which the nodes of this zone share; default none.
 	NeighborZones []cluster.ZoneID `yaml:"neighbor_zones"`
-	// LoadsPerMinute is the weight store's rate, in model loads a minute; default 60.
+	// LoadsPerMinute is the rate of model loads that the weight store sustains; default 60.
 	LoadsPerMinute float64 `yaml:"loads_per_minute"`
 }
 
-// Drain sets the planned stop.
+// Drain configures a planned shutdown.
 type Drain struct {
-	// Notice is how long the node is unready but still accepts, so that the
-	// balancer notices first; default 5s.
+	// Notice is how long the node reports not ready while it still accepts requests, so
+	// that the load balancer stops sending them first; default 5s.
 	Notice time.Duration `yaml:"notice"`
 }
 
-// Retries bounds the arrivals at backend servers beyond the first of each call,
-// over all nodes together.
+// Retries limits the retries of calls to backend servers, over all nodes together. Every
+// arrival of a call at a backend server beyond its first counts as a retry.
 type Retries struct {
-	// Ratio of repeats to calls, with Slack beside it in each Window.
+	// Ratio is the maximum ratio of retries to calls. Slack is the number of retries
+	// allowed in addition in each Window.
 	Ratio  float64       `yaml:"ratio"`
 	Slack  float64       `yaml:"slack"`
 	Window time.Duration `yaml:"window"`
-	// Nodes is the most nodes that may share the slack; default 256, which leaves each
-	// node its part of the ratio: no node knows how many there are.
+	// Nodes is the maximum number of nodes, by which Slack is divided, since no node knows
+	// how many there are; default 256. Ratio applies to each node's own calls.
 	Nodes int `yaml:"nodes"`
 }
 
-// Process bounds the daemon's process.
+// Process sets limits for the daemon process.
 type Process struct {
-	// MemoryMB is what the process may use at most; 0 for no bound.
+	// MemoryMB is the memory limit of the process; 0 means no limit.
 	MemoryMB int `yaml:"memory_mb"`
-	// FirstStart is true when the whole system starts for the first time.
+	// FirstStart is true if the whole system is being started for the first time.
 	FirstStart bool `yaml:"first_start"`
-	// Grace is how long a planned stop may last before the process is killed.
+	// Grace is how long a planned shutdown may take before the process is killed.
 	Grace time.Duration `yaml:"grace"`
 }
 
-// Log sets the daemon's log.
+// Log configures the daemon's log.
 type Log struct {
 	// Level is debug, info, warn or error; default info.
 	Level string `yaml:"level"`
 }
 
-// Defaults of the fields above.
+// Default values of the settings.
 const (
 	DefaultPlatformTimeout = 2 * time.Second
 	DefaultVMListEvery     = 5 * time.Second
@@ -200,10 +208,10 @@
 	DefaultRetryWindow     = 10 * time.Second
 	DefaultRetryNodes      = 256
 	DefaultGrace           = 10 * time.Second
-	minSecretHex           = 32
+	minSecretHexDigits     = 32
 )
 
-// Load reads, completes and checks the file at path.
+// Load reads the file at path, sets defaults and validates the result.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -212,7 +220,7 @@
 	return Parse(text)
 }
 
-// Parse completes and checks settings given as YAML.
+// Parse decodes settings from YAML, sets defaults and validates the result.
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{}
 	dec := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict())
@@ -220,7 +228,7 @@
 		return nil, Errors{yamlError(err)}
 	}
 	if err := dec.Decode(&Settings{}); !errors.Is(err, io.EOF) {
-		return nil, Errors{&FieldError{"---", "a second document", "one document: what follows would be ignored"}}
+		return nil, Errors{&FieldError{"---", "a second document", "a single document; a second one would be ignored"}}
 	}
 	s.setDefaults()
 	if errs := s.check(); len(errs) > 0 {
@@ -256,7 +264,7 @@
 	}
 }
 
-// Bytes returns the key's secret, read from its file when it has one.
+// Bytes returns the decoded secret, which is read from SecretFile if that is set.
 func (k Key) Bytes() ([]byte, error) {
 	text := k.Secret
 	if k.SecretFile != "" {
@@ -267,8 +275,8 @@
 		text = strings.TrimSpace(string(data))
 	}
 	secret, err := hex.DecodeString(text)
-	if err != nil || len(text) < minSecretHex {
-		return nil, fmt.Errorf("at least %d hex digits", minSecretHex)
+	if err != nil || len(text) < minSecretHexDigits {
+		return nil, fmt.Errorf("at least %d hex digits", minSecretHexDigits)
 	}
 	return secret, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,8 +15,8 @@
 
 const secret = "00112233445566778899aabbccddeeff"
 
-// good is the least that a file must say.
-const good = `node: serra-a-1
+// minimalFile sets only the required keys.
+const minimalFile = `node: serra-a-1
 zone: serra-a
 listen: {callers: "127.0.0.1:8080", control: "127.0.0.1:8444", datagrams: "127.0.0.1:8445"}
 platform: {store: ["http://127.0.0.1:2379"], vm_list: "http://127.0.0.1:7380"}
@@ -25,7 +25,7 @@
 `
 
 func TestDefaults(t *testing.T) {
-	s, err := settings.Parse([]byte(good))
+	s, err := settings.Parse([]byte(minimalFile))
 	require.NoError(t, err)
 	require.Equal(t, 2*time.Second, s.Platform.Timeout)
 	require.Equal(t, 5*time.Second, s.Platform.VMListEvery)
@@ -36,69 +36,69 @@
 	require.Equal(t, "info", s.Log.Level)
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
 	tests := []struct {
 		name, replace, with string
-		// want are the faults' fields and what was found, in order.
+		// want lists the errors' fields and found values, in order.
 		want []settings.FieldError
 	}{
-		{"empty file", good, "", []settings.FieldError{
+		{"empty file", minimalFile, "", []settings.FieldError{
 			{Field: "listen.callers"}, {Field: "listen.control"}, {Field: "listen.datagrams"}, {Field: "node"}, {Field: "peers.keys"},
 			{Field: "platform.store"}, {Field: "platform.vm_list"}, {Field: "tls.ca"}, {Field: "tls.cert"}, {Field: "tls.key"}, {Field: "zone"}}},
 		{"unknown key", "zone:", "zoen:", []settings.FieldError{{Field: "line 2, column 1", Found: "zoen"}}},
 		{"unknown inner key", "{off: true}", "{of: true}", []settings.FieldError{{Field: "line 6, column 7", Found: "of"}}},
-		{"key twice", "zone: serra-a", "node: b", []settings.FieldError{{Field: "line 2, column 1", Found: "(not shown)"}}},
+		{"duplicate key", "zone: serra-a", "node: b", []settings.FieldError{{Field: "line 2, column 1", Found: "(not shown)"}}},
 		{"second document", "tls: {off: true}\n", "tls: {off: true}\n---\nnode: b\n", []settings.FieldError{{Field: "---", Found: "a second document"}}},
 		{"name with slash", "node: serra-a-1", "node: a/1", []settings.FieldError{{Field: "node", Found: "a/1"}}},
-		{"host name to listen on", "127.0.0.1:8080", "localhost:8080", []settings.FieldError{{Field: "listen.callers", Found: "localhost:8080"}}},
+		{"host name as a listen address", "127.0.0.1:8080", "localhost:8080", []settings.FieldError{{Field: "listen.callers", Found: "localhost:8080"}}},
 		{"port out of range", "127.0.0.1:8080", "127.0.0.1:80800", []settings.FieldError{{Field: "listen.callers", Found: "127.0.0.1:80800"}}},
-		{"control on every address", "127.0.0.1:8444", "0.0.0.0:8444", []settings.FieldError{{Field: "listen.control", Found: "0.0.0.0:8444"}}},
-		{"datagrams on every address", "127.0.0.1:8445", "[::]:8445", []settings.FieldError{{Field: "listen.datagrams", Found: "[::]:8445"}}},
+		{"control on the unspecified address", "127.0.0.1:8444", "0.0.0.0:8444", []settings.FieldError{{Field: "listen.control", Found: "0.0.0.0:8444"}}},
+		{"datagrams on the unspecified address", "127.0.0.1:8445", "[::]:8445", []settings.FieldError{{Field: "listen.datagrams", Found: "[::]:8445"}}},
 		{"store without scheme", "http://127.0.0.1:2379", "127.0.0.1:2379", []settings.FieldError{{Field: "platform.store[0]", Found: "127.0.0.1:2379"}}},
-		{"seed", "peers: {", "peers: {seeds: [x], ", []settings.FieldError{{Field: "peers.seeds[0]", Found: "x"}}},
+		{"seed without a port", "peers: {", "peers: {seeds: [x], ", []settings.FieldError{{Field: "peers.seeds[0]", Found: "x"}}},
 		{"duration without unit", "platform: {", "platform: {timeout: 2, ", []settings.FieldError{{Field: "line 4, column 21", Found: "a value read as uint64"}}},
-		{"duration of a slip", "platform: {", "platform: {timeout: 2ns, ", []settings.FieldError{{Field: "platform.timeout", Found: "2ns"}}},
-		{"negative notice", "tls:", "drain: {notice: -1s}\ntls:", []settings.FieldError{{Field: "drain.notice", Found: "-1s"}}},
-		{"short lease", "tls:", "control: {placement_lease: 1s}\ntls:", []settings.FieldError{{Field: "control.placement_lease", Found: "1s"}}},
-		{"no loads", "tls:", "control: {loads_per_minute: -1}\ntls:", []settings.FieldError{{Field: "control.loads_per_minute", Found: "-1"}}},
-		{"max body", "tls:", "requests: {max_body: -1}\ntls:", []settings.FieldError{{Field: "requests.max_body", Found: "-1"}}},
-		{"level", "tls:", "log: {level: loud}\ntls:", []settings.FieldError{{Field: "log.level", Found: "loud"}}},
-		{"tls files beside off", "{off: true}", "{off: true, ca: x}", []settings.FieldError{{Field: "tls.off", Found: "true"}}},
+		{"duration with a wrong unit", "platform: {", "platform: {timeout: 2ns, ", []settings.FieldError{{Field: "platform.timeout", Found: "2ns"}}},
+		{"negative drain notice", "tls:", "drain: {notice: -1s}\ntls:", []settings.FieldError{{Field: "drain.notice", Found: "-1s"}}},
+		{"placement lease too short", "tls:", "control: {placement_lease: 1s}\ntls:", []settings.FieldError{{Field: "control.placement_lease", Found: "1s"}}},
+		{"negative load rate", "tls:", "control: {loads_per_minute: -1}\ntls:", []settings.FieldError{{Field: "control.loads_per_minute", Found: "-1"}}},
+		{"negative max body", "tls:", "requests: {max_body: -1}\ntls:", []settings.FieldError{{Field: "requests.max_body", Found: "-1"}}},
+		{"unknown log level", "tls:", "log: {level: loud}\ntls:", []settings.FieldError{{Field: "log.level", Found: "loud"}}},
+		{"tls file together with off", "{off: true}", "{off: true, ca: x}", []settings.FieldError{{Field: "tls.off", Found: "true"}}},
 		{"tls without key", "{off: true}", "{cert: x, ca: x}", []settings.FieldError{{Field: "tls.key"}}},
 		{"secret too short", secret, "0011", []settings.FieldError{{Field: "peers.keys[0].secret", Found: "(not shown)"}}},
 		{"secret file missing", `secret: "` + secret, `secret_file: "` + missing, []settings.FieldError{{Field: "peers.keys[0].secret_file", Found: missing}}},
 		{"no secret", `, secret: "` + secret + `"`, "", []settings.FieldError{{Field: "peers.keys[0]", Found: "neither"}}},
 		{"both secrets", "{id: 1,", "{id: 1, secret_file: x,", []settings.FieldError{{Field: "peers.keys[0]", Found: "both"}}},
-		{"two keys of one id", "[{id: 1,", `[{id: 1, secret: "` + secret + `"}, {id: 1,`, []settings.FieldError{{Field: "peers.keys[1].id", Found: "1"}}},
+		{"two keys with the same id", "[{id: 1,", `[{id: 1, secret: "` + secret + `"}, {id: 1,`, []settings.FieldError{{Field: "peers.keys[1].id", Found: "1"}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			text := strings.Replace(good, tt.replace, tt.with, 1)
-			require.NotEqual(t, good, text)
+			text := strings.Replace(minimalFile, tt.replace, tt.with, 1)
+			require.NotEqual(t, minimalFile, text)
 			_, err := settings.Parse([]byte(text))
-			faults, ok := errors.Into[settings.Errors](err)
+			fieldErrs, ok := errors.Into[settings.Errors](err)
 			require.True(t, ok, "%v", err)
 			var got []settings.FieldError
-			for _, f := range faults {
-				fault, ok := errors.Into[*settings.FieldError](f)
-				require.True(t, ok, "%v", f)
-				require.NotEmpty(t, fault.Want)
-				got = append(got, settings.FieldError{Field: fault.Field, Found: fault.Found})
+			for _, fieldErr := range fieldErrs {
+				e, ok := errors.Into[*settings.FieldError](fieldErr)
+				require.True(t, ok, "%v", fieldErr)
+				require.NotEmpty(t, e.Want)
+				got = append(got, settings.FieldError{Field: e.Field, Found: e.Found})
 			}
 			require.Equal(t, tt.want, got)
 		})
 	}
 }
 
-// A slip beside a key's secret makes the file unreadable. The message goes to the
-// terminal and, on a reload, into the log: the secret must not go along.
-func TestFaultsShowNoSecret(t *testing.T) {
+// Guards against secrets in error messages. A YAML error next to a key's secret is
+// printed on the terminal and, on a reload, logged; it must not quote the secret.
+func TestErrorsOmitSecrets(t *testing.T) {
 	for _, text := range []string{
-		strings.Replace(good, "id: 1,", "idd: 1,", 1),
-		strings.Replace(good, "{id: 1, secret", "{id: x, secret", 1),
-		strings.Replace(good, `"}]}`, `"}]`, 1),
-		strings.Replace(good, secret, "zz"+secret, 1),
+		strings.Replace(minimalFile, "id: 1,", "idd: 1,", 1),
+		strings.Replace(minimalFile, "{id: 1, secret", "{id: x, secret", 1),
+		strings.Replace(minimalFile, `"}]}`, `"}]`, 1),
+		strings.Replace(minimalFile, secret, "zz"+secret, 1),
 	} {
 		_, err := settings.Parse([]byte(text))
 		require.Error(t, err)
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*.yaml")
 	require.NoError(t, err)
 	require.Len(t, files, 2)
@@ -124,7 +124,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(minimalFile))
 	f.Add([]byte("peers: {keys: [{id: 1}"))
 	f.Add([]byte("node: &a [*a]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
