--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator is the service that fennelctl calls on any node: rules, status,
-// explanations and the outage ledger. It holds no state of its own; the daemon
-// hands it the parts that do, and serves it on the node's control address.
+// Package operator implements the service that fennelctl calls on any node: rules, status,
+// explanations and the outage ledger. It has no state; the daemon passes in the components
+// that do and serves it on the node's control address.
 package operator
 
 import (
@@ -19,45 +19,45 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb/wirepbconnect"
 )
 
-// RulesAdmin reads and changes the rules; it is a *rulestore.Holder.
+// RulesAdmin reads and changes the rules. *rulestore.Holder implements it.
 type RulesAdmin interface {
 	Apply(ctx context.Context, req rulestore.ApplyRequest) (rulestore.ApplyResult, error)
 	Get(ctx context.Context, revision int64) (rulestore.File, error)
 	History(ctx context.Context, limit int) ([]rulestore.Version, error)
 }
 
-// NodeRevision is the rules revision in force on one node, as last heard.
+// NodeRevision is the rules revision in force on one node, as last reported by it.
 type NodeRevision struct {
 	Node     cluster.NodeID
 	Zone     cluster.ZoneID
 	Revision int64
 	HeardAgo time.Duration
-	// Heard is false for a node that should be there and is silent.
+	// Heard is false for a node that is expected but not heard from.
 	Heard bool
 }
 
-// NodeSource knows the nodes of the whole system, this one included.
+// NodeSource lists the nodes of the whole system, including this one.
 type NodeSource interface {
 	NodeRevisions() []NodeRevision
 }
 
-// StatusSource tells what the node knows of the system.
+// StatusSource reports the state of the system as this node sees it.
 type StatusSource interface {
 	Status(ctx context.Context) (*wirepb.StatusResponse, error)
 }
 
-// Explainer says which rule and replica a request would take, and why.
+// Explainer reports which rule and replica would be used for a request, and why.
 type Explainer interface {
 	Explain(ctx context.Context, req rules.Request) (*wirepb.ExplainResponse, error)
 }
 
-// OutageSource reads the outage ledger; an empty zone is all zones.
+// OutageSource reads the outage ledger; an empty zone selects all zones.
 type OutageSource interface {
 	Outages(ctx context.Context, from, to time.Time, zone cluster.ZoneID) (*wirepb.OutagesResponse, error)
 }
 
-// Dependencies are what the service is put together from. A nil part answers its calls
-// with CodeUnimplemented.
+// Dependencies are the components that the service calls. The methods of a nil component
+// return CodeUnimplemented.
 type Dependencies struct {
 	Rules   RulesAdmin
 	Nodes   NodeSource
@@ -66,47 +66,47 @@
 	Outages OutageSource
 }
 
-// Service implements the operators' service.
+// Service implements the operators' API.
 type Service struct {
-	parts Dependencies
+	deps Dependencies
 }
 
 var _ wirepbconnect.OperatorServiceHandler = (*Service)(nil)
 
-// New returns a Service over the parts.
-func New(parts Dependencies) *Service { return &Service{parts: parts} }
+// New returns a Service that uses deps.
+func New(deps Dependencies) *Service { return &Service{deps: deps} }
 
-func missing(what string) error {
-	return connect.NewError(connect.CodeUnimplemented, &UnsupportedError{Feature: what})
+func unsupported(feature string) error {
+	return connect.NewError(connect.CodeUnimplemented, &UnsupportedError{Feature: feature})
 }
 
-// UnsupportedError says that the node does not serve a part of the operators' service.
+// UnsupportedError reports that the node does not offer a feature of the operators' API.
 type UnsupportedError struct {
 	Feature string
 }
 
 // Error implements error.
-func (e *UnsupportedError) Error() string { return "this node does not serve " + e.Feature }
+func (e *UnsupportedError) Error() string { return "this node does not offer " + e.Feature }
 
-// GetRules returns a revision of the rules file.
+// GetRules returns one revision of the rules file.
 func (s *Service) GetRules(ctx context.Context, req *connect.Request[wirepb.GetRulesRequest]) (*connect.Response[wirepb.GetRulesResponse], error) {
-	if s.parts.Rules == nil {
-		return nil, missing("rules")
+	if s.deps.Rules == nil {
+		return nil, unsupported("rules")
 	}
-	file, err := s.parts.Rules.Get(ctx, req.Msg.GetRevision())
+	file, err := s.deps.Rules.Get(ctx, req.Msg.GetRevision())
 	if err != nil {
 		return nil, toConnect(err)
 	}
 	return connect.NewResponse(&wirepb.GetRulesResponse{Revision: file.Revision, Text: file.Text, FromMemory: file.FromMemory}), nil
 }
 
-// ApplyRules accepts a file. A lost race is an answer, not an error, since it
-// carries the file that won.
+// ApplyRules applies a new rules file. A conflict with an earlier change is a response, not
+// an error, because it carries the current file.
 func (s *Service) ApplyRules(ctx context.Context, req *connect.Request[wirepb.ApplyRulesRequest]) (*connect.Response[wirepb.ApplyRulesResponse], error) {
-	if s.parts.Rules == nil {
-		return nil, missing("rules")
+	if s.deps.Rules == nil {
+		return nil, unsupported("rules")
 	}
-	res, err := s.parts.Rules.Apply(ctx, rulestore.ApplyRequest{
+	res, err := s.deps.Rules.Apply(ctx, rulestore.ApplyRequest{
 		BaseRevision: req.Msg.GetBaseRevision(),
 		Text:         req.Msg.GetText(),
 		Author:       req.Msg.GetAuthor(),
@@ -128,10 +128,10 @@
 
 // RulesHistory lists accepted changes, newest first.
 func (s *Service) RulesHistory(ctx context.Context, req *connect.Request[wirepb.RulesHistoryRequest]) (*connect.Response[wirepb.RulesHistoryResponse], error) {
-	if s.parts.Rules == nil {
-		return nil, missing("rules")
+	if s.deps.Rules == nil {
+		return nil, unsupported("rules")
 	}
-	versions, err := s.parts.Rules.History(ctx, int(req.Msg.GetLimit()))
+	versions, err := s.deps.Rules.History(ctx, int(req.Msg.GetLimit()))
 	if err != nil {
 		return nil, toConnect(err)
 	}
@@ -148,14 +148,14 @@
 	return connect.NewResponse(res), nil
 }
 
-// RulesInForce counts the nodes that have the revision, or a later one, in force.
-// A node that isn't heard counts among the nodes and not among those in force.
+// RulesInForce counts the nodes on which the revision, or a later one, is in force. A node
+// that is not heard from counts as a node but not as one with the revision in force.
 func (s *Service) RulesInForce(_ context.Context, req *connect.Request[wirepb.RulesInForceRequest]) (*connect.Response[wirepb.RulesInForceResponse], error) {
-	if s.parts.Nodes == nil {
-		return nil, missing("the list of nodes")
+	if s.deps.Nodes == nil {
+		return nil, unsupported("the list of nodes")
 	}
 	res := &wirepb.RulesInForceResponse{}
-	for _, n := range s.parts.Nodes.NodeRevisions() {
+	for _, n := range s.deps.Nodes.NodeRevisions() {
 		res.Nodes++
 		if n.Heard && n.Revision >= req.Msg.GetRevision() {
 			res.InForce++
@@ -171,24 +171,24 @@
 	return connect.NewResponse(res), nil
 }
 
-// Status tells what the node knows of the system.
+// Status reports the state of the system as this node sees it.
 func (s *Service) Status(ctx context.Context, _ *connect.Request[wirepb.StatusRequest]) (*connect.Response[wirepb.StatusResponse], error) {
-	if s.parts.Status == nil {
-		return nil, missing("its status")
+	if s.deps.Status == nil {
+		return nil, unsupported("a status report")
 	}
-	res, err := s.parts.Status.Status(ctx)
+	res, err := s.deps.Status.Status(ctx)
 	if err != nil {
 		return nil, toConnect(err)
 	}
 	return connect.NewResponse(res), nil
 }
 
-// Explain says which rule and replica a request would take.
+// Explain reports which rule and replica would be used for a request.
 func (s *Service) Explain(ctx context.Context, req *connect.Request[wirepb.ExplainRequest]) (*connect.Response[wirepb.ExplainResponse], error) {
-	if s.parts.Explain == nil {
-		return nil, missing("explanations")
+	if s.deps.Explain == nil {
+		return nil, unsupported("explanations")
 	}
-	res, err := s.parts.Explain.Explain(ctx, rules.Request{
+	res, err := s.deps.Explain.Explain(ctx, rules.Request{
 		Path:  req.Msg.GetPath(),
 		Model: req.Msg.GetModel(),
 		Team:  cluster.TeamID(req.Msg.GetTeam()),
@@ -201,36 +201,36 @@
 
 // Outages reads the outage ledger.
 func (s *Service) Outages(ctx context.Context, req *connect.Request[wirepb.OutagesRequest]) (*connect.Response[wirepb.OutagesResponse], error) {
-	if s.parts.Outages == nil {
-		return nil, missing("the outage ledger")
+	if s.deps.Outages == nil {
+		return nil, unsupported("the outage ledger")
 	}
 	from, to := time.UnixMilli(req.Msg.GetFromUnixMs()), time.UnixMilli(req.Msg.GetToUnixMs())
-	resp, err := s.parts.Outages.Outages(ctx, from, to, cluster.ZoneID(req.Msg.GetZone()))
+	resp, err := s.deps.Outages.Outages(ctx, from, to, cluster.ZoneID(req.Msg.GetZone()))
 	if err != nil {
 		return nil, toConnect(err)
 	}
 	return connect.NewResponse(resp), nil
 }
 
-// toConnect gives a failure the code that tells fennelctl what it may do next:
-// Unavailable means that nothing was changed, Unknown that it may have been.
+// toConnect wraps an error with the code by which fennelctl decides what to do next:
+// Unavailable means that nothing was changed, Unknown that something may have been.
 func toConnect(err error) error {
 	return connect.NewError(codeOf(err), err)
 }
 
 func codeOf(err error) connect.Code {
 	var (
-		lines    rules.Errors
+		invalid  rules.Errors
 		size     *rules.SizeError
 		request  *rulestore.RequestError
 		revision *rulestore.RevisionError
 		unknown  *rulestore.OutcomeUnknownError
 		behind   *rulestore.StoreBehindError
-		failure  *store.Error
-		ready    *fennelerr.Error
+		storeErr *store.Error
+		coded    *fennelerr.Error
 	)
 	switch {
-	case errors.As(err, &lines), errors.As(err, &size), errors.As(err, &request):
+	case errors.As(err, &invalid), errors.As(err, &size), errors.As(err, &request):
 		return connect.CodeInvalidArgument
 	case errors.As(err, &behind):
 		return connect.CodeFailedPrecondition
@@ -238,13 +238,13 @@
 		return connect.CodeNotFound
 	case errors.As(err, &unknown):
 		return connect.CodeUnknown
-	case errors.As(err, &failure):
+	case errors.As(err, &storeErr):
 		return connect.CodeUnavailable
-	case errors.As(err, &ready) && ready.Code == fennelerr.NotReady:
+	case errors.As(err, &coded) && coded.Code == fennelerr.NotReady:
 		return connect.CodeUnavailable
-	case errors.As(err, &ready) && ready.Code == fennelerr.PermissionDenied:
+	case errors.As(err, &coded) && coded.Code == fennelerr.PermissionDenied:
 		return connect.CodePermissionDenied
-	case errors.As(err, &ready) && ready.Code == fennelerr.NotFound:
+	case errors.As(err, &coded) && coded.Code == fennelerr.NotFound:
 		return connect.CodeNotFound
 	case errors.Is(err, context.DeadlineExceeded):
 		return connect.CodeDeadlineExceeded
--- a/internal/operator/outages.go
+++ b/internal/operator/outages.go
@@ -8,8 +8,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// AddReport adds a zone's report to an answer. Time that nobody vouches for comes as
-// intervals of its own, so that it cannot be read as up.
+// AddReport adds a zone's report to a response. Time that nobody observed is added as
+// separate intervals, so that it cannot be mistaken for uptime.
 func AddReport(out *wirepb.OutagesResponse, zone cluster.ZoneID, report *ledger.Report) {
 	for i, s := range report.Unobserved {
 		out.Intervals = append(out.Intervals, &wirepb.OutageInterval{Id: fmt.Sprintf("unobserved/%s/%d", zone, i), Zone: string(zone), Measure: string(ledger.Unobserved),
@@ -21,7 +21,7 @@
 	out.Totals = append(out.Totals, outageTotals(zone, report)...)
 }
 
-// outageTotals are the report's sums, and the time that nobody vouches for.
+// outageTotals returns the report's sums and the total unobserved time.
 func outageTotals(zone cluster.ZoneID, report *ledger.Report) []*wirepb.OutageTotal {
 	unobserved := 0.0
 	for _, s := range report.Unobserved {
