--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,14 +1,14 @@
-// Package losses tells from nodes' log lines why calls were late, refused or failed. It
-// reads files and talks to nobody: it is used after a bad hour, when the nodes of that
-// hour may be gone.
+// Package losses determines from nodes' logs why calls were late, refused or failed. It
+// reads only files and makes no network calls, because it is used after an incident, when
+// the nodes involved may be gone.
 package losses
 
 import "time"
 
-// Outcome is what a caller got.
+// Outcome is the result of a call from the caller's point of view.
 type Outcome string
 
-// Outcomes of calls.
+// Possible outcomes of a call.
 const (
 	OnTime  Outcome = "on-time"
 	Late    Outcome = "late"
@@ -16,60 +16,63 @@
 	Failed  Outcome = "failed"
 )
 
-// Cause is why a call was not answered on time. Each such call has exactly one: that of
-// its first attempt that went wrong.
+// Cause is the reason why a call was not answered on time. Each such call has exactly one
+// cause: that of its first failed attempt.
 type Cause string
 
-// Causes of losses.
+// Possible causes.
 const (
-	// Queued: the replica worked, and held more requests than it has slots.
+	// Queued: the replica was working but had more requests than slots.
 	Queued Cause = "queued-on-a-working-replica"
-	// Slow: the replica worked and had slots, and the first piece came late all the same.
+	// Slow: the replica was working and had free slots, but the first part of the response
+	// was late.
 	Slow Cause = "slow-with-free-slots"
-	// ReplicaStalled: the replica lost a member, or brought nothing to anybody.
+	// ReplicaStalled: the replica lost a member or made no progress on any request.
 	ReplicaStalled Cause = "replica-stood-still"
-	// Unreachable: no connection to the replica's serving VM came about.
+	// Unreachable: no connection to the replica's head VM could be opened.
 	Unreachable Cause = "head-not-reachable"
-	// ServerRejected: the server said that it would not run the call.
+	// ServerRejected: the backend server declined to run the call.
 	ServerRejected Cause = "server-would-not-take-it"
-	// NoCapacity: no whole replica had room, or there was none, by this system's own word.
+	// NoCapacity: this system refused the call, because no healthy replica had free capacity
+	// or there was none.
 	NoCapacity Cause = "refused-by-us"
-	// StreamPaused: the first piece was on time, and a later one was not.
+	// StreamPaused: the first part of the response was on time, a later part was not.
 	StreamPaused Cause = "stream-paused"
-	// StreamBroken: the connection broke off, or the answer was not one.
+	// StreamBroken: the connection broke, or the response was malformed.
 	StreamBroken Cause = "stream-broke"
-	// ServerFailed: the server ran the call and failed by itself.
+	// ServerFailed: the backend server ran the call and reported an error of its own.
 	ServerFailed Cause = "server-failed"
-	// CallerGone: the caller went away, or its time was up, before anything else went wrong.
+	// CallerGone: the caller disconnected or its deadline passed before any other failure.
 	CallerGone Cause = "caller-left-or-time-up"
-	// Other is what these lines do not tell.
+	// Other: the logs do not show the cause.
 	Other Cause = "not-told"
 )
 
-// Causes lists all causes, in the order in which they are shown.
+// Causes returns all causes in display order.
 func Causes() []Cause {
 	return []Cause{Queued, Slow, ReplicaStalled, Unreachable, ServerRejected, NoCapacity, StreamPaused, StreamBroken, ServerFailed, CallerGone, Other}
 }
 
-// Call is one call as one node served it.
+// Call is one call as served by one node.
 type Call struct {
 	Request string
-	// Node and Zone are of the node that served it; empty if its log lacks its first lines.
+	// Node and Zone identify the node that served the call. They are empty if the start of
+	// the node's log is missing.
 	Node, Zone string
-	// Group is the model, or the plain service.
+	// Group is the model group or the plain service that was called.
 	Group string
-	// At is when the call came to the node.
+	// At is when the call arrived at the node.
 	At      time.Time
 	Outcome Outcome
-	// Cause is empty for a call that was answered on time.
+	// Cause is empty if the call was answered on time.
 	Cause Cause
 }
 
-// Inventory is what the VMs did at a moment, by the node that places them.
+// Inventory counts the VMs by state at one time, as logged by the placement leader.
 type Inventory struct {
 	At time.Time `json:"At"`
-	// Held are in replicas; Free have weights and no replica; Cold have no weights;
-	// Loading read some.
+	// Held VMs belong to replicas. Free VMs have weights loaded but belong to no replica,
+	// Cold VMs have no weights, and Loading VMs are loading weights.
 	Held    int `json:"Held"`
 	Free    int `json:"Free"`
 	Cold    int `json:"Cold"`
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -24,10 +24,10 @@
 	return log
 }
 
-// After a bad hour whoever is on call must know for each call what it was lost by. One
-// that went on elsewhere and was late is late for what went wrong first, and one that was
-// on time all the same is no loss.
-func TestEachLossHasItsCause(t *testing.T) {
+// Guards against a wrong or missing cause in the analysis of an incident. A late call that
+// was retried is attributed to its first failure; a retried call that was still on time is
+// not a loss.
+func TestCauseOfEachLoss(t *testing.T) {
 	got := make(map[string]losses.Call)
 	for _, call := range readEntryA(t).Calls() {
 		got[call.Request] = call
@@ -55,9 +55,9 @@
 	}
 }
 
-// A log that was cut while it was written has lines that end in the middle. The others
-// still tell what happened; what was passed over is said.
-func TestTornLinesArePassedOverAndTold(t *testing.T) {
+// Guards against losing a whole log to a truncated line, which a node leaves when it is
+// stopped while writing. The other lines are read, and the skipped line is reported.
+func TestTruncatedLinesAreSkippedAndReported(t *testing.T) {
 	log := readEntryA(t)
 	require.Len(t, log.SkippedLines, 1)
 	require.Equal(t, 16, log.SkippedLines[0].Line)
@@ -66,8 +66,9 @@
 	}
 }
 
-// Each call counts in the window in which it came, not in that of its end.
-func TestReportAddsUp(t *testing.T) {
+// Guards against counting a call in the wrong window: it belongs to the window in which it
+// arrived, not to the one in which it ended.
+func TestReportSums(t *testing.T) {
 	report := readEntryA(t).Report(2 * time.Second)
 	require.Equal(t, 12, report.All.Calls)
 	require.Equal(t, 7, report.Groups["large"].Calls+report.Groups["service:desk"].Calls)
@@ -81,10 +82,10 @@
 	require.Equal(t, time.Date(2026, 7, 1, 8, 0, 0, 0, time.UTC), first.From)
 	require.Equal(t, 9, first.Inventory.Held)
 	require.Equal(t, 3, first.Inventory.Cold)
-	require.Equal(t, 4, first.Calls, "on-time, queued, slow and paused came in the first two seconds")
+	require.Equal(t, 4, first.Calls, "on-time, queued, slow and paused arrived in the first two seconds")
 }
 
-func TestPlotIsAPicture(t *testing.T) {
+func TestPlotIsValidXML(t *testing.T) {
 	var out bytes.Buffer
 	require.NoError(t, readEntryA(t).Report(2*time.Second).Plot(&out))
 	dec := xml.NewDecoder(&out)
@@ -97,8 +98,8 @@
 	}
 }
 
-// A log without a line of a call is a report without rows, and still a picture.
-func TestNothingToReport(t *testing.T) {
+// A log without calls gives an empty report, which can still be plotted.
+func TestEmptyReport(t *testing.T) {
 	report := (&losses.Log{}).Report(time.Second)
 	require.Zero(t, report.All.Calls)
 	require.NoError(t, report.Plot(io.Discard))
@@ -113,15 +114,15 @@
 		if log.Read(bytes.NewReader(b)) != nil {
 			return
 		}
-		counted := 0
+		total := 0
 		for _, w := range log.Report(time.Second).Windows {
-			counted += w.Calls
+			total += w.Calls
 		}
-		require.Equal(t, len(log.Calls()), counted)
+		require.Equal(t, len(log.Calls()), total)
 	})
 }
 
-// Scripts read the JSON report by its keys: a field renamed in the code must not rename them.
+// Guards the keys of the JSON report, which scripts read, against renames in the code.
 func TestReportKeysInJSON(t *testing.T) {
 	at := time.Date(2026, 11, 3, 8, 0, 0, 0, time.UTC)
 	counts := &losses.Counts{Calls: 1, Outcomes: map[losses.Outcome]int{losses.OnTime: 1}, Causes: map[losses.Cause]int{}}
@@ -136,8 +137,8 @@
 	}
 	text, err := json.Marshal(report)
 	require.NoError(t, err)
-	one := `{"calls":1,"outcomes":{"on-time":1},"causes":{}}`
-	require.JSONEq(t, `{"all":`+one+`,"groups":{"g":`+one+`},"zones":{"z":`+one+`},
+	countsJSON := `{"calls":1,"outcomes":{"on-time":1},"causes":{}}`
+	require.JSONEq(t, `{"all":`+countsJSON+`,"groups":{"g":`+countsJSON+`},"zones":{"z":`+countsJSON+`},
 		"windows":[{"from":"2026-11-03T08:00:00Z","calls":1,"outcomes":{"on-time":1},"causes":{},
 		"inventory":{"At":"2026-11-03T08:00:00Z","Held":1,"Free":2,"Cold":3,"Loading":4}}]}`, string(text))
 }
--- a/internal/losses/plot.go
+++ b/internal/losses/plot.go
@@ -13,40 +13,40 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
+// Layout of the plot.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
 	barWidth   = 7 * vg.Millimeter
-	// headroom is the height of the picture over that of the tallest bar: the names of
-	// all causes fit above it.
+	// headroom is the ratio of the Y axis to the tallest bar. It leaves room for the legend
+	// with all causes above the bars.
 	headroom = 1.8
-	// tickEvery is after how many windows one is labelled.
+	// tickEvery is the number of windows per label on the X axis.
 	tickEvery = 5
 )
 
-// Plot writes an SVG picture of the losses by cause over time.
+// Plot writes a stacked bar chart of the losses by cause over time as SVG.
 func (r *Report) Plot(out io.Writer) error {
 	p := plot.New()
-	r.style(p)
+	r.setStyle(p)
 	if err := r.addBars(p); err != nil {
 		return err
 	}
-	picture, err := p.WriterTo(plotWidth, plotHeight, "svg")
+	svg, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return errors.Wrap(err, "plot")
 	}
-	_, err = picture.WriteTo(out)
+	_, err = svg.WriteTo(out)
 	return err
 }
 
-// style sets what does not depend on the causes.
-func (r *Report) style(p *plot.Plot) {
+// setStyle sets the title, axes and legend position.
+func (r *Report) setStyle(p *plot.Plot) {
 	p.Title.Text = "calls not answered on time, by cause"
 	p.X.Label.Text = fmt.Sprintf("windows of %v", r.Every)
 	p.Y.Label.Text = "calls"
 	p.Y.Min = 0
-	p.Y.Max = max(1, headroom*float64(r.tallest()))
+	p.Y.Max = max(1, headroom*float64(r.maxLosses()))
 	p.Legend.Top, p.Legend.Left = true, true
 	var ticks []plot.Tick
 	for i, w := range r.Windows {
@@ -57,25 +57,25 @@
 	p.X.Tick.Marker = plot.ConstantTicks(ticks)
 }
 
-// tallest is the most losses of a window.
-func (r *Report) tallest() (most int) {
+// maxLosses returns the largest number of losses in any window.
+func (r *Report) maxLosses() (largest int) {
 	for _, w := range r.Windows {
-		most = max(most, w.Calls-w.Outcomes[OnTime])
+		largest = max(largest, w.Calls-w.Outcomes[OnTime])
 	}
-	return most
+	return largest
 }
 
-// colors tell all causes apart.
+// colors returns at least as many different colors as there are causes.
 func colors() []color.Color { return slices.Concat(plotutil.SoftColors, plotutil.DarkColors) }
 
-// addBars puts the bars of the causes that were seen one on the other.
+// addBars adds the stacked bars of the causes that occur.
 func (r *Report) addBars(p *plot.Plot) error {
 	width := min(barWidth, plotWidth*0.8/vg.Length(max(len(r.Windows), 1)))
 	var below *plotter.BarChart
 	for i, cause := range r.All.CausesByCount() {
 		values := make(plotter.Values, len(r.Windows))
-		for at, w := range r.Windows {
-			values[at] = float64(w.Causes[cause])
+		for j, w := range r.Windows {
+			values[j] = float64(w.Causes[cause])
 		}
 		bars, err := plotter.NewBarChart(values, width)
 		if err != nil {
--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -13,7 +13,7 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// LineError says which line of a log can't be read. The others were read.
+// LineError reports a log line that could not be parsed. The other lines are still read.
 type LineError struct {
 	Line int
 	Err  error
@@ -22,49 +22,51 @@
 // Error implements error.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// fields are the keys and values of one line.
+// fields holds the keys and values of one line.
 type fields map[string]string
 
-// Log is what was read of nodes' logs.
+// Log collects the calls and inventories read from nodes' logs.
 type Log struct {
-	calls       []*open
+	calls       []*callRecord
 	inventories []Inventory
-	// SkippedLines are lines that can't be read: a log that was cut while it was written has
-	// some. They are passed over.
+	// SkippedLines are lines that could not be parsed, as in a log that was truncated while
+	// it was written.
 	SkippedLines []*LineError
 }
 
-// longestLine bounds a line, in bytes.
-const longestLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// open is a call whose lines are being gathered.
-type open struct {
+// callRecord collects the log lines of one call.
+type callRecord struct {
 	request, node, zone, group string
 	at                         time.Time
 	attempts                   []attempt
 	noReplica                  bool
 }
 
-// attempt is one line of an attempt.
+// attempt holds the fields of one attempt's line.
 type attempt struct {
-	outcome                    string
-	waited, first, target      time.Duration
-	pause, pauseTarget         time.Duration
-	running, waitingNow, slots int
+	outcome string
+	// startDelay is the time from the call's arrival to the start of this attempt;
+	// firstPiece from there to the first part of the response.
+	startDelay, firstPiece, target time.Duration
+	longestPause, pauseTarget      time.Duration
+	running, waiting, slots        int
 }
 
-// Read adds one node's log. Lines of other matters are passed over.
+// Read adds one node's log. Lines with other messages are ignored.
 func (l *Log) Read(r io.Reader) error {
-	one := reader{log: l, byID: make(map[string]*open)}
+	node := reader{log: l, byID: make(map[string]*callRecord)}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for number := 1; lines.Scan(); number++ {
 		f, err := decode(lines.Bytes())
 		if err == nil {
-			err = one.take(f)
+			err = node.handle(f)
 		}
 		if err != nil {
 			l.SkippedLines = append(l.SkippedLines, &LineError{number, err})
@@ -73,7 +75,7 @@
 	return lines.Err()
 }
 
-// decode reads the keys and values of a line.
+// decode parses the keys and values of a line.
 func decode(line []byte) (fields, error) {
 	dec := logfmt.NewDecoder(bytes.NewReader(line))
 	f := make(fields)
@@ -89,15 +91,17 @@
 type reader struct {
 	log        *Log
 	node, zone string
-	byID       map[string]*open
+	byID       map[string]*callRecord
 }
 
-// lastField is the last field of the lines that are read, without which one was cut.
+// lastField maps a message to the last field of its line. A line without that field was
+// truncated.
 var lastField = map[string]string{"attempt": "outcome", "no replica": "err", "inventory": "domains"}
 
-func (r *reader) take(f fields) error {
+// handle processes one line.
+func (r *reader) handle(f fields) error {
 	last, known := lastField[f["msg"]]
-	if _, whole := f[last]; known && !whole {
+	if _, complete := f[last]; known && !complete {
 		return errors.Errorf("the line ends before %q", last)
 	}
 	switch f["msg"] {
@@ -117,8 +121,9 @@
 	return nil
 }
 
-// call returns the call that the line is of. The line was written so long after it came.
-func (r *reader) call(f fields, ago ...string) (*open, error) {
+// call returns the record of the call that the line belongs to, and creates it if needed.
+// The call arrived before the line was logged, by the sum of the durations in elapsed.
+func (r *reader) call(f fields, elapsed ...string) (*callRecord, error) {
 	if c := r.byID[f["request"]]; c != nil {
 		return c, nil
 	}
@@ -126,14 +131,14 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "time")
 	}
-	for _, text := range ago {
-		passed, err := time.ParseDuration(text)
+	for _, text := range elapsed {
+		d, err := time.ParseDuration(text)
 		if err != nil {
-			return nil, errors.Wrap(err, "age")
+			return nil, errors.Wrap(err, "elapsed time")
 		}
-		at = at.Add(-passed)
+		at = at.Add(-d)
 	}
-	c := &open{request: f["request"], node: r.node, zone: r.zone, group: f["group"], at: at}
+	c := &callRecord{request: f["request"], node: r.node, zone: r.zone, group: f["group"], at: at}
 	r.byID[c.request] = c
 	r.log.calls = append(r.log.calls, c)
 	return c, nil
@@ -142,19 +147,19 @@
 func (r *reader) attempt(f fields) error {
 	a := attempt{outcome: f["outcome"]}
 	var err error
-	for key, to := range map[string]*time.Duration{"waited": &a.waited, "first": &a.first, "target": &a.target, "pause": &a.pause, "pause_target": &a.pauseTarget} {
+	for key, field := range map[string]*time.Duration{"waited": &a.startDelay, "first": &a.firstPiece, "target": &a.target, "pause": &a.longestPause, "pause_target": &a.pauseTarget} {
 		if f[key] == "" {
 			continue
 		}
-		if *to, err = time.ParseDuration(f[key]); err != nil {
+		if *field, err = time.ParseDuration(f[key]); err != nil {
 			return errors.Wrap(err, key)
 		}
 	}
-	for key, to := range map[string]*int{"running": &a.running, "waiting": &a.waitingNow, "slots": &a.slots} {
+	for key, field := range map[string]*int{"running": &a.running, "waiting": &a.waiting, "slots": &a.slots} {
 		if f[key] == "" {
 			continue
 		}
-		if *to, err = strconv.Atoi(f[key]); err != nil {
+		if *field, err = strconv.Atoi(f[key]); err != nil {
 			return errors.Wrap(err, key)
 		}
 	}
@@ -166,25 +171,26 @@
 	return nil
 }
 
-// inventory adds up the domains of a line: "d0:held=1,free=3,cold=6,loading=8 d1:held=...".
+// inventory sums the counts of all domains of a line, such as
+// "d0:held=1,free=3,cold=6,loading=8 d1:held=...".
 func (r *reader) inventory(f fields) error {
 	at, err := time.Parse(time.RFC3339Nano, f["time"])
 	if err != nil {
 		return errors.Wrap(err, "time")
 	}
-	s := Inventory{At: at}
-	into := map[string]*int{"held": &s.Held, "free": &s.Free, "cold": &s.Cold, "loading": &s.Loading}
+	inv := Inventory{At: at}
+	counters := map[string]*int{"held": &inv.Held, "free": &inv.Free, "cold": &inv.Cold, "loading": &inv.Loading}
 	for _, domain := range strings.Fields(f["domains"]) {
 		_, counts, _ := strings.Cut(domain, ":")
 		for _, count := range strings.Split(counts, ",") {
 			name, text, _ := strings.Cut(count, "=")
 			n, err := strconv.Atoi(text)
-			if err != nil || into[name] == nil {
-				return errors.Errorf("domains: %q", count)
+			if err != nil || counters[name] == nil {
+				return errors.Errorf("domains: invalid count %q", count)
 			}
-			*into[name] += n
+			*counters[name] += n
 		}
 	}
-	r.log.inventories = append(r.log.inventories, s)
+	r.log.inventories = append(r.log.inventories, inv)
 	return nil
 }
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Counts are calls by what their callers got, and losses by cause.
+// Counts counts calls by outcome and losses by cause.
 type Counts struct {
 	Calls    int             `json:"calls"`
 	Outcomes map[Outcome]int `json:"outcomes"`
@@ -26,37 +26,36 @@
 	}
 }
 
-// Window is some time of the log.
+// Window counts the calls that arrived in one interval of the log.
 type Window struct {
 	From time.Time `json:"from"`
 	*Counts
-	// Inventory is the last that was known of the VMs in the window; nil if nothing was.
+	// Inventory is the last one logged in the window; nil if there is none.
 	Inventory *Inventory `json:"inventory,omitempty"`
 }
 
-// Report sums up calls.
+// Report counts calls in total, by group, by zone and by window.
 type Report struct {
 	All     *Counts            `json:"all"`
 	Groups  map[string]*Counts `json:"groups"`
 	Zones   map[string]*Counts `json:"zones"`
 	Windows []Window           `json:"windows"`
-	// Every is the length of a window.
+	// Every is the length of each window.
 	Every time.Duration `json:"-"`
 }
 
-// Calls are the calls that were read, each with its outcome and cause, in the order in
-// which they came.
+// Calls returns the calls with their outcomes and causes, in order of arrival.
 func (l *Log) Calls() []Call {
 	out := make([]Call, 0, len(l.calls))
 	for _, c := range l.calls {
-		outcome, cause := c.judge()
+		outcome, cause := c.classify()
 		out = append(out, Call{Request: c.request, Node: c.node, Zone: c.zone, Group: c.group, At: c.at, Outcome: outcome, Cause: cause})
 	}
 	slices.SortStableFunc(out, func(a, b Call) int { return a.At.Compare(b.At) })
 	return out
 }
 
-// Report sums up what was read, in windows of a length.
+// Report summarizes the calls in windows of the given length.
 func (l *Log) Report(every time.Duration) *Report {
 	r := &Report{All: newCounts(), Groups: make(map[string]*Counts), Zones: make(map[string]*Counts), Every: every}
 	windows := make(map[time.Time]*Window)
@@ -65,7 +64,7 @@
 		if windows[from] == nil {
 			windows[from] = &Window{From: from, Counts: newCounts()}
 		}
-		for _, c := range []*Counts{r.All, under(r.Groups, call.Group), under(r.Zones, call.Zone), windows[from].Counts} {
+		for _, c := range []*Counts{r.All, countsFor(r.Groups, call.Group), countsFor(r.Zones, call.Zone), windows[from].Counts} {
 			c.add(call)
 		}
 	}
@@ -80,14 +79,15 @@
 	return r
 }
 
-func under(by map[string]*Counts, name string) *Counts {
-	if by[name] == nil {
-		by[name] = newCounts()
+// countsFor returns the counts of a name, and creates them if needed.
+func countsFor(byName map[string]*Counts, name string) *Counts {
+	if byName[name] == nil {
+		byName[name] = newCounts()
 	}
-	return by[name]
+	return byName[name]
 }
 
-// CausesByCount are the causes that were seen, the most frequent first.
+// CausesByCount returns the causes that occur, the most frequent first.
 func (c *Counts) CausesByCount() []Cause {
 	seen := slices.DeleteFunc(Causes(), func(cause Cause) bool { return c.Causes[cause] == 0 })
 	slices.SortStableFunc(seen, func(a, b Cause) int { return cmp.Compare(c.Causes[b], c.Causes[a]) })
