--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -1,5 +1,5 @@
-// Package logqueue writes log lines in the background, so that a slow reader of
-// the log never holds up a request.
+// Package logqueue writes log lines in the background, so that a slow log destination
+// never delays a request.
 package logqueue
 
 import (
@@ -9,27 +9,27 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Capacity is how many lines wait at most, about a second's worth on a busy node.
-// Lines beyond that are dropped and counted.
+// Capacity is the maximum number of queued lines, about one second of output on a busy
+// node. Further lines are dropped and counted.
 const Capacity = 4096
 
 var dropped = metrics.NewCounter("fennel_log_lines_dropped_total")
 
-// Writer is an io.Writer that never blocks.
+// Writer is an io.Writer that queues lines and never blocks.
 type Writer struct {
-	lines chan []byte
-	done  sync.WaitGroup
-	once  sync.Once
+	lines     chan []byte
+	wg        sync.WaitGroup
+	closeOnce sync.Once
 }
 
-// New returns a Writer on out.
+// New returns a Writer that writes to out from a goroutine of its own.
 func New(out io.Writer) *Writer {
 	w := &Writer{lines: make(chan []byte, Capacity)}
-	w.done.Go(func() { w.run(out) })
+	w.wg.Go(func() { w.run(out) })
 	return w
 }
 
-// run writes the lines that wait, several with one call.
+// run writes the queued lines to out, combining all that are waiting into one call.
 func (w *Writer) run(out io.Writer) {
 	var batch []byte
 	for line := range w.lines {
@@ -37,11 +37,11 @@
 		for range len(w.lines) {
 			batch = append(batch, <-w.lines...)
 		}
-		_, _ = out.Write(batch) // nowhere to tell that the log can't be written
+		_, _ = out.Write(batch) // a failure to write the log cannot be reported anywhere
 	}
 }
 
-// Write implements io.Writer; it takes one line.
+// Write implements io.Writer. Each call must pass exactly one line.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -51,8 +51,9 @@
 	return len(line), nil
 }
 
-// Close writes what waits. Nothing may be written after it.
+// Close writes the queued lines and returns when they are written. Write must not be
+// called after Close.
 func (w *Writer) Close() {
-	w.once.Do(func() { close(w.lines) })
-	w.done.Wait()
+	w.closeOnce.Do(func() { close(w.lines) })
+	w.wg.Wait()
 }
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -11,7 +11,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/logqueue"
 )
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	var out bytes.Buffer
 	w := logqueue.New(&out)
 	for i := range 100 {
@@ -24,20 +24,20 @@
 	require.Equal(t, "line 99", lines[99])
 }
 
-// stuck is a reader of the log that has stopped reading.
-type stuck struct{ free chan struct{} }
+// blockedWriter blocks every write until unblock is closed.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) { <-s.free; return len(b), nil }
+func (w blockedWriter) Write(b []byte) (int, error) { <-w.unblock; return len(b), nil }
 
-// Whoever reads the log stops. Requests must not wait for it: lines beyond the
-// queue are dropped.
-func TestStuckReaderHoldsUpNobody(t *testing.T) {
-	out := stuck{make(chan struct{})}
+// Guards against requests that wait for the log: when its destination blocks, Write
+// returns at once and lines beyond the capacity are dropped.
+func TestBlockedDestinationDoesNotBlockWrite(t *testing.T) {
+	out := blockedWriter{make(chan struct{})}
 	w := logqueue.New(out)
 	for range 3 * logqueue.Capacity {
 		_, err := w.Write([]byte("line\n"))
 		require.NoError(t, err)
 	}
-	close(out.free)
+	close(out.unblock)
 	w.Close()
 }
