--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -18,11 +18,11 @@
 
 const (
 	callTimeout = 15 * time.Second
-	plainScheme = "http://"
-	tlsScheme   = "https://"
+	httpScheme  = "http://"
+	httpsScheme = "https://"
 )
 
-// nodes are the clients of the addresses given, in order.
+// nodes holds a client for each given address, in order.
 type nodes []node
 
 type node struct {
@@ -30,8 +30,8 @@
 	client wirepbconnect.OperatorServiceClient
 }
 
-// dial makes the clients; connections are opened by the first call.
-func (a *app) dial() (nodes, error) {
+// newClients creates the clients. Connections are opened by the first call.
+func (a *app) newClients() (nodes, error) {
 	servers := a.servers
 	if len(servers) == 0 {
 		servers = []string{os.Getenv(envServer)}
@@ -55,8 +55,8 @@
 	var all nodes
 	for _, addr := range addrs {
 		url := addr
-		if !strings.HasPrefix(addr, plainScheme) && !strings.HasPrefix(addr, tlsScheme) {
-			url = tlsScheme + addr
+		if !strings.HasPrefix(addr, httpScheme) && !strings.HasPrefix(addr, httpsScheme) {
+			url = httpsScheme + addr
 		}
 		all = append(all, node{addr: addr, client: wirepbconnect.NewOperatorServiceClient(httpClient, strings.TrimSuffix(url, "/"))})
 	}
@@ -88,24 +88,24 @@
 	return config, nil
 }
 
-// method is one call of the operators' service.
+// method is a method of the operators' API.
 type method[Req, Res any] func(wirepbconnect.OperatorServiceClient, context.Context, *connect.Request[Req]) (*connect.Response[Res], error)
 
-// call asks the nodes in turn until one answers. All calls may be repeated: those
-// that change something carry a write id.
+// call tries the nodes in turn until one answers. All calls are safe to repeat: those that
+// change something carry a write id.
 func call[Req, Res any](ctx context.Context, all nodes, m method[Req, Res], req *Req) (*Res, error) {
-	last := &callError{}
+	lastErr := &callError{}
 	for _, n := range all {
 		res, err := callOne(ctx, n, m, req)
 		if err == nil {
 			return res, nil
 		}
-		last = &callError{addr: n.addr, err: err, unsettled: last.unsettled || !certainlyNotDone(err)}
-		if !tryNext(err) || ctx.Err() != nil {
+		lastErr = &callError{addr: n.addr, err: err, outcomeUnknown: lastErr.outcomeUnknown || !definitelyNotExecuted(err)}
+		if !retryable(err) || ctx.Err() != nil {
 			break
 		}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 func callOne[Req, Res any](ctx context.Context, n node, m method[Req, Res], req *Req) (*Res, error) {
@@ -118,48 +118,49 @@
 	return res.Msg, nil
 }
 
-// callError names the node that a call failed on last.
+// callError reports a call that failed on all nodes tried. It has the last node's address
+// and error.
 type callError struct {
 	addr string
 	err  error
-	// unsettled is true when some node may have done what was asked.
-	unsettled bool
+	// outcomeUnknown is true if any of the nodes may have executed the call.
+	outcomeUnknown bool
 }
 
 func (e *callError) Error() string { return e.addr + ": " + e.err.Error() + e.hint() }
 
-// hint says what most likely mends a wrong --server; empty when nothing is known.
+// hint suggests a fix for wrong connection flags; empty if the error is not recognized.
 func (e *callError) hint() string {
 	text, code := e.err.Error(), connect.CodeOf(e.err)
-	// An HTTP status that carries no answer of connect: something else listens there.
-	foreign := !connect.IsWireError(e.err) && (code == connect.CodeUnauthenticated || code == connect.CodeUnimplemented || text == code.String())
+	// An HTTP status without a Connect error: another kind of server listens there.
+	notOperatorAPI := !connect.IsWireError(e.err) && (code == connect.CodeUnauthenticated || code == connect.CodeUnimplemented || text == code.String())
 	switch {
 	case strings.Contains(text, "server gave HTTP response to HTTPS client"):
-		return "; the node serves without TLS: give http://" + strings.TrimPrefix(e.addr, tlsScheme)
+		return "; the node serves without TLS: give http://" + strings.TrimPrefix(e.addr, httpsScheme)
 	case strings.Contains(text, "certificate required"), strings.Contains(text, "bad certificate"):
-		return "; the node wants an operator's certificate that its CA signed: give --cert and --key"
+		return "; the node requires an operator's certificate signed by its CA: give --cert and --key"
 	case strings.Contains(text, "certificate signed by unknown authority"):
 		return "; give --ca with the authority that signed the nodes' certificates"
-	case foreign:
-		return "; no operators' service is there: is it the control address (listen.control)?"
+	case notOperatorAPI:
+		return "; the operators' API is not served at this address: is it the control address (listen.control)?"
 	}
 	return ""
 }
 
 func (e *callError) Unwrap() error { return e.err }
 
-// certainlyNotDone reports whether the node was not reached or said itself that it
-// changed nothing. A connection that broke in the middle of a call proves nothing.
-func certainlyNotDone(err error) bool {
+// definitelyNotExecuted reports whether the node was not reached or itself reported that it
+// changed nothing. A connection that broke during a call shows neither.
+func definitelyNotExecuted(err error) bool {
 	if connect.IsWireError(err) {
 		return connect.CodeOf(err) != connect.CodeUnknown && connect.CodeOf(err) != connect.CodeInternal
 	}
-	dial, ok := errors.Into[*net.OpError](err)
-	return ok && dial.Op == "dial"
+	opErr, ok := errors.Into[*net.OpError](err)
+	return ok && opErr.Op == "dial"
 }
 
-// tryNext reports whether another node may do better.
-func tryNext(err error) bool {
+// retryable reports whether the call may succeed on another node or on another try.
+func retryable(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnavailable, connect.CodeUnknown, connect.CodeDeadlineExceeded, connect.CodeUnimplemented, connect.CodeInternal:
 		return true
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' command-line tool, fennelctl.
+// Package ctl implements fennelctl, the operators' command-line tool.
 package ctl
 
 import (
@@ -15,22 +15,24 @@
 	"github.com/peterbourgon/ff/v4/ffhelp"
 )
 
-// ExitCode is what the process ends with.
+// ExitCode is the exit code of the process.
 type ExitCode int
 
 // Exit codes.
 const (
 	ExitOK ExitCode = 0
-	// ExitFailed also stands for a rules file with faults.
+	// ExitFailed: the command failed, or the rules file has errors.
 	ExitFailed ExitCode = 1
 	ExitUsage  ExitCode = 2
-	// ExitConflict: another operator's change came first; nothing was changed.
+	// ExitConflict: another operator's change was accepted first; nothing was changed.
 	ExitConflict ExitCode = 3
-	// ExitNotInForce: accepted, but not in force on all nodes within the time given.
+	// ExitNotInForce: the revision was not in force on all nodes within --timeout. A change
+	// that apply sent was accepted.
 	ExitNotInForce ExitCode = 4
 )
 
-// exitError ends the command with a code. An empty message was said already.
+// exitError ends the command with an exit code. An empty message means that the error was
+// already printed.
 type exitError struct {
 	code    ExitCode
 	message string
@@ -42,7 +44,7 @@
 	return &exitError{code: ExitUsage, message: fmt.Sprintf(format, args...)}
 }
 
-// app is one invocation: its output and the flags that all commands share.
+// app is one invocation: its outputs and the flags that all commands share.
 type app struct {
 	out, log io.Writer
 	servers  []string
@@ -57,22 +59,22 @@
 
 const (
 	defaultTimeout = time.Minute
-	// Variables that stand in for flags. They are read here and not by the flags
-	// library, which would add the list of servers to the one on the command line.
+	// Environment variables that provide defaults for flags. They are not read by the flags
+	// library, which would append the list of servers to the one on the command line.
 	envServer = "FENNELCTL_SERVER"
 	envCA     = "FENNELCTL_CA"
 	envCert   = "FENNELCTL_CERT"
 	envKey    = "FENNELCTL_KEY"
 )
 
-const rootHelp = `Talks to any node of the system; all nodes give the same answers. Exit codes:
-0 ok, 1 failed, 2 usage, 3 conflict with another operator's change,
-4 not in force everywhere within --timeout. --server, --ca, --cert and --key can
-be given by FENNELCTL_SERVER, FENNELCTL_CA, FENNELCTL_CERT and FENNELCTL_KEY.
+const rootHelp = `Connects to any node of the system; all nodes give the same answers. Exit codes:
+0 success, 1 failure, 2 usage error, 3 conflict with another operator's change,
+4 not in force on all nodes within --timeout. --server, --ca, --cert and --key can
+also be set by FENNELCTL_SERVER, FENNELCTL_CA, FENNELCTL_CERT and FENNELCTL_KEY.
 
 EXAMPLES
   export FENNELCTL_SERVER=10.1.0.4:8444,10.1.0.5:8444
-  fennelctl rules show > rules.txt      then edit rules.txt
+  fennelctl rules show > rules.txt      # then edit rules.txt
   fennelctl rules check rules.txt
   fennelctl rules apply rules.txt --wait
   fennelctl status
@@ -80,7 +82,7 @@
   fennelctl outages --from 2026-11-01 --to 2026-12-01 --json
   fennelctl losses front-*.log`
 
-// Run carries out one command line, without the program's name.
+// Run executes one command line. args does not include the program's name.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) ExitCode {
 	a := &app{out: stdout, log: stderr}
 	root := a.rootCommand()
@@ -128,11 +130,11 @@
 func (a *app) rootCommand() *ff.Command {
 	fs := ff.NewFlagSet("fennelctl")
 	a.flags = fs
-	fs.StringListVar(&a.servers, 's', "server", "ADDR[,ADDR]: control address of a node; repeatable, tried in turn. https is meant unless http:// is given")
-	fs.StringVar(&a.ca, 0, "ca", os.Getenv(envCA), "FILE: PEM of the authority that signed the nodes' certificates")
+	fs.StringListVar(&a.servers, 's', "server", "ADDR[,ADDR]: control address of a node; repeatable, tried in turn. https unless http:// is given")
+	fs.StringVar(&a.ca, 0, "ca", os.Getenv(envCA), "FILE: PEM of the CA that signed the nodes' certificates")
 	fs.StringVar(&a.cert, 0, "cert", os.Getenv(envCert), "FILE: PEM of the operator's certificate")
 	fs.StringVar(&a.key, 0, "key", os.Getenv(envKey), "FILE: PEM of the operator's key")
-	fs.BoolVar(&a.json, 0, "json", "print JSON, for programs")
+	fs.BoolVar(&a.json, 0, "json", "print JSON")
 	fs.DurationVar(&a.timeout, 't', "timeout", defaultTimeout, "give up after this long")
 	fs.BoolVar(&a.version, 0, "version", "print the version and exit")
 	return &ff.Command{
@@ -151,14 +153,14 @@
 	}
 }
 
-// subFlags returns a flag set for a command below the root.
+// subFlags returns a flag set for a subcommand, which inherits the shared flags.
 func (a *app) subFlags(name string) *ff.FlagSet {
 	return ff.NewFlagSet(name).SetParent(a.flags)
 }
 
-// flagsFirst moves flags in front of the arguments behind the command's name, so
-// that `rules apply FILE --wait` works: the flags library stops at the first
-// argument that isn't a flag.
+// flagsFirst moves flags in front of the positional arguments, so that
+// `rules apply FILE --wait` works: the flags library stops parsing at the first argument
+// that is not a flag.
 func flagsFirst(root *ff.Command, args []string) []string {
 	var path, flags, rest []string
 	cmd := root
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -28,23 +28,23 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb/wirepbconnect"
 )
 
-const line = "service name=caixa # asked for by: Ana\n"
+const serviceLine = "service name=caixa # asked for by: Ana\n"
 
-// system is one node's operator service over a memory store.
-type system struct {
+// testNode serves one node's operators' API over a memory store.
+type testNode struct {
 	t       *testing.T
 	url     string
 	handler http.Handler
 	holder  *rulestore.Holder
 	nodes   []operator.NodeRevision
-	// loseAnswers is how many of the next calls are carried out while the
-	// connection breaks before the answer.
-	loseAnswers atomic.Int32
+	// dropResponses is the number of next calls that are executed but whose connection
+	// breaks before the response.
+	dropResponses atomic.Int32
 }
 
-func (s *system) NodeRevisions() []operator.NodeRevision { return s.nodes }
+func (s *testNode) NodeRevisions() []operator.NodeRevision { return s.nodes }
 
-func (s *system) Status(context.Context) (*wirepb.StatusResponse, error) {
+func (s *testNode) Status(context.Context) (*wirepb.StatusResponse, error) {
 	return &wirepb.StatusResponse{
 		Node: "n1", Zone: "serra-a", Version: "v0", Ready: true, RulesRevision: 7, StoreReachable: true,
 		Nodes:    []*wirepb.NodeRules{{Node: "n1", Zone: "serra-a", Revision: 7, Heard: true}, {Node: "n2", Zone: "serra-b"}},
@@ -53,22 +53,22 @@
 	}, nil
 }
 
-func (s *system) Explain(_ context.Context, req rules.Request) (*wirepb.ExplainResponse, error) {
+func (s *testNode) Explain(_ context.Context, req rules.Request) (*wirepb.ExplainResponse, error) {
 	return operator.ExplainRule(s.holder.Current(), req), nil
 }
 
-func (s *system) Outages(_ context.Context, from, to time.Time, zone cluster.ZoneID) (*wirepb.OutagesResponse, error) {
+func (s *testNode) Outages(_ context.Context, from, to time.Time, zone cluster.ZoneID) (*wirepb.OutagesResponse, error) {
 	totals := []*wirepb.OutageTotal{{Zone: string(zone), Group: "fit", Measure: "downtime", LowSeconds: 60, HighSeconds: 5400}}
 	return &wirepb.OutagesResponse{Totals: totals, Intervals: []*wirepb.OutageInterval{{Id: "1", Zone: string(zone), Group: "fit", Replica: "fit-1", Measure: "downtime", FromUnixMs: from.UnixMilli(), ToUnixMs: to.UnixMilli(), Cause: "vm-3 failed", Observer: "n1", Accelerators: 4}}}, nil
 }
 
-func newSystem(t *testing.T) *system {
-	s := &system{t: t}
+func newTestNode(t *testing.T) *testNode {
+	s := &testNode{t: t}
 	s.holder = rulestore.New(rulestore.Options{Store: memstore.New(memstore.Options{})})
 	mux := http.NewServeMux()
 	mux.Handle(wirepbconnect.NewOperatorServiceHandler(operator.New(operator.Dependencies{Rules: s.holder, Nodes: s, Status: s, Explain: s, Outages: s})))
 	s.handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.loseAnswers.Add(-1) >= 0 {
+		if s.dropResponses.Add(-1) >= 0 {
 			mux.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
@@ -82,7 +82,7 @@
 	return s
 }
 
-// run carries out a command line and checks its exit code.
+// run executes a command line and checks its exit code.
 func run(t *testing.T, want ExitCode, args ...string) (stdout, stderr string) {
 	t.Helper()
 	var out, log bytes.Buffer
@@ -90,41 +90,41 @@
 	return out.String(), log.String()
 }
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	name := filepath.Join(t.TempDir(), "rules.txt")
 	require.NoError(t, os.WriteFile(name, []byte(text), 0o600))
 	return name
 }
 
-func TestCheckNamesLineColumnAndMend(t *testing.T) {
-	out, _ := run(t, ExitOK, "rules", "check", write(t, line))
+func TestCheckReportsPositionAndSuggestion(t *testing.T) {
+	out, _ := run(t, ExitOK, "rules", "check", writeFile(t, serviceLine))
 	require.Contains(t, out, "ok: 0 teams, 0 groups, 1 services")
-	_, log := run(t, ExitFailed, "rules", "check", write(t, line+"servce name=x # asked for by: Ana\n"))
+	_, log := run(t, ExitFailed, "rules", "check", writeFile(t, serviceLine+"servce name=x # asked for by: Ana\n"))
 	require.Contains(t, log, `rules.txt: line 2, column 1: unknown-kind: found "servce"`)
 	require.Contains(t, log, `did you mean "service"?`)
 
-	out, _ = run(t, ExitFailed, "--json", "rules", "check", write(t, "# revision: 4\nservce\n"))
-	var faults faultsJSON
-	require.NoError(t, json.Unmarshal([]byte(out), &faults))
-	require.Equal(t, 2, faults.Errors[0].Line, "as the operator's editor counts")
-	run(t, ExitFailed, "rules", "check", write(t, "# revision: four\n"))
+	out, _ = run(t, ExitFailed, "--json", "rules", "check", writeFile(t, "# revision: 4\nservce\n"))
+	var result checkJSON
+	require.NoError(t, json.Unmarshal([]byte(out), &result))
+	require.Equal(t, 2, result.Errors[0].Line, "counted with the revision line")
+	run(t, ExitFailed, "rules", "check", writeFile(t, "# revision: four\n"))
 	run(t, ExitFailed, "rules", "check", filepath.Join(t.TempDir(), "none"))
 }
 
 func TestShowEditApplyHistory(t *testing.T) {
-	s := newSystem(t)
-	out, _ := run(t, ExitOK, "rules", "apply", write(t, line))
+	s := newTestNode(t)
+	out, _ := run(t, ExitOK, "rules", "apply", writeFile(t, serviceLine))
 	require.Contains(t, out, "accepted as revision ")
 	shown, _ := run(t, ExitOK, "rules", "show")
 	require.True(t, strings.HasPrefix(shown, "# revision: "))
 	first := s.holder.Revision()
 
-	edited := write(t, shown+"service name=reservas # asked for by: Rui\n")
+	edited := writeFile(t, shown+"service name=reservas # asked for by: Rui\n")
 	out, _ = run(t, ExitOK, "rules", "diff", edited)
 	require.Equal(t, "@@ line 2\n+ service name=reservas # asked for by: Rui\n", out)
 	out, _ = run(t, ExitOK, "rules", "apply", edited, "--author", "Rui", "--json")
 	require.JSONEq(t, `{"revision": `+jsonNumber(s.holder.Revision())+`}`, out)
-	require.Equal(t, line+"service name=reservas # asked for by: Rui\n", s.holder.Current().Text, "without the revision line")
+	require.Equal(t, serviceLine+"service name=reservas # asked for by: Rui\n", s.holder.Current().Text, "stored without the revision line")
 
 	out, _ = run(t, ExitOK, "rules", "history")
 	require.Contains(t, out, "Rui")
@@ -139,57 +139,56 @@
 	return string(b)
 }
 
-// TestApplyShowsTheChangeThatCameFirst: Ana and Rui both edit what they were shown
-// and Rui applies first. Ana must see what Rui changed, and his change must stay.
-func TestApplyShowsTheChangeThatCameFirst(t *testing.T) {
-	s := newSystem(t)
-	run(t, ExitOK, "rules", "apply", write(t, line))
+// Guards against lost updates: Ana and Rui edit the same revision and Rui applies first.
+// Ana's apply must fail and show Rui's change, which must stay in force.
+func TestApplyConflictShowsTheOtherChange(t *testing.T) {
+	s := newTestNode(t)
+	run(t, ExitOK, "rules", "apply", writeFile(t, serviceLine))
 	shown, _ := run(t, ExitOK, "rules", "show")
-	anas, ruis := write(t, shown+"service name=ana # asked for by: Ana\n"), write(t, shown+"service name=rui # asked for by: Rui\n")
-	run(t, ExitOK, "rules", "apply", ruis, "--author", "Rui")
-	_, log := run(t, ExitConflict, "rules", "apply", anas)
+	anaFile, ruiFile := writeFile(t, shown+"service name=ana # asked for by: Ana\n"), writeFile(t, shown+"service name=rui # asked for by: Rui\n")
+	run(t, ExitOK, "rules", "apply", ruiFile, "--author", "Rui")
+	_, log := run(t, ExitConflict, "rules", "apply", anaFile)
 	require.Contains(t, log, "conflict: Rui changed the rules")
 	require.Contains(t, log, "+ service name=rui")
 	require.Contains(t, s.holder.Current().Text, "name=rui")
 	require.NotContains(t, s.holder.Current().Text, "name=ana")
-	out, _ := run(t, ExitConflict, "rules", "apply", anas, "--json")
+	out, _ := run(t, ExitConflict, "rules", "apply", anaFile, "--json")
 	var conflict conflictJSON
 	require.NoError(t, json.Unmarshal([]byte(out), &conflict))
 	require.Equal(t, s.holder.Current().Text, conflict.CurrentText)
 }
 
-// TestApplyWhoseAnswerIsLostOnTheWay: the node accepts the change and the connection
-// to the operator breaks before the answer. Sent again as a new change it would
-// meet a conflict with itself.
-func TestApplyWhoseAnswerIsLostOnTheWay(t *testing.T) {
-	s := newSystem(t)
-	file := write(t, line)
-	s.loseAnswers.Store(1)
+// Guards against a change that conflicts with itself: the node accepts the change, but the
+// connection breaks before the response, so fennelctl sends it again. Without the same write
+// id the second request would be a conflict.
+func TestApplyAfterLostResponse(t *testing.T) {
+	s := newTestNode(t)
+	file := writeFile(t, serviceLine)
+	s.dropResponses.Store(1)
 	out, _ := run(t, ExitOK, "rules", "apply", file, "--base", "0")
 	require.Equal(t, "accepted as revision "+jsonNumber(s.holder.Revision())+"\n", out)
 
-	s.loseAnswers.Store(applyTries)
-	_, log := run(t, ExitFailed, "rules", "apply", write(t, line+"# more\n"), "--base", jsonNumber(s.holder.Revision()), "--write-id", "w")
+	s.dropResponses.Store(applyAttempts)
+	_, log := run(t, ExitFailed, "rules", "apply", writeFile(t, serviceLine+"# more\n"), "--base", jsonNumber(s.holder.Revision()), "--write-id", "w")
 	require.Contains(t, log, "--write-id w")
 }
 
-func TestApplyGoesToTheNextNode(t *testing.T) {
-	s := newSystem(t)
-	out, _ := run(t, ExitOK, "rules", "apply", write(t, line), "--server", "http://127.0.0.1:1,"+s.url)
+func TestApplyTriesTheNextNode(t *testing.T) {
+	s := newTestNode(t)
+	out, _ := run(t, ExitOK, "rules", "apply", writeFile(t, serviceLine), "--server", "http://127.0.0.1:1,"+s.url)
 	require.Contains(t, out, "accepted")
-	_, log := run(t, ExitFailed, "rules", "apply", write(t, line), "--base", "0", "--server", "http://127.0.0.1:1")
+	_, log := run(t, ExitFailed, "rules", "apply", writeFile(t, serviceLine), "--base", "0", "--server", "http://127.0.0.1:1")
 	require.Contains(t, log, "Nothing was changed.")
 	_, log = run(t, ExitFailed, "rules", "show", "--server", "http://127.0.0.1:1")
 	require.Contains(t, log, "127.0.0.1:1")
 }
 
-// answered is a timeout within which a node of this process has answered, also on a
-// machine that is busy with something else.
-const answered = "2s"
+// answerTimeout is long enough for a node in this process to answer, even on a busy machine.
+const answerTimeout = "2s"
 
-// Nobody answers an operator who waits for a change: "in force on 0 of 0 nodes" would
-// tell that there are no nodes. It says that nothing is known, and why.
-func TestWaitSaysWhenNobodyAnswers(t *testing.T) {
+// Guards against a misleading report when no node answers: "in force on 0 of 0 nodes" would
+// suggest that there are no nodes. The wait must report that the state is not known, and why.
+func TestWaitReportsWhenNoNodeAnswers(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0") // accepts and never answers
 	require.NoError(t, err)
 	defer listener.Close()
@@ -200,37 +199,37 @@
 	}
 }
 
-func TestWaitNamesNodesThatAreBehindOrSilent(t *testing.T) {
-	s := newSystem(t)
+func TestWaitListsLaggingAndSilentNodes(t *testing.T) {
+	s := newTestNode(t)
 	s.nodes = []operator.NodeRevision{
 		{Node: "n1", Zone: "serra-a", Revision: 5, Heard: true},
 		{Node: "n2", Zone: "serra-b", Revision: 4, Heard: true},
 		{Node: "n3", Zone: "serra-c", Revision: 5},
 	}
-	out, log := run(t, ExitNotInForce, "rules", "wait", "5", "--timeout", answered)
+	out, log := run(t, ExitNotInForce, "rules", "wait", "5", "--timeout", answerTimeout)
 	require.Contains(t, out, "revision 5 is in force on 1 of 3 nodes")
 	require.Contains(t, out, "behind: n2 (serra-b) at 4")
-	require.Contains(t, out, "can't be heard: n3 (serra-c)")
-	require.Contains(t, log, "waiting for revision 5: in force on 1 of 3 nodes; behind: n2 (serra-b) at 4; can't be heard: n3 (serra-c)")
-	out, _ = run(t, ExitNotInForce, "rules", "wait", "5", "--timeout", answered, "--json")
+	require.Contains(t, out, "not heard from: n3 (serra-c)")
+	require.Contains(t, log, "waiting for revision 5: in force on 1 of 3 nodes; behind: n2 (serra-b) at 4; not heard from: n3 (serra-c)")
+	out, _ = run(t, ExitNotInForce, "rules", "wait", "5", "--timeout", answerTimeout, "--json")
 	require.JSONEq(t, `{"revision":5,"in_force":1,"nodes":3,"behind":["n2 (serra-b) at 4"],"unheard":["n3 (serra-c)"]}`, out)
 	s.nodes = s.nodes[:1]
-	out, _ = run(t, ExitOK, "rules", "apply", write(t, line), "--wait")
+	out, _ = run(t, ExitOK, "rules", "apply", writeFile(t, serviceLine), "--wait")
 	require.Contains(t, out, "is in force on 1 of 1 nodes")
 }
 
 func TestTLS(t *testing.T) {
-	s := newSystem(t)
+	s := newTestNode(t)
 	srv := httptest.NewTLSServer(s.handler)
 	defer srv.Close()
 	srv.Config.ErrorLog = log.New(io.Discard, "", 0)
-	ca := write(t, string(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: srv.Certificate().Raw})))
-	addr := strings.TrimPrefix(srv.URL, tlsScheme)
+	ca := writeFile(t, string(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: srv.Certificate().Raw})))
+	addr := strings.TrimPrefix(srv.URL, httpsScheme)
 	out, _ := run(t, ExitOK, "status", "--server", addr, "--ca", ca)
 	require.Contains(t, out, "node n1")
 	_, stderr := run(t, ExitFailed, "status", "--server", addr)
 	require.Contains(t, stderr, "certificate")
-	run(t, ExitUsage, "status", "--server", addr, "--ca", write(t, "no certificate"))
+	run(t, ExitUsage, "status", "--server", addr, "--ca", writeFile(t, "no certificate"))
 }
 
 func TestUsage(t *testing.T) {
@@ -252,8 +251,8 @@
 }
 
 func TestStatusExplainOutages(t *testing.T) {
-	s := newSystem(t)
-	run(t, ExitOK, "rules", "apply", write(t, line+"route path=/caixa/* to=caixa # asked for by: Ana\n"))
+	s := newTestNode(t)
+	run(t, ExitOK, "rules", "apply", writeFile(t, serviceLine+"route path=/caixa/* to=caixa # asked for by: Ana\n"))
 	out, _ := run(t, ExitOK, "status")
 	for _, want := range []string{"node n1 in serra-a", "no: vm-3 missing", "escola-a", "1.5s ago"} {
 		require.Contains(t, out, want)
@@ -275,20 +274,20 @@
 	require.Equal(t, 60.0, doc.Totals[0].LowSeconds)
 }
 
-// After a bad hour the nodes may be gone: their logs are read without any of them.
-func TestLossesNeedNoNode(t *testing.T) {
+// After an incident the nodes may be gone, so the logs must be readable without any node.
+func TestLossesNeedsNoNode(t *testing.T) {
 	dir := t.TempDir()
-	logFile, picture := filepath.Join(dir, "a.log"), filepath.Join(dir, "losses.svg")
-	lines := `time=2026-07-01T08:00:00Z level=INFO msg=serving node=entry-a zone=north
+	logFile, plotFile := filepath.Join(dir, "a.log"), filepath.Join(dir, "losses.svg")
+	logLines := `time=2026-07-01T08:00:00Z level=INFO msg=serving node=entry-a zone=north
 time=2026-07-01T08:00:01Z level=INFO msg="no replica" request=r1 group=large excluded=0 held=300µs err="every replica of group large is full, of 4 looked at"
 time=2026-07-01T08:00:01Z level=INFO msg="no repl
 `
-	require.NoError(t, os.WriteFile(logFile, []byte(lines), 0o600))
-	var out, problems bytes.Buffer
-	require.Equal(t, ExitOK, Run(t.Context(), []string{"losses", "--plot", picture, logFile}, &out, &problems))
+	require.NoError(t, os.WriteFile(logFile, []byte(logLines), 0o600))
+	var out, stderr bytes.Buffer
+	require.Equal(t, ExitOK, Run(t.Context(), []string{"losses", "--plot", plotFile, logFile}, &out, &stderr))
 	require.Contains(t, out.String(), "refused-by-us  1")
-	require.Contains(t, problems.String(), "1 lines can't be read")
-	require.FileExists(t, picture)
+	require.Contains(t, stderr.String(), "skipped 1 lines that could not be parsed")
+	require.FileExists(t, plotFile)
 
 	for args, code := range map[string]ExitCode{"losses": ExitUsage, "losses --every 0s " + logFile: ExitUsage, "losses " + dir + "/none.log": ExitFailed} {
 		require.Equal(t, code, Run(t.Context(), strings.Fields(args), io.Discard, io.Discard), args)
@@ -298,13 +297,13 @@
 	require.Contains(t, out.String(), `"refused-by-us": 1`)
 }
 
-func TestWrongServerSaysTheMend(t *testing.T) {
-	newSystem(t)
-	callers := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusUnauthorized) }))
-	defer callers.Close()
-	_, log := run(t, ExitFailed, "--server", callers.URL, "status")
+func TestWrongServerErrorSuggestsFix(t *testing.T) {
+	newTestNode(t)
+	callerSrv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusUnauthorized) }))
+	defer callerSrv.Close()
+	_, log := run(t, ExitFailed, "--server", callerSrv.URL, "status")
 	require.Contains(t, log, "is it the control address")
-	plain := strings.TrimPrefix(callers.URL, "http://")
+	plain := strings.TrimPrefix(callerSrv.URL, "http://")
 	_, log = run(t, ExitFailed, "--server", plain, "status")
 	require.Contains(t, log, "the node serves without TLS: give http://"+plain)
 	_, log = run(t, ExitUsage, "rules", "aply", "x")
--- a/internal/ctl/losses.go
+++ b/internal/ctl/losses.go
@@ -15,34 +15,34 @@
 	"github.com/fennelcourse/fennelcourse/internal/losses"
 )
 
-const lossesHelp = `Reads nodes' logs, one file a node, and gives every call that was late, refused
-or failed one cause: that of its first attempt that went wrong. It talks to no node. The
-windows show what was lost when, and what the VMs did meanwhile, if the log of the node
-that placed them is among the files.
+const lossesHelp = `Reads nodes' logs, one file per node, and assigns one cause to every call that was
+late, refused or failed: that of its first failed attempt. It contacts no node. The
+windows show the losses over time and the states of the VMs, if the log of the node
+that was the placement leader is among the files.
 
 EXAMPLES
   fennelctl losses front-*.log
   fennelctl losses --every 10s --plot losses.svg front-*.log`
 
-// defaultEvery is the length of a window: faults and their repair take seconds.
-const defaultEvery = 2 * time.Second
+// defaultWindow is the default length of a window: failures and their recovery take seconds.
+const defaultWindow = 2 * time.Second
 
-// shownCauses is how many causes a window's row names.
-const shownCauses = 3
+// maxCausesPerWindow is the number of causes shown for a window.
+const maxCausesPerWindow = 3
 
 func (a *app) lossesCommand() *ff.Command {
 	fs := a.subFlags("losses")
-	every := fs.Duration(0, "every", defaultEvery, "length of a window")
-	picture := fs.String(0, "plot", "", "FILE to write an SVG picture to")
+	every := fs.Duration(0, "every", defaultWindow, "length of a window")
+	plotFile := fs.String(0, "plot", "", "FILE to write an SVG plot to")
 	return &ff.Command{
 		Name:      "losses",
 		Usage:     "fennelctl losses [--every DURATION] [--plot FILE] LOG...",
-		ShortHelp: "tell from nodes' logs why calls were late, refused or failed",
+		ShortHelp: "show from nodes' logs why calls were late, refused or failed",
 		LongHelp:  lossesHelp,
 		Flags:     fs,
 		Exec: func(_ context.Context, files []string) error {
 			if len(files) == 0 {
-				return usageError("no log named")
+				return usageError("found no arguments, want at least one LOG file")
 			}
 			if *every <= 0 {
 				return usageError("--every %v: want more than 0s", *every)
@@ -51,7 +51,7 @@
 			if err != nil {
 				return err
 			}
-			return a.printLosses(log.Report(*every), *picture)
+			return a.printLosses(log.Report(*every), *plotFile)
 		},
 	}
 }
@@ -59,26 +59,26 @@
 func (a *app) readLogs(files []string) (*losses.Log, error) {
 	log := &losses.Log{}
 	for _, name := range files {
-		torn := len(log.SkippedLines)
+		skipped := len(log.SkippedLines)
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, err
 		}
 		err = log.Read(f)
-		_ = f.Close() // read only
+		_ = f.Close() // the file was only read
 		if err != nil {
 			return nil, errors.Wrap(err, name)
 		}
-		if more := log.SkippedLines[torn:]; len(more) > 0 {
-			printf(a.log, "fennelctl: %s: %d lines can't be read and are passed over, the first: %v\n", name, len(more), more[0])
+		if lines := log.SkippedLines[skipped:]; len(lines) > 0 {
+			printf(a.log, "fennelctl: %s: skipped %d lines that could not be parsed, the first: %v\n", name, len(lines), lines[0])
 		}
 	}
 	return log, nil
 }
 
-func (a *app) printLosses(report *losses.Report, picture string) error {
-	if picture != "" {
-		if err := writePlot(report, picture); err != nil {
+func (a *app) printLosses(report *losses.Report, plotFile string) error {
+	if plotFile != "" {
+		if err := writePlot(report, plotFile); err != nil {
 			return err
 		}
 	}
@@ -99,17 +99,17 @@
 		return err
 	}
 	if err := report.Plot(f); err != nil {
-		_ = f.Close() // the first error counts
+		_ = f.Close() // the plot's error takes precedence
 		return err
 	}
 	return f.Close()
 }
 
-// printCounts prints a row for each name, and one for each cause below it.
-func (a *app) printCounts(what string, by map[string]*losses.Counts) {
-	rows := [][]string{{what, "calls", "on time", "late", "refused", "failed"}}
-	for _, name := range slices.Sorted(maps.Keys(by)) {
-		c := by[name]
+// printCounts prints a row for each name, followed by a row for each of its causes.
+func (a *app) printCounts(heading string, byName map[string]*losses.Counts) {
+	rows := [][]string{{heading, "calls", "on time", "late", "refused", "failed"}}
+	for _, name := range slices.Sorted(maps.Keys(byName)) {
+		c := byName[name]
 		row := []string{orUnknown(name), fmt.Sprint(c.Calls)}
 		for _, o := range []losses.Outcome{losses.OnTime, losses.Late, losses.Refused, losses.Failed} {
 			row = append(row, fmt.Sprint(c.Outcomes[o]))
@@ -138,11 +138,11 @@
 		} else {
 			row = append(row, fmt.Sprint(w.Inventory.Held), fmt.Sprint(w.Inventory.Free), fmt.Sprint(w.Inventory.Cold), fmt.Sprint(w.Inventory.Loading))
 		}
-		var named []string
-		for _, cause := range w.CausesByCount()[:min(shownCauses, len(w.CausesByCount()))] {
-			named = append(named, fmt.Sprintf("%s %d", cause, w.Causes[cause]))
+		var causes []string
+		for _, cause := range w.CausesByCount()[:min(maxCausesPerWindow, len(w.CausesByCount()))] {
+			causes = append(causes, fmt.Sprintf("%s %d", cause, w.Causes[cause]))
 		}
-		rows = append(rows, append(row, strings.Join(named, ", ")))
+		rows = append(rows, append(row, strings.Join(causes, ", ")))
 	}
 	a.table(rows)
 }
--- a/internal/ctl/outages.go
+++ b/internal/ctl/outages.go
@@ -12,10 +12,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb/wirepbconnect"
 )
 
-const outagesHelp = `Times are dates (2026-11-01, from midnight UTC) or RFC 3339 (2026-11-01T08:00:00Z).
-Time that nobody observed is shown as "unobserved", never as up or down.
-Two observers of one outage give two lines; the totals below count it once, and
-show two figures where observers disagree.
+const outagesHelp = `Times are dates (2026-11-01, meaning midnight UTC) or RFC 3339 (2026-11-01T08:00:00Z).
+Time that no node observed is shown as "unobserved", never as up or down.
+An outage that two nodes observed has two lines. The totals below count it once and
+show a lower and an upper bound where the observers disagree.
 
 EXAMPLES
   fennelctl outages --from 2026-11-01 --to 2026-12-01
@@ -37,7 +37,7 @@
 			if err != nil {
 				return err
 			}
-			all, err := a.dial()
+			all, err := a.newClients()
 			if err != nil {
 				return err
 			}
@@ -92,7 +92,7 @@
 	Corrects     string `json:"corrects,omitempty"`
 }
 
-// outagesJSON is what --json prints. Two observers of one outage give two
+// outagesJSON is the output of --json. An outage that two nodes observed has two
 // intervals; only the totals count it once.
 type outagesJSON struct {
 	Totals    []totalJSON  `json:"totals"`
@@ -103,7 +103,7 @@
 	Zone    string `json:"zone"`
 	Group   string `json:"group"`
 	Measure string `json:"measure"`
-	// Cause is empty for the sum over all causes.
+	// Cause is empty in the total over all causes.
 	Cause       string  `json:"cause"`
 	LowSeconds  float64 `json:"low_seconds"`
 	HighSeconds float64 `json:"high_seconds"`
@@ -140,7 +140,7 @@
 	return out
 }
 
-// printTotals prints one figure where the observers agree, and both bounds where not.
+// printTotals prints one value where the observers agree, and otherwise both bounds.
 func (a *app) printTotals(totals []totalJSON) {
 	rows := [][]string{{"ZONE", "GROUP", "MEASURE", "CAUSE", "TOTAL (replica, accelerator or clock time)"}}
 	for _, t := range totals {
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -15,8 +15,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// printf writes to the terminal or a pipe; when nobody reads it any more there is
-// nothing to be done about it.
+// printf writes to the terminal or a pipe. Errors are ignored: if the output is closed,
+// there is nowhere to report them.
 func printf(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format, args...)
 }
@@ -28,13 +28,13 @@
 	return e.Encode(v)
 }
 
-// printProto prints a message with the field names of the protocol.
+// printProto prints a message as JSON with the field names of the .proto file.
 func (a *app) printProto(m proto.Message) error {
 	raw, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(m)
 	if err != nil {
 		return err
 	}
-	// The library varies its white space on purpose.
+	// protojson randomizes its whitespace on purpose, so indent it here.
 	var b bytes.Buffer
 	if err := json.Indent(&b, raw, "", "  "); err != nil {
 		return err
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// table prints rows in columns; the first row is the header.
+// table prints rows in aligned columns. The first row is the header.
 func (a *app) table(rows [][]string) {
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
@@ -52,11 +52,11 @@
 	_ = w.Flush()
 }
 
-// printDiff shows the lines that change from one text to another, with the line
-// numbers of the old one.
+// printDiff prints the lines that differ between two texts, with the line numbers of the
+// old one.
 func printDiff(w io.Writer, before, after string) {
 	lines := strings.Split(before, "\n")
-	shift := 0 // lines that the edits so far have added
+	shift := 0 // net number of lines added by the previous edits
 	for _, e := range rules.Diff(before, after) {
 		at := e.At - shift
 		printf(w, "@@ line %d\n", at+1)
--- a/internal/ctl/rules.go
+++ b/internal/ctl/rules.go
@@ -19,7 +19,7 @@
 	return &ff.Command{
 		Name:      "rules",
 		Usage:     "fennelctl rules COMMAND [FLAGS]",
-		ShortHelp: "check, change and follow the rules file",
+		ShortHelp: "check, change and track the rules file",
 		Flags:     a.subFlags("rules"),
 		Subcommands: []*ff.Command{
 			a.checkCommand(),
@@ -32,11 +32,11 @@
 	}
 }
 
-// rulesFile is a file on the operator's disk.
+// rulesFile is a local rules file.
 type rulesFile struct {
-	// text is the file without its revision line.
+	// text is the content without the revision line.
 	text string
-	// base is the revision in the first line, or -1.
+	// base is the revision in the first line, or noBase.
 	base int64
 }
 
@@ -45,7 +45,7 @@
 	noBase         = -1
 )
 
-// readRules reads a file as `rules show` wrote it, or as anybody did.
+// readRules reads a file, with or without the revision line that `rules show` writes.
 func readRules(args []string) (rulesFile, error) {
 	if len(args) != 1 {
 		return rulesFile{}, usageError("found %d arguments, want one FILE", len(args))
@@ -68,13 +68,13 @@
 	return file, nil
 }
 
-// faultsJSON is the output of a check with --json.
-type faultsJSON struct {
-	OK     bool        `json:"ok"`
-	Errors []faultJSON `json:"errors,omitempty"`
+// checkJSON is the output of `rules check --json`.
+type checkJSON struct {
+	OK     bool            `json:"ok"`
+	Errors []ruleErrorJSON `json:"errors,omitempty"`
 }
 
-type faultJSON struct {
+type ruleErrorJSON struct {
 	Line    int           `json:"line,omitempty"`
 	Column  int           `json:"column,omitempty"`
 	Problem rules.Problem `json:"problem"`
@@ -82,39 +82,39 @@
 	Want    string        `json:"want"`
 }
 
-// parse checks the file as a node would. Lines are counted as the operator's editor
-// does, with the revision line.
+// parse parses the file as a node does. Line numbers in errors include the revision line,
+// so that they match the operator's editor.
 func (a *app) parse(name string, file rulesFile) (*rules.Set, error) {
 	set, err := rules.Parse(file.text)
 	if err == nil {
 		return set, nil
 	}
-	faults := faultsJSON{}
-	lines, ok := errors.Into[rules.Errors](err)
+	result := checkJSON{}
+	ruleErrs, ok := errors.Into[rules.Errors](err)
 	if !ok {
-		faults.Errors = append(faults.Errors, faultJSON{Problem: "file", Want: err.Error()})
+		result.Errors = append(result.Errors, ruleErrorJSON{Problem: "file", Want: err.Error()})
 		printf(a.log, "%s: %v\n", name, err)
 	}
-	for _, e := range lines {
+	for _, e := range ruleErrs {
 		if file.base != noBase {
 			e.Line++
 		}
-		faults.Errors = append(faults.Errors, faultJSON{e.Line, e.Column, e.Problem, e.Found, e.Want})
+		result.Errors = append(result.Errors, ruleErrorJSON{e.Line, e.Column, e.Problem, e.Found, e.Want})
 		printf(a.log, "%s: %v\n", name, e)
 	}
 	if a.json {
-		if err := a.printJSON(faults); err != nil {
+		if err := a.printJSON(result); err != nil {
 			return nil, err
 		}
 	}
-	return nil, &exitError{code: ExitFailed, message: fmt.Sprintf("%s has %d faults; nothing was changed", name, len(faults.Errors))}
+	return nil, &exitError{code: ExitFailed, message: fmt.Sprintf("%s has %d errors; nothing was changed", name, len(result.Errors))}
 }
 
 func (a *app) checkCommand() *ff.Command {
 	return &ff.Command{
 		Name:      "check",
 		Usage:     "fennelctl rules check FILE",
-		ShortHelp: "check a file without sending it anywhere",
+		ShortHelp: "check a file locally, without contacting a node",
 		LongHelp:  "EXAMPLES\n  fennelctl rules check rules.txt\n  fennelctl rules check --json rules.txt",
 		Flags:     a.subFlags("check"),
 		Exec: func(_ context.Context, args []string) error {
@@ -127,7 +127,7 @@
 				return err
 			}
 			if a.json {
-				return a.printJSON(faultsJSON{OK: true})
+				return a.printJSON(checkJSON{OK: true})
 			}
 			printf(a.out, "%s: ok: %d teams, %d groups, %d services, %d routes, %d limits, %d fences\n", args[0],
 				len(set.Teams), len(set.Groups), len(set.Services), len(set.Routes), len(set.Limits), len(set.Fences))
@@ -142,7 +142,7 @@
 
 func (a *app) diffCommand() *ff.Command {
 	fs := a.subFlags("diff")
-	against := fs.Int(0, "against", 0, "REVISION to compare with; 0 is the newest")
+	against := fs.Int(0, "against", 0, "REVISION to compare with; 0 means the newest")
 	return &ff.Command{
 		Name:      "diff",
 		Usage:     "fennelctl rules diff FILE [--against REVISION]",
@@ -154,7 +154,7 @@
 			if err != nil {
 				return err
 			}
-			all, err := a.dial()
+			all, err := a.newClients()
 			if err != nil {
 				return err
 			}
@@ -182,8 +182,8 @@
 		Name:      "show",
 		Usage:     "fennelctl rules show [REVISION]",
 		ShortHelp: "print the newest accepted file, or an earlier one",
-		LongHelp: `The first line names the revision, from which "rules apply" sees whether
-somebody else has changed the file since.
+		LongHelp: `The first line contains the revision, by which "rules apply" detects whether
+another operator has changed the rules since.
 
 EXAMPLES
   fennelctl rules show > rules.txt
@@ -194,7 +194,7 @@
 			if err != nil {
 				return err
 			}
-			all, err := a.dial()
+			all, err := a.newClients()
 			if err != nil {
 				return err
 			}
@@ -203,7 +203,7 @@
 				return err
 			}
 			if file.GetFromMemory() {
-				printf(a.log, "fennelctl: the store can't be asked; this is what the node has in force\n")
+				printf(a.log, "fennelctl: the store is not reachable; these are the rules in force on the node\n")
 			}
 			if a.json {
 				return a.printJSON(showJSON{file.GetRevision(), file.GetFromMemory(), file.GetText()})
@@ -241,7 +241,7 @@
 
 func (a *app) historyCommand() *ff.Command {
 	fs := a.subFlags("history")
-	limit := fs.Int('n', "limit", 20, "show at most this many changes; 0 is all that are kept")
+	limit := fs.Int('n', "limit", 20, "show at most this many changes; 0 shows all that are stored")
 	return &ff.Command{
 		Name:      "history",
 		Usage:     "fennelctl rules history [--limit N]",
@@ -249,7 +249,7 @@
 		LongHelp:  "EXAMPLES\n  fennelctl rules history --limit 5",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			all, err := a.dial()
+			all, err := a.newClients()
 			if err != nil {
 				return err
 			}
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -22,7 +22,7 @@
 		LongHelp:  "EXAMPLES\n  fennelctl status\n  fennelctl status --json | jq '.replicas[] | select(.whole | not)'",
 		Flags:     a.subFlags("status"),
 		Exec: func(ctx context.Context, _ []string) error {
-			all, err := a.dial()
+			all, err := a.newClients()
 			if err != nil {
 				return err
 			}
@@ -44,18 +44,18 @@
 	if !s.GetReady() {
 		state = "not ready: " + s.GetNotReadyReason()
 	}
-	reach := "reachable"
+	store := "reachable"
 	if !s.GetStoreReachable() {
-		reach = "not reachable"
+		store = "not reachable"
 	}
 	printf(a.out, "node %s in %s, version %s, %s; rules revision %d in force; store %s\n",
-		s.GetNode(), s.GetZone(), s.GetVersion(), state, s.GetRulesRevision(), reach)
+		s.GetNode(), s.GetZone(), s.GetVersion(), state, s.GetRulesRevision(), store)
 
 	rows := [][]string{{"NODE", "ZONE", "RULES", "HEARD"}}
 	for _, n := range s.GetNodes() {
 		heard := "no"
 		if n.GetHeard() {
-			heard = ago(n.GetHeardAgoMs())
+			heard = formatAge(n.GetHeardAgoMs())
 		}
 		rows = append(rows, []string{n.GetNode(), n.GetZone(), strconv.FormatInt(n.GetRevision(), 10), heard})
 	}
@@ -63,11 +63,11 @@
 
 	rows = [][]string{{"REPLICA", "GROUP", "ZONE", "WHOLE", "RUNNING", "WAITING", "CONFIRMED"}}
 	for _, r := range byGroup(s.GetReplicas()) {
-		whole := "yes"
+		healthy := "yes"
 		if !r.GetWhole() {
-			whole = "no: " + r.GetReason()
+			healthy = "no: " + r.GetReason()
 		}
-		rows = append(rows, []string{r.GetReplica(), r.GetGroup(), r.GetZone(), whole, fmt.Sprint(r.GetRunning()), fmt.Sprint(r.GetWaiting()), ago(r.GetConfirmedAgoMs())})
+		rows = append(rows, []string{r.GetReplica(), r.GetGroup(), r.GetZone(), healthy, fmt.Sprint(r.GetRunning()), fmt.Sprint(r.GetWaiting()), formatAge(r.GetConfirmedAgoMs())})
 	}
 	a.section(rows)
 
@@ -78,7 +78,7 @@
 	a.section(rows)
 }
 
-// section prints a table that has rows besides its header.
+// section prints a blank line and the table, unless it has only a header.
 func (a *app) section(rows [][]string) {
 	if len(rows) > 1 {
 		printf(a.out, "\n")
@@ -86,7 +86,7 @@
 	}
 }
 
-func ago(ms int64) string {
+func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
 	}
@@ -102,11 +102,11 @@
 	return &ff.Command{
 		Name:      "explain",
 		Usage:     "fennelctl explain [--path PATH] [--model MODEL] [--team TEAM]",
-		ShortHelp: "say which rule and which replica a request would take, and why",
+		ShortHelp: "show which rule and replica would be used for a request, and why",
 		LongHelp:  "EXAMPLES\n  fennelctl explain --model poradce --team eshop\n  fennelctl explain --path /platby/nova --team pokladna",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			all, err := a.dial()
+			all, err := a.newClients()
 			if err != nil {
 				return err
 			}
@@ -131,7 +131,8 @@
 	}
 }
 
-// byGroup returns the replicas in an order that stays the same from call to call.
+// byGroup returns the replicas sorted by group and name, so that the order does not change
+// between calls.
 func byGroup(replicas []*wirepb.ReplicaReport) []*wirepb.ReplicaReport {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b *wirepb.ReplicaReport) int {
--- a/internal/ctl/wait.go
+++ b/internal/ctl/wait.go
@@ -13,15 +13,15 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb/wirepbconnect"
 )
 
-const pollEvery = 500 * time.Millisecond
+const pollInterval = 500 * time.Millisecond
 
 func (a *app) waitCommand() *ff.Command {
 	return &ff.Command{
 		Name:      "wait",
 		Usage:     "fennelctl rules wait REVISION [--timeout 30s]",
 		ShortHelp: "wait until a revision is in force on all nodes",
-		LongHelp: `Says from how many nodes of how many the revision, or a later one, is in force and
-names those that can't be heard (exit code 4 when the time is up).
+		LongHelp: `Shows on how many nodes the revision, or a later one, is in force, and lists the
+nodes that are behind or not heard from (exit code 4 on timeout).
 
 EXAMPLES
   fennelctl rules wait 1043 --timeout 30s`,
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			all, err := a.dial()
+			all, err := a.newClients()
 			if err != nil {
 				return err
 			}
@@ -43,7 +43,7 @@
 	}
 }
 
-// inForceJSON is the output of a wait with --json.
+// inForceJSON is the output of `rules wait --json`.
 type inForceJSON struct {
 	Revision int64    `json:"revision"`
 	InForce  int32    `json:"in_force"`
@@ -57,13 +57,13 @@
 	defer cancel()
 	var last *wirepb.RulesInForceResponse
 	var lastErr error
-	shown := ""
+	printed := ""
 	for {
 		res, err := call(ctx, all, wirepbconnect.OperatorServiceClient.RulesInForce, &wirepb.RulesInForceRequest{Revision: revision})
 		switch {
 		case err == nil:
 			last = res
-		case !tryNext(err):
+		case !retryable(err):
 			return err
 		case ctx.Err() == nil:
 			lastErr = err
@@ -71,24 +71,24 @@
 		if last != nil && last.GetNodes() > 0 && last.GetInForce() == last.GetNodes() {
 			return a.reportWait(revision, last, true)
 		}
-		if line := progress(revision, last, lastErr); line != shown {
+		if line := progress(revision, last, lastErr); line != printed {
 			printf(a.log, "%s\n", line)
-			shown = line
+			printed = line
 		}
-		if clock.Pause(ctx, pollEvery) {
+		if clock.Pause(ctx, pollInterval) {
 			continue
 		}
 		if last == nil {
-			return a.unanswered(revision, lastErr)
+			return a.noAnswerError(revision, lastErr)
 		}
 		return a.reportWait(revision, last, false)
 	}
 }
 
-// unanswered is the end of a wait in which no node said anything. A report of no node
-// out of none would read as if there were none.
-func (a *app) unanswered(revision int64, err error) error {
-	message := fmt.Sprintf("no node answered within %s, so nothing is known of revision %d", a.timeout, revision)
+// noAnswerError returns the error of a wait during which no node answered. Reporting "0 of 0
+// nodes" would suggest that there are no nodes.
+func (a *app) noAnswerError(revision int64, err error) error {
+	message := fmt.Sprintf("no node answered within %s; the state of revision %d is not known", a.timeout, revision)
 	if err != nil {
 		message += ": " + err.Error()
 	}
@@ -105,12 +105,12 @@
 		line += "; behind: " + strings.Join(behind, ", ")
 	}
 	if len(unheard) > 0 {
-		line += "; can't be heard: " + strings.Join(unheard, ", ")
+		line += "; not heard from: " + strings.Join(unheard, ", ")
 	}
 	return line
 }
 
-// lagging names the nodes that hold an older revision and those that can't be heard.
+// lagging returns the nodes with an older revision and those not heard from.
 func lagging(revision int64, res *wirepb.RulesInForceResponse) (behind, unheard []string) {
 	for _, n := range res.GetDetail() {
 		name := fmt.Sprintf("%s (%s)", n.GetNode(), n.GetZone())
@@ -145,6 +145,6 @@
 		printf(a.out, "behind: %s\n", strings.Join(report.Behind, ", "))
 	}
 	if len(report.Unheard) > 0 {
-		printf(a.out, "can't be heard: %s\n", strings.Join(report.Unheard, ", "))
+		printf(a.out, "not heard from: %s\n", strings.Join(report.Unheard, ", "))
 	}
 }
