--- a/cmd/fennelctl/main.go
+++ b/cmd/fennelctl/main.go
@@ -1,4 +1,4 @@
-// Command fennelctl is the operators' tool. It talks to any node.
+// Command fennelctl is the operators' command-line tool. It connects to any node.
 package main
 
 import (
