--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -134,7 +134,7 @@
 	for _, text := range elapsed {
 		d, err := time.ParseDuration(text)
 		if err != nil {
-			return nil, errors.Wrap(err, "elapsed time")
+			return nil, errors.Wrap(err, "age")
 		}
 		at = at.Add(-d)
 	}
