--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -133,7 +133,7 @@
 func (s *session) chooseReplica(ctx context.Context, alone bool) (routing.Choice, error) {
 	req := routing.Request{
 		Group: s.route.Group, Prefer: s.route.Prefer, PrefixHashes: s.modelCall.PrefixHashes, Exclude: s.excluded,
-		Isolated: alone, MayRetryOn: s.g.opts.Quarantine.MayRetryOn,
+		Alone: alone, MayRetryOn: s.g.opts.Quarantine.MayRetryOn,
 	}
 	waitEnd := time.Now().Add(maxRetryWait)
 	for {
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -78,7 +78,7 @@
 func (e *entry) begin(now time.Time, req Request, pick Pick) (Choice, uint32, bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if !e.eligible() || (req.Isolated && e.suspects > 0) {
+	if !e.eligible() || (req.Alone && e.suspects > 0) {
 		return Choice{}, 0, false
 	}
 	e.history.record(now, e.outstanding)
@@ -87,12 +87,12 @@
 	if trial {
 		e.speed.trials++
 	}
-	if req.Isolated {
+	if req.Alone {
 		e.suspects++
 	}
 	return Choice{
 		Replica: e.replica, Addr: e.addr, Reason: pick.Reason, Considered: pick.Considered,
-		Isolated: req.Isolated, entry: e, trial: trial,
+		Isolated: req.Alone, entry: e, trial: trial,
 	}, e.cacheEpoch, true
 }
 
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -125,7 +125,7 @@
 	if v.Len() == 0 {
 		return Pick{}
 	}
-	if req.Isolated {
+	if req.Alone {
 		return pickIsolated(v, req)
 	}
 	sel := selection{policy: p, req: req}
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -228,18 +228,18 @@
 	require.Zero(t, table.CacheSeq("r4"), "event numbers restart with a new boot")
 	require.NotEqual(t, ReasonPrefix, choose(t, table, start, Request{PrefixHashes: hashes}).Reason, "a new boot has an empty cache")
 
-	first := choose(t, table, start, Request{Isolated: true})
-	second := choose(t, table, start, Request{Isolated: true})
+	first := choose(t, table, start, Request{Alone: true})
+	second := choose(t, table, start, Request{Alone: true})
 	require.NotEqual(t, first.Replica.ID, second.Replica.ID)
 	for range 30 {
 		require.NotEqual(t, first.Replica.ID, choose(t, table, start, Request{}).Replica.ID, "other requests avoid the replica of a suspect")
 	}
 	one := newFleet(1, nil)
-	kept := choose(t, one, start, Request{Isolated: true})
-	_, err := one.ChooseAt(start, Request{Group: "g", Isolated: true})
+	kept := choose(t, one, start, Request{Alone: true})
+	_, err := one.ChooseAt(start, Request{Group: "g", Alone: true})
 	require.True(t, fennelerr.Is(err, fennelerr.NoReplica))
 	one.EndAt(start, kept, Result{OK: true})
-	choose(t, one, start, Request{Isolated: true})
+	choose(t, one, start, Request{Alone: true})
 }
 
 // A replica with a throttled accelerator completes its answers four times more slowly. It
@@ -307,13 +307,13 @@
 		id := rapid.SampledFrom([]cluster.ReplicaID{"r0", "r1", "r2", "r3", "r4"})
 		rt.Repeat(map[string]func(*rapid.T){
 			"choose": func(rt *rapid.T) {
-				req := Request{Group: "g", Isolated: rapid.Bool().Draw(rt, "alone"), PrefixHashes: []uint64{uint64(rapid.IntRange(0, 3).Draw(rt, "hash"))}}
+				req := Request{Group: "g", Alone: rapid.Bool().Draw(rt, "alone"), PrefixHashes: []uint64{uint64(rapid.IntRange(0, 3).Draw(rt, "hash"))}}
 				req.Exclude = []cluster.ReplicaID{id.Draw(rt, "exclude")}
 				c, err := table.ChooseAt(now, req)
 				if err != nil {
 					require.True(rt, fennelerr.Is(err, fennelerr.NoReplica))
 					for r, ok := range healthy {
-						require.False(rt, ok && r != req.Exclude[0] && !req.Isolated, "%s could serve", r)
+						require.False(rt, ok && r != req.Exclude[0] && !req.Alone, "%s could serve", r)
 					}
 					return
 				}
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -23,8 +23,8 @@
 	PrefixHashes []uint64
 	// Exclude lists the replicas that already failed this request.
 	Exclude []cluster.ReplicaID
-	// Isolated requires a replica that runs no other suspect request (see package suspect).
-	Isolated bool
+	// Alone requires a replica that runs no other suspect request (see package suspect).
+	Alone bool
 	// MayRetryOn restricts the replicas of an isolated request; nil allows all.
 	MayRetryOn func(cluster.ReplicaID) bool
 	// Limit limits the requests on the chosen replica, this one included. The zero value
