--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -92,7 +92,7 @@
 	}
 	return Choice{
 		Replica: e.replica, Addr: e.addr, Reason: pick.Reason, Considered: pick.Considered,
-		Isolated: req.Alone, entry: e, trial: trial,
+		Alone: req.Alone, entry: e, trial: trial,
 	}, e.cacheEpoch, true
 }
 
@@ -112,7 +112,7 @@
 	if choice.trial {
 		e.speed.trials = max(e.speed.trials-1, 0)
 	}
-	if choice.Isolated {
+	if choice.Alone {
 		e.suspects--
 	}
 	if e.replica.Serving == choice.Replica.Serving {
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -62,8 +62,8 @@
 	Reason string
 	// Considered is the number of candidates compared.
 	Considered int
-	// Isolated is copied from the request.
-	Isolated bool
+	// Alone is copied from the request.
+	Alone bool
 
 	// entry is the table entry on which the request is counted until End.
 	entry *entry
