--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -68,13 +68,13 @@
 
 // Reasons for picks, as they appear in logs.
 const (
-	ReasonRandom   = "random"
-	ReasonLoad     = "least-loaded"
-	ReasonPrefix   = "prefix"
-	ReasonZone     = "own-zone"
-	ReasonTrial    = "trial"
-	ReasonIsolated = "suspect-alone"
-	ReasonNoOther  = "no-better-replica"
+	ReasonRandom  = "random"
+	ReasonLoad    = "least-loaded"
+	ReasonPrefix  = "prefix"
+	ReasonZone    = "own-zone"
+	ReasonTrial   = "trial"
+	ReasonAlone   = "suspect-alone"
+	ReasonNoOther = "no-better-replica"
 )
 
 // Naive picks a healthy replica at random. It is the baseline of the differential tests and
@@ -259,7 +259,7 @@
 // crash affects the fewest other requests. Suspect requests are rare, so all replicas are
 // considered.
 func pickIsolated(v View, req Request) Pick {
-	out := Pick{Reason: ReasonIsolated, Considered: v.Len()}
+	out := Pick{Reason: ReasonAlone, Considered: v.Len()}
 	for i := range v.Len() {
 		c := v.At(i)
 		if !c.Healthy || c.Suspects > 0 || slices.Contains(req.Exclude, c.ID) {
