--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -50,8 +50,8 @@
 	Candidate func() bool
 	// LeaseTTL is the TTL of the placement lease; zero means DefaultLeaseTTL.
 	LeaseTTL time.Duration
-	// Tick is the pause between two iterations of the reconcile loop; zero means DefaultTick.
-	Tick time.Duration
+	// StepInterval is the pause between two iterations of the reconcile loop; zero means DefaultStepInterval.
+	StepInterval time.Duration
 	// OrderTimeout bounds one order from its lease check to its answer. It is also how long a
 	// new holder waits before its first order. Zero means DefaultOrderTimeout or a fifth of
 	// LeaseTTL, whichever is less.
@@ -101,7 +101,7 @@
 // NewController returns a Controller; Run starts it.
 func NewController(opts Options) *Controller {
 	setDefault(&opts.LeaseTTL, DefaultLeaseTTL)
-	setDefault(&opts.Tick, DefaultTick)
+	setDefault(&opts.StepInterval, DefaultTick)
 	// With a longer timeout, some orders would not be sent, because the lease has too little
 	// time left for them towards the end of each renewal interval.
 	setDefault(&opts.OrderTimeout, min(DefaultOrderTimeout, opts.LeaseTTL/5))
@@ -188,7 +188,7 @@
 	sleep(ctx, c.opts.OrderTimeout)
 	for ctx.Err() == nil && lease.Remaining(time.Now()) > 0 {
 		c.reconcile(ctx, t)
-		sleep(ctx, c.opts.Tick)
+		sleep(ctx, c.opts.StepInterval)
 	}
 	cancel()
 	<-renewalDone
--- a/internal/grouping/process_test.go
+++ b/internal/grouping/process_test.go
@@ -66,7 +66,7 @@
 	NewController(Options{
 		Zone: testZone, Node: config.Node, VMs: &config, Rules: &config, Policy: placement.Naive{},
 		Store: etcdgw.New(etcdgw.Options{Endpoints: []string{config.Store}}), Engines: engine.NewClient(time.Second),
-		Log: slog.New(slog.NewTextHandler(os.Stdout, nil)), LeaseTTL: 2 * time.Second, Tick: 50 * time.Millisecond,
+		Log: slog.New(slog.NewTextHandler(os.Stdout, nil)), LeaseTTL: 2 * time.Second, StepInterval: 50 * time.Millisecond,
 		OrderTimeout: 500 * time.Millisecond, DownAfter: 500 * time.Millisecond, PollInterval: 200 * time.Millisecond,
 	}).Run(ctx)
 }
