--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -72,7 +72,7 @@
 // Defaults of a Controller.
 const (
 	DefaultLeaseTTL     = 10 * time.Second
-	DefaultTick         = time.Second
+	DefaultStepInterval = time.Second
 	DefaultOrderTimeout = 2 * time.Second
 	DefaultDownAfter    = 3 * time.Second
 	DefaultPollInterval = 5 * time.Second
@@ -101,7 +101,7 @@
 // NewController returns a Controller; Run starts it.
 func NewController(opts Options) *Controller {
 	setDefault(&opts.LeaseTTL, DefaultLeaseTTL)
-	setDefault(&opts.StepInterval, DefaultTick)
+	setDefault(&opts.StepInterval, DefaultStepInterval)
 	// With a longer timeout, some orders would not be sent, because the lease has too little
 	// time left for them towards the end of each renewal interval.
 	setDefault(&opts.OrderTimeout, min(DefaultOrderTimeout, opts.LeaseTTL/5))
--- a/internal/grouping/fencing_test.go
+++ b/internal/grouping/fencing_test.go
@@ -121,7 +121,7 @@
 	synctest.Wait()
 	require.Equal(t, checks, tb.healthy(replica), "only an engine that ignores fencing numbers accepts the late order")
 	// The engine can act on the stale order until the holder's next poll of the replica.
-	time.Sleep(DefaultPollInterval + 2*DefaultTick)
+	time.Sleep(DefaultPollInterval + 2*DefaultStepInterval)
 	synctest.Wait()
 	require.True(t, tb.healthy(replica))
 	require.Equal(t, []cluster.Replica{replica}, tb.committed())
--- a/internal/grouping/repair_test.go
+++ b/internal/grouping/repair_test.go
@@ -40,7 +40,7 @@
 		time.Sleep(DefaultDownAfter)
 		for !slices.Contains(tb.committed()[0].Members, "vm04") || !tb.healthy(tb.committed()[0]) {
 			require.Less(t, time.Since(lost), testLoadTime)
-			time.Sleep(DefaultTick)
+			time.Sleep(DefaultStepInterval)
 			synctest.Wait()
 		}
 		after := tb.committed()
@@ -64,7 +64,7 @@
 			vms[i].State = cluster.VMLeaving
 			return vms
 		})
-		time.Sleep(2 * DefaultTick)
+		time.Sleep(2 * DefaultStepInterval)
 		synctest.Wait()
 		drained := tb.committed()[0]
 		require.True(t, drained.Leaving)
@@ -185,17 +185,17 @@
 			vms[i].State = cluster.VMLeaving
 			return vms
 		})
-		time.Sleep(2 * DefaultTick)
+		time.Sleep(2 * DefaultStepInterval)
 		synctest.Wait()
 		require.True(t, tb.committed()[0].Leaving)
-		time.Sleep(drainGracePeriod - DefaultTick)
+		time.Sleep(drainGracePeriod - DefaultStepInterval)
 		synctest.Wait()
 		tb.editEngine(serving, func(e *fakeEngine) { e.state.Load.Running, e.down = 3, true })
 		orders := len(tb.accepted)
-		time.Sleep(DefaultDownAfter - DefaultTick)
+		time.Sleep(DefaultDownAfter - DefaultStepInterval)
 		synctest.Wait()
 		tb.editEngine(serving, func(e *fakeEngine) { e.down = false })
-		time.Sleep(10 * DefaultTick)
+		time.Sleep(10 * DefaultStepInterval)
 		synctest.Wait()
 		require.Len(t, tb.accepted, orders, "no order while streams are running")
 		require.True(t, tb.committed()[0].Leaving)
