--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -31,7 +31,7 @@
 		}
 	}
 	refusedTotal.Inc()
-	return Choice{}, fennelerr.New(fennelerr.NoReplica, "no whole replica of group %s may take the request", req.Group).
+	return Choice{}, fennelerr.New(fennelerr.NoReplica, "no healthy replica of group %s may take the request", req.Group).
 		WithOp("routing.choose").WithRun(fennelerr.NotRun).WithRetryAfter(noReplicaRetryAfter)
 }
 
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -126,7 +126,7 @@
 		return Pick{}
 	}
 	if req.Alone {
-		return pickIsolated(v, req)
+		return pickAlone(v, req)
 	}
 	sel := selection{policy: p, req: req}
 	p.considerHolders(v, req, &sel)
@@ -255,10 +255,10 @@
 	return ReasonLoad
 }
 
-// pickIsolated picks the replica with the fewest requests and no suspect request, so that a
+// pickAlone picks the replica with the fewest requests and no suspect request, so that a
 // crash affects the fewest other requests. Suspect requests are rare, so all replicas are
 // considered.
-func pickIsolated(v View, req Request) Pick {
+func pickAlone(v View, req Request) Pick {
 	out := Pick{Reason: ReasonAlone, Considered: v.Len()}
 	for i := range v.Len() {
 		c := v.At(i)
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -210,7 +210,7 @@
 	require.InDelta(t, 13.5, table.Statuses(at)[0].InFlight, 1)
 }
 
-func TestZonePrefixExclusionAndIsolation(t *testing.T) {
+func TestZonePrefixExclusionAndAlone(t *testing.T) {
 	table := newFleet(9, nil, "a", "b", "c")
 	require.Equal(t, cluster.ZoneID("a"), choose(t, table, start, Request{}).Replica.Zone)
 	for range 30 {
@@ -329,8 +329,8 @@
 				table.EndAt(now, open[i], Result{OK: rapid.Bool().Draw(rt, "ok"), FirstToken: time.Millisecond, Tokens: 5, Duration: time.Second})
 				open = append(open[:i], open[i+1:]...)
 			},
-			"whole": func(rt *rapid.T) {
-				r, ok := id.Draw(rt, "replica"), rapid.Bool().Draw(rt, "whole")
+			"health": func(rt *rapid.T) {
+				r, ok := id.Draw(rt, "replica"), rapid.Bool().Draw(rt, "healthy")
 				table.SetHealthy(r, 1, ok)
 				table.SetHealthy(r, 2, true) // a generation that was never committed
 				table.SetHealthy(r, 1, ok)
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -25,7 +25,7 @@
 	Exclude []cluster.ReplicaID
 	// Alone requires a replica that runs no other suspect request (see package suspect).
 	Alone bool
-	// MayRetryOn restricts the replicas of an isolated request; nil allows all.
+	// MayRetryOn restricts the replicas of a request that must run alone; nil allows all.
 	MayRetryOn func(cluster.ReplicaID) bool
 	// Limit limits the requests on the chosen replica, this one included. The zero value
 	// means no limit.
