--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -172,7 +172,7 @@
 	toPlatform.muted.Store(true)
 	pumps := []*pump{s.startPump(s.nodes[0]), s.startPump(s.nodes[1]), s.startPump(s.nodes[2])}
 	for _, n := range s.nodes[1:] {
-		n.await(`msg="placement lease not (tried|extended)"|msg="vm list unavailable"|event=rules_check_failed`)
+		n.await(`msg="placement lease (acquisition failed|not extended)"|msg="vm list unavailable"|event=rules_check_failed`)
 	}
 	lost := s.vms[5].ID
 	s.engines[lost].kill()
--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -60,7 +60,7 @@
 	// means DefaultDownAfter.
 	DownAfter time.Duration
 	// PollInterval is the time between polls of an engine that is in its desired state. It
-	// bounds how long an engine that ignores fencing numbers can act on a stale order. Zero
+	// bounds how long an engine that ignores fencing tokens can act on a stale order. Zero
 	// means DefaultPollInterval.
 	PollInterval time.Duration
 	// LoadsPerSecond limits how many VMs per second start to load weights; zero means no limit.
@@ -138,7 +138,7 @@
 	defer cancel()
 	lease, err := AcquireLease(tryCtx, c.opts.Store, c.opts.Zone, c.opts.Node, c.opts.LeaseTTL)
 	if err != nil {
-		c.opts.Log.Warn("placement lease not tried", "zone", c.opts.Zone, "error", err)
+		c.opts.Log.Warn("placement lease acquisition failed", "zone", c.opts.Zone, "error", err)
 		return
 	}
 	if lease == nil {
@@ -184,7 +184,7 @@
 		drainedSince: make(map[cluster.ReplicaID]time.Time),
 	}
 	// The previous holder may have sent its last order just before its lease expired. Without
-	// this wait, an engine that ignores fencing numbers could apply that order after ours.
+	// this wait, an engine that ignores fencing tokens could apply that order after ours.
 	sleep(ctx, c.opts.OrderTimeout)
 	for ctx.Err() == nil && lease.Remaining(time.Now()) > 0 {
 		c.reconcile(ctx, t)
--- a/internal/grouping/fencing_test.go
+++ b/internal/grouping/fencing_test.go
@@ -88,12 +88,12 @@
 }
 
 // The holder freezes after all checks of an order, which is sent only after another holder has
-// regrouped the VMs. An engine that checks fencing numbers refuses it. An engine that ignores
+// regrouped the VMs. An engine that checks fencing tokens refuses it. An engine that ignores
 // them accepts it and joins a replica that is not committed. No request is routed there, and
 // the new holder corrects the engine at its next poll.
 func TestHolderFrozenBeforeOrder(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		t.Run(map[bool]string{true: "engines check fencing numbers", false: "engines ignore fencing numbers"}[checks], func(t *testing.T) {
+		t.Run(map[bool]string{true: "engines check fencing tokens", false: "engines ignore fencing tokens"}[checks], func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { testHolderFrozenBeforeOrder(t, checks) })
 		})
 	}
@@ -119,7 +119,7 @@
 
 	close(frozen.gate.open)
 	synctest.Wait()
-	require.Equal(t, checks, tb.healthy(replica), "only an engine that ignores fencing numbers accepts the late order")
+	require.Equal(t, checks, tb.healthy(replica), "only an engine that ignores fencing tokens accepts the late order")
 	// The engine can act on the stale order until the holder's next poll of the replica.
 	time.Sleep(DefaultPollInterval + 2*DefaultStepInterval)
 	synctest.Wait()
@@ -150,7 +150,7 @@
 }
 
 // The holder is partitioned from the store but not from the engines, and keeps having orders to
-// send. An engine that ignores fencing numbers obeys the latest order, so the old holder's last
+// send. An engine that ignores fencing tokens obeys the latest order, so the old holder's last
 // order must precede the new holder's first one by more than the order timeout.
 func TestOrdersOfTwoTermsNeverOverlap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -243,7 +243,7 @@
 
 // A commit is delayed on its way to the store. Reading back shows that it was not applied, the
 // holder commits a different grouping of the same VMs, and then the first commit arrives. It
-// was made by the same holder under the same lease, so the fencing number alone does not reject
+// was made by the same holder under the same lease, so the fencing token alone does not reject
 // it.
 func TestDelayedCommitOfTheSameHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/grouping/ids.go
+++ b/internal/grouping/ids.go
@@ -11,7 +11,7 @@
 func newWriteID() string { return rand.Text() }
 
 // idSequence generates IDs that are unique across all holders of a zone's lease: each holder
-// has its own fencing number, and seq increases within its term.
+// has its own fencing token, and seq increases within its term.
 type idSequence struct {
 	zone  cluster.ZoneID
 	fence cluster.Fence
--- a/internal/grouping/lease.go
+++ b/internal/grouping/lease.go
@@ -38,7 +38,7 @@
 }
 
 // AcquireLease tries once to become the holder. It returns nil, nil if another node holds the
-// lease. The fencing number is the create revision of the lease key.
+// lease. The fencing token is the create revision of the lease key.
 func AcquireLease(ctx context.Context, s store.Store, zone cluster.ZoneID, node cluster.NodeID, ttl time.Duration) (*Lease, error) {
 	key := store.PlacementLeaseKey(zone)
 	kv, _, err := s.Get(ctx, key)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Fence returns the fencing number of this term.
+// Fence returns the fencing token of this term.
 func (l *Lease) Fence() cluster.Fence { return l.fence }
 
 // Guard returns the condition that guards every write of this term. The key is written only
--- a/internal/grouping/orders.go
+++ b/internal/grouping/orders.go
@@ -77,7 +77,7 @@
 }
 
 // sendOrders sends each order if the lease still outlasts orderTimeout at that moment. This
-// check is the only protection of an engine that ignores fencing numbers from a holder that was
+// check is the only protection of an engine that ignores fencing tokens from a holder that was
 // paused, so it directly precedes the call, and the call is bounded by the same timeout.
 func (c *Controller) sendOrders(ctx context.Context, t *term, orders []addressedOrder) {
 	var group errgroup.Group
--- a/internal/grouping/process_test.go
+++ b/internal/grouping/process_test.go
@@ -165,11 +165,11 @@
 // process takes over and assigns the same VM to another replica. Then the first process
 // resumes, and its delayed order reaches the engine. The table must stay as committed by the
 // new holder, the old holder must send no further orders, and an engine that ignores fencing
-// numbers must be corrected: callers of either replica would otherwise get answers from a
+// tokens must be corrected: callers of either replica would otherwise get answers from a
 // broken model.
 func TestHolderProcessFrozenInTheMiddleOfAnOrder(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		t.Run(map[bool]string{true: "engines check fencing numbers", false: "engines ignore fencing numbers"}[checks], func(t *testing.T) {
+		t.Run(map[bool]string{true: "engines check fencing tokens", false: "engines ignore fencing tokens"}[checks], func(t *testing.T) {
 			t.Parallel()
 			testHolderProcessFrozen(t, checks)
 		})
@@ -231,7 +231,7 @@
 	n1.signal(syscall.SIGCONT)
 	close(late.release)
 	result := <-late.results
-	require.Equal(t, !checks, result.Accepted, "only an engine that ignores fencing numbers accepts the late order")
+	require.Equal(t, !checks, result.Accepted, "only an engine that ignores fencing tokens accepts the late order")
 	n1.await("placement lease given up")
 	require.Eventually(t, confirmed, 20*time.Second, 20*time.Millisecond)
 	require.Equal(t, want, committed())
--- a/internal/grouping/testbed_test.go
+++ b/internal/grouping/testbed_test.go
@@ -156,7 +156,7 @@
 		return engine.OrderResult{}, &engine.CallError{Kind: engine.CallNoAnswer, Op: "order", Addr: addr, Err: errSilent}
 	}
 	if e.state.ChecksFence && order.Fence < e.state.Fence {
-		return engine.OrderResult{Reason: "old fencing number", State: e.state}, nil
+		return engine.OrderResult{Reason: "old fencing token", State: e.state}, nil
 	}
 	e.state.Fence = max(e.state.Fence, order.Fence)
 	if needsWeightLoad(e.currentState(), order) {
