--- a/cmd/fennel-standin/engine.go
+++ b/cmd/fennel-standin/engine.go
@@ -17,7 +17,7 @@
 	fs := ff.NewFlagSet("engine")
 	listen := fs.StringLong("listen", "127.0.0.1:0", "ip:port to serve on")
 	vm := fs.StringLong("vm", "", "id of the VM this engine runs on (required)")
-	checks := fs.BoolLong("checks-fence", "refuse orders with an old fencing number")
+	checks := fs.BoolLong("checks-fence", "refuse orders with an old fencing token")
 	canContinue := fs.BoolLong("can-continue", "continue streams that another replica began")
 	var opts standinengine.Options
 	fs.DurationVar(&opts.TokenInterval, 0, "token-interval", standinengine.DefaultTokenInterval, "time between two tokens")
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -28,7 +28,7 @@
 // NodeID identifies a fenneld process.
 type NodeID string
 
-// Fence is a fencing number (fencing token): the create revision of the lease
+// Fence is a fencing token: the create revision of the lease
 // key under which an order or a write was issued. The higher number wins; zero
 // means none.
 type Fence int64
@@ -70,7 +70,7 @@
 	// Generation is incremented by every commit that reassigns the replica; draining
 	// keeps it. A member counts as present only if it confirms exactly this generation.
 	Generation int64 `json:"generation"`
-	// Fence is the fencing number of the placement lease under which the replica
+	// Fence is the fencing token of the placement lease under which the replica
 	// was committed.
 	Fence   Fence  `json:"fence"`
 	Members []VMID `json:"members"`
--- a/internal/e2e/grouping_test.go
+++ b/internal/e2e/grouping_test.go
@@ -91,7 +91,7 @@
 // and regroups after further losses. Then the old order arrives and the old
 // holder wakes and believes it holds the lease still. If either counted, one VM
 // would compute for two replicas, and fitters would get each other's answers or
-// none. An engine that checks fencing numbers refuses the old order. One that
+// none. An engine that checks fencing tokens refuses the old order. One that
 // ignores them obeys until the new holder reads its state and puts it right;
 // meanwhile nobody is routed to it, since no node finds what it says committed.
 func TestHolderFrozenInTheMiddleOfAnOrder(t *testing.T) {
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -11,7 +11,7 @@
 
 const (
 	// epochSequenceBits is the number of low bits of an epoch that count one holder's replicas.
-	// The fencing number is in the bits above, so that epochs increase from holder to holder.
+	// The fencing token is in the bits above, so that epochs increase from holder to holder.
 	epochSequenceBits = 16
 	// joinGrace is how much longer than their load time members may take to become ready
 	// before the replica is abandoned.
@@ -29,7 +29,7 @@
 type Options struct {
 	// Scope identifies the zones whose VMs are formed into replicas together.
 	Scope cluster.ZoneID
-	// Fence is the holder's fencing number.
+	// Fence is the holder's fencing token.
 	Fence  cluster.Fence
 	Policy placement.Policy
 	Log    *slog.Logger
--- a/internal/lifecycle/order.go
+++ b/internal/lifecycle/order.go
@@ -47,7 +47,7 @@
 
 // Responses to orders. Accepted: the VM has started to execute the order. Done: the order has
 // been executed or was already in effect. Conflict: the order does not apply in the VM's
-// state. Fenced: the VM has seen a higher fencing number or epoch. WrongVM: another VM
+// state. Fenced: the VM has seen a higher fencing token or epoch. WrongVM: another VM
 // responded at the address. Invalid: the VM rejected the order as malformed.
 const (
 	Accepted Response = "begun"
--- a/internal/rules/match.go
+++ b/internal/rules/match.go
@@ -59,7 +59,7 @@
 func (s *Set) GroupByName(name cluster.GroupName) *Group { return s.index.groupByName[name] }
 
 // ChecksFence reports whether the servers of the group or service refuse orders
-// that carry an old fencing number. Without a fence rule they are taken to ignore
+// that carry an old fencing token. Without a fence rule they are taken to ignore
 // it, which is the assumption that cannot do harm.
 func (s *Set) ChecksFence(servers string) bool { return s.index.fenceChecks[servers] }
 
--- a/internal/rules/types.go
+++ b/internal/rules/types.go
@@ -150,7 +150,7 @@
 const DefaultShare = 10
 
 // FenceRule says whether the backend servers of a group or service refuse
-// orders that carry an old fencing number.
+// orders that carry an old fencing token.
 type FenceRule struct {
 	Origin
 	Servers string // a group's or service's name
