--- a/internal/daemon/callbacks.go
+++ b/internal/daemon/callbacks.go
@@ -28,9 +28,9 @@
 			n.setRoutes(g, n.vms.List())
 		})
 	}
-	n.health.OnChange(func(r cluster.Replica, whole bool, reason string) {
-		n.log.Info("replica", "replica", r.ID, "generation", r.Generation, "whole", whole, "reason", reason)
-		n.routing.SetHealthy(r.ID, r.Generation, whole)
+	n.health.OnChange(func(r cluster.Replica, healthy bool, reason string) {
+		n.log.Info("replica", "replica", r.ID, "generation", r.Generation, "whole", healthy, "reason", reason)
+		n.routing.SetHealthy(r.ID, r.Generation, healthy)
 		n.outages.notify()
 		n.signalCapacityChange()
 	})
@@ -89,7 +89,7 @@
 }
 
 // refreshLoop updates admission's nodes and capacities every refreshInterval, and the
-// capacities at once when a replica becomes whole or ceases to be.
+// capacities at once when a replica becomes healthy or ceases to be.
 func (n *Node) refreshLoop(ctx context.Context) {
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
@@ -107,8 +107,8 @@
 }
 
 // signalCapacityChange triggers a refresh of the capacities without blocking. Otherwise a
-// group whose first replica became whole would refuse callers as overloaded until the next
-// tick, while its status already shows it whole.
+// group whose first replica became healthy would refuse callers as overloaded until the next
+// tick, while its status already shows it healthy.
 func (n *Node) signalCapacityChange() {
 	select {
 	case n.capacityChanged <- struct{}{}:
@@ -132,8 +132,8 @@
 
 func (n *Node) livePeerCount() int { return len(n.servingMembers()) }
 
-// refreshCapacity tells admission how many requests the whole replicas of each group run
-// concurrently; a group without whole replicas has capacity 0.
+// refreshCapacity tells admission how many requests the healthy replicas of each group run
+// concurrently; a group without healthy replicas has capacity 0.
 func (n *Node) refreshCapacity() {
 	slots := n.routing.Capacities(time.Now())
 	if set := n.rules.Current(); set != nil {
--- a/internal/daemon/callbacks_test.go
+++ b/internal/daemon/callbacks_test.go
@@ -15,10 +15,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// After all replicas of a group were lost, one becomes whole again, and its status shows
+// After all replicas of a group were lost, one becomes healthy again, and its status shows
 // it. A caller who waited for that sends at once, and must not be refused because admission
 // learns the new capacity only at the next refresh.
-func TestWholeReplicaAcceptsCallersAtOnce(t *testing.T) {
+func TestHealthyReplicaAcceptsCallersImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		n := &Node{
--- a/internal/daemon/gauges_test.go
+++ b/internal/daemon/gauges_test.go
@@ -21,7 +21,7 @@
 		return text.String()
 	}
 	replicas := map[cluster.ReplicaID]replicaState{"a": {group: "fit"}, "b": {group: "fit", down: true}, "c": {group: "balcao"}}
-	o := &outageObserver{down: downByGroup(replicas), reportedStranded: map[strandedKey]int{{"fit", causeNotWhole}: 3, {"", causeUnassigned}: 1}}
+	o := &outageObserver{down: downByGroup(replicas), reportedStranded: map[strandedKey]int{{"fit", causeUnhealthy}: 3, {"", causeUnassigned}: 1}}
 	require.Empty(t, render(o))
 	o.keeper = &ledger.Writer{}
 	require.Equal(t, `fennel_ledger_down_replicas{group="balcao"} 0
--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -18,7 +18,7 @@
 
 // Causes of outages.
 const (
-	causeNotWhole   ledger.Cause = "not-whole"
+	causeUnhealthy  ledger.Cause = "not-whole"
 	causeNotFormed  ledger.Cause = "not-formed"
 	causePlanned    ledger.Cause = "planned"
 	causeUnassigned ledger.Cause = "unassigned"
@@ -181,7 +181,7 @@
 	current := map[cluster.ReplicaID]replicaState{}
 	formed := map[cluster.GroupName]int{}
 	for _, s := range o.zoneReplicas() {
-		cause := causeNotWhole
+		cause := causeUnhealthy
 		if s.Replica.Leaving {
 			cause = causePlanned
 		}
@@ -209,7 +209,7 @@
 }
 
 // recordStranded reports the number of live engine VMs that do not serve: members of a
-// replica that is not whole, and VMs in no replica.
+// replica that is not healthy, and VMs in no replica.
 func (o *outageObserver) recordStranded(now time.Time) {
 	counts := map[strandedKey]int{}
 	replicaOf := map[cluster.VMID]replicaState{}
@@ -227,7 +227,7 @@
 		case !assigned:
 			counts[strandedKey{cause: causeUnassigned}]++
 		case r.down:
-			counts[strandedKey{r.group, causeNotWhole}]++
+			counts[strandedKey{r.group, causeUnhealthy}]++
 		}
 	}
 	for key := range o.reportedStranded {
--- a/internal/daemon/ledger_test.go
+++ b/internal/daemon/ledger_test.go
@@ -19,9 +19,9 @@
 	reported := map[cluster.ReplicaID]replicaState{}
 	for second, current := range []map[cluster.ReplicaID]replicaState{
 		{"fit/missing-1": {group: "fit", down: true, cause: causeNotFormed}},
-		{"fit.1": {group: "fit", down: true, cause: causeNotWhole}},
+		{"fit.1": {group: "fit", down: true, cause: causeUnhealthy}},
 		{"fit.1": {group: "fit"}},
-		{"fit.1": {group: "fit", down: true, cause: causeNotWhole}},
+		{"fit.1": {group: "fit", down: true, cause: causeUnhealthy}},
 		{"fit.2": {group: "fit"}},
 		{"fit.2": {group: "fit"}},
 	} {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -82,7 +82,7 @@
 	}
 	choice, ok := o.n.routing.Peek(routing.Request{Group: route.Group, Prefer: route.Prefer})
 	if !ok {
-		resp.Reason = resp.Reason + "; no whole replica of " + string(route.Group) + " is known here"
+		resp.Reason = resp.Reason + "; no healthy replica of " + string(route.Group) + " is known here"
 		return resp, nil
 	}
 	resp.Replica = string(choice.Replica.ID)
--- a/internal/entry/derive_test.go
+++ b/internal/entry/derive_test.go
@@ -13,6 +13,6 @@
 func TestUnlistedPlainServerIsNotLost(t *testing.T) {
 	require.False(t, lostMember("i-06aab1d23d", nil))
 	require.True(t, lostMember("model/7.7", nil), "a replica of a model without listed members")
-	whole := fleet.Replica{Name: "model/8", Epoch: 8, Size: 1, Members: []fleet.Server{{ID: "a"}}}
-	require.False(t, lostMember(whole.ID(), []fleet.Replica{whole}))
+	healthy := fleet.Replica{Name: "model/8", Epoch: 8, Size: 1, Members: []fleet.Server{{ID: "a"}}}
+	require.False(t, lostMember(healthy.ID(), []fleet.Replica{healthy}))
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -89,7 +89,7 @@
 	require.Equal(t, "stopping", n.notReadyReason())
 }
 
-// Draining servers of a plain service and replicas that are not whole take no calls. A
+// Draining servers of a plain service and replicas that are not healthy take no calls. A
 // replica that served before continues while only a member other than its head is
 // missing from the list.
 func TestRoutingEntries(t *testing.T) {
@@ -106,7 +106,7 @@
 	}
 	previous := map[cluster.ReplicaID]bool{"m/1.1": true}
 	require.Equal(t, []cluster.ReplicaID{"m/1.1"}, routable(nil, member("a", 0, fleet.Open), member("b", 1, fleet.Ready)))
-	require.Empty(t, routable(nil, member("a", 0, fleet.Open)), "never whole before")
+	require.Empty(t, routable(nil, member("a", 0, fleet.Open)), "never healthy before")
 	require.Equal(t, []cluster.ReplicaID{"m/1.1"}, routable(previous, member("a", 0, fleet.Open)))
 	require.Empty(t, routable(previous, member("b", 1, fleet.Ready)), "without its head")
 	require.Equal(t, []cluster.ReplicaID{"desk"}, routable(nil, fleet.Server{ID: "desk", Service: "desk"}, fleet.Server{ID: "gone", Service: "desk", Draining: true}))
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -38,7 +38,7 @@
 	Downtime time.Duration
 	// ByGroup is Downtime by group.
 	ByGroup map[cluster.GroupName]time.Duration
-	// Stranded is the VM-time of VMs that are up and not leaving but in no whole replica.
+	// Stranded is the VM-time of VMs that are up and not leaving but in no healthy replica.
 	Stranded time.Duration
 	// InterruptedReplicas counts replicas that were broken up or changed while streams
 	// ran on them.
@@ -76,7 +76,7 @@
 	assignments *placement.Assignments
 	changedAt   map[cluster.ReplicaID]time.Duration // time of the last change of members
 	drainedAt   map[cluster.ReplicaID]time.Duration // when the replica stopped accepting requests
-	whole       map[cluster.ReplicaID]bool
+	healthy     map[cluster.ReplicaID]bool
 	nextLoad    time.Duration
 	nextID      int
 	targets     map[cluster.GroupName]int
@@ -126,7 +126,7 @@
 	s := &sim{
 		policy: policy, groups: groups, timings: timings, trace: t, byID: make(map[cluster.VMID]*vm, len(t.VMs)),
 		changedAt: make(map[cluster.ReplicaID]time.Duration), drainedAt: make(map[cluster.ReplicaID]time.Duration),
-		whole: make(map[cluster.ReplicaID]bool),
+		healthy: make(map[cluster.ReplicaID]bool),
 	}
 	for _, listed := range t.VMs {
 		v := &vm{VM: listed}
@@ -172,7 +172,7 @@
 	serving := make(map[cluster.GroupName]int)
 	used := 0
 	for _, r := range s.assignments.Replicas() {
-		if s.whole[r.ID] {
+		if s.healthy[r.ID] {
 			serving[r.Group]++
 			used += len(r.Members)
 		}
@@ -203,7 +203,7 @@
 			s.timers.add(plan.ReplanAt.Sub(epoch), nil)
 		}
 		s.loadMembers()
-		s.updateWhole()
+		s.updateHealthy()
 		if !changed {
 			return nil
 		}
@@ -306,9 +306,9 @@
 	s.timers.add(v.loadedAt, nil)
 }
 
-// updateWhole determines which replicas are whole, and schedules when others will be.
-func (s *sim) updateWhole() {
-	clear(s.whole)
+// updateHealthy determines which replicas are healthy, and schedules when others will be.
+func (s *sim) updateHealthy() {
+	clear(s.healthy)
 	for _, r := range s.assignments.Replicas() {
 		ready := s.changedAt[r.ID]
 		present := !r.Leaving
@@ -321,7 +321,7 @@
 		if present && ready > s.now {
 			s.timers.add(ready, nil)
 		}
-		s.whole[r.ID] = present && ready <= s.now
+		s.healthy[r.ID] = present && ready <= s.now
 	}
 }
 
