--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -139,9 +139,9 @@
 // Reasons for the end of a term, as logged.
 const (
 	reasonNodeStopping = "node-stopping"
-	reasonFenced       = "vm-knows-later-holder"
-	reasonLeaseLost    = "store-knows-lease-no-more"
-	reasonLeaseExpired = "not-extended-in-time"
+	reasonFenced       = "superseded-by-later-holder"
+	reasonLeaseLost    = "lease-lost"
+	reasonLeaseExpired = "lease-expired"
 )
 
 // HoldsLease reports whether this node holds the lease.
