--- a/internal/suspect/gossip.go
+++ b/internal/suspect/gossip.go
@@ -244,7 +244,7 @@
 		isNew = r.adoptQuarantine(time.Duration(m.ExpiresInMs)*time.Millisecond, now, t.timing)
 	})
 	if isNew {
-		t.log.Warn("quarantine heard of", "fingerprint", k, "expires_in_ms", m.ExpiresInMs)
+		t.log.Warn("quarantine reported by another node", "fingerprint", k, "expires_in_ms", m.ExpiresInMs)
 	}
 	return isNew
 }
--- a/internal/suspect/tracker.go
+++ b/internal/suspect/tracker.go
@@ -203,7 +203,7 @@
 		quarantine = r.decideVerdict(crashID, otherSuspect, t.now(), t.timing)
 		crashes = len(r.evidence)
 	})
-	t.log.Warn("verdict on a suspect", "fingerprint", k, "guilty", quarantine, "replica", replica, "crashes", crashes, "other_suspect", otherSuspect)
+	t.log.Warn("suspect evaluated", "fingerprint", k, "quarantined", quarantine, "replica", replica, "crashes", crashes, "inconclusive", otherSuspect)
 	if quarantine {
 		metricQuarantined.Inc()
 	}
