--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -90,7 +90,7 @@
 	clock.Every(ctx, stallCheckInterval, func(now time.Time) {
 		found, othersWork := r.stalls.check(now)
 		for _, id := range found {
-			r.opts.Log.Warn("replica stands still", "replica", id, "moved", r.cancelAttempts(id, errStalled), "others_work", othersWork)
+			r.opts.Log.Warn("replica stalled", "replica", id, "moved", r.cancelAttempts(id, errStalled), "others_responding", othersWork)
 		}
 		if len(found) > 0 && r.opts.OnStall != nil {
 			r.opts.OnStall(found, othersWork)
@@ -101,7 +101,7 @@
 // ReportStall records another node's report that a replica is stalled.
 func (r *Relay) ReportStall(id cluster.ReplicaID, by cluster.NodeID, now time.Time) {
 	if r.stalls.report(id, by, now) {
-		r.opts.Log.Debug("replica stands still", "replica", id, "reported_by", by)
+		r.opts.Log.Debug("replica stall reported", "replica", id, "reported_by", by)
 	}
 }
 
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -191,7 +191,7 @@
 
 // Apply implements recovery.Call.
 func (s *session) Apply(_ context.Context, d recovery.Decision, err error) error {
-	s.r.opts.Log.Info("after attempt", "request", s.call.ID, "next", d.Step, "reason", d.Reason, "sent", s.sent, "held", time.Since(s.call.ReceivedAt), "left", s.remaining)
+	s.r.opts.Log.Info("recovery decision", "request", s.call.ID, "next", d.Step, "reason", d.Reason, "sent", s.sent, "held", time.Since(s.call.ReceivedAt), "left", s.remaining)
 	if d.Step != recovery.GiveUp {
 		return nil
 	}
