--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -66,7 +66,7 @@
 	BudgetExhausted   Reason = "retry budget used"
 
 	ConnectionLost     Reason = "the connection failed, the server still has the call"
-	ResponseStarted    Reason = "another server can go on"
+	ResponseStarted    Reason = "another server can continue the answer"
 	ResponseNotStarted Reason = "nothing has reached the caller"
 )
 
