--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -150,7 +150,7 @@
 	n.log.Info("stopping", "step", "finish requests")
 	err := n.callers.server.Shutdown(force)
 	if err != nil {
-		n.log.Error("stopping", "step", "requests cut", "err", err.Error())
+		n.log.Error("stopping", "step", "requests aborted", "err", err.Error())
 		err = errors.Join(err, n.callers.server.Close())
 	}
 	n.gateway.Wait()
--- a/internal/entry/derive.go
+++ b/internal/entry/derive.go
@@ -99,7 +99,7 @@
 	if c.to == 0 {
 		return
 	}
-	n.log.Info("replicas", "serving", serving, "began", c.started, "ceased", c.stopped, "lost_member", c.lost, "from_revision", c.from, "list_revision", c.to)
+	n.log.Info("replicas", "serving", serving, "started", c.started, "stopped", c.stopped, "lost_member", c.lost, "from_revision", c.from, "list_revision", c.to)
 }
 
 // lostMember reports whether a replica of a model has a member that is no longer listed
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -109,7 +109,7 @@
 	defer cancel()
 	err := n.callers.http.Shutdown(ctx)
 	if err != nil {
-		n.log.Error("stopping", "step", "requests cut", "running", n.relay.Running(), "err", err.Error())
+		n.log.Error("stopping", "step", "requests aborted", "running", n.relay.Running(), "err", err.Error())
 		err = errors.Join(err, n.callers.http.Close())
 	}
 	for _, s := range []*server{n.admin, n.feeds} {
--- a/internal/lifecycle/ending.go
+++ b/internal/lifecycle/ending.go
@@ -112,7 +112,7 @@
 		return
 	}
 	if r == nil && now.Sub(e.startedAt) > unlistedRetention {
-		m.opts.Log.Info("replica forgotten", "replica", id, "head", e.head, "held", e.unreleased(), "reason", "no member is listed", "took", now.Sub(e.startedAt))
+		m.opts.Log.Info("replica record dropped", "replica", id, "head", e.head, "held", e.unreleased(), "reason", "no member is listed", "took", now.Sub(e.startedAt))
 		m.setPhase(id, record{phase: phaseListed})
 	}
 }
