--- a/internal/suspect/tracker_test.go
+++ b/internal/suspect/tracker_test.go
@@ -112,7 +112,7 @@
 // The two halves of the nodes are partitioned and the poison request reaches both. Each
 // half must detect it independently, which costs up to two replicas each and
 // occasionally one more, when both halves use the same replica concurrently.
-func TestNodesThatCannotHearEachOtherPayEach(t *testing.T) {
+func TestPartitionedNodesDetectPoisonIndependently(t *testing.T) {
 	sc := scenario{nodes: 4, replicas: 12, poisonCallers: 1, partitioned: true, length: 30 * time.Second}
 	runSeeds(t, sc, func(out outcome) {
 		require.LessOrEqual(t, out.kills, 6)
@@ -296,7 +296,7 @@
 // Several nodes report one crash under different ids. Counted twice, it would be
 // evidence against a request that was in flight only once and make the verdict
 // inconclusive: another replica would crash.
-func TestOneCrashToldByManyCountsOnce(t *testing.T) {
+func TestCrashReportedByManyNodesCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tr, innocent := newTracker(1), fingerprint(2)
 		tr.Begin(poison, "replica-1", 1, false)(suspect.Crashed)
@@ -313,7 +313,7 @@
 
 // Two suspects ran on a replica when it crashed, and only one caused the crash.
 // Quarantining both would refuse an innocent request for 15 minutes.
-func TestSharedCrashCondemnsNeither(t *testing.T) {
+func TestSharedCrashQuarantinesNeitherSuspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tr, innocent := newTracker(0), fingerprint(2)
 		receiveCrash(tr, 1, "replica-1", poison, innocent)
