--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -14,7 +14,7 @@
 // Checks every combination of failure properties. A caller must never receive an answer
 // combined from two executions, and a call that must not run twice must never be sent
 // again once an earlier attempt may have run it: a deposit would be booked twice.
-func TestDecideNeverStitchesOrRepeats(t *testing.T) {
+func TestDecideNeverMixesAnswersOrRepeatsUnsafeCalls(t *testing.T) {
 	for _, outcome := range []recovery.Outcome{recovery.Interrupted, recovery.NotRun, recovery.Rejected} {
 		for flags := range 128 {
 			retriesTaken := 0
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func TestRunGoesOnUntilTheAnswerIsWhole(t *testing.T) {
+func TestRunRetriesUntilAnswerIsComplete(t *testing.T) {
 	takeRetry := func() bool { return true }
 	interrupted := recovery.Failure{Repeatable: true, MaxAttempts: 9, TakeRetry: takeRetry}
 	resumable := interrupted
