--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -32,7 +32,7 @@
 
 // If nothing listens at the first server's address, nothing was sent, and a payment may be
 // sent to another server.
-func TestUnsafeCallGoesOnWhereNothingWasSent(t *testing.T) {
+func TestUnsafeCallIsRetriedIfNothingWasSent(t *testing.T) {
 	f := newFixture(t, 10, ab, handlers{"a": failWith(errRefused), "b": respondWith(200)})
 	got := f.serve(t.Context(), unsafeTerms)
 	require.True(t, got.ended)
@@ -41,7 +41,7 @@
 
 // A full server refuses a payment, and the route allows only one attempt. The refusal must
 // say that the call did not run and when to retry.
-func TestRefusalIsTrueAndSaysWhen(t *testing.T) {
+func TestRefusalReportsNotRunAndRetryAfter(t *testing.T) {
 	f := newFixture(t, 10, ab, handlers{"a": failWith(errFull), "b": respondWith(200)})
 	terms := unsafeTerms
 	terms.MaxAttempts = 1
@@ -71,7 +71,7 @@
 
 // Retries of calls that failed on overloaded servers would keep the servers overloaded. No
 // retry may be made beyond the budget.
-func TestRepeatsStopAtTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	f := newFixture(t, 3, ab, handlers{"a": failWith(errReset), "b": failWith(errReset)})
 	for range 10 {
 		f.serve(t.Context(), safeTerms)
@@ -81,7 +81,7 @@
 
 // If a stream is interrupted, another server continues it. The caller must receive one
 // complete stream with the head from the first server.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+func TestInterruptedStreamIsContinuedByAnotherServer(t *testing.T) {
 	f := newFixture(t, 10, ab, handlers{"a": streamPieces(2, errReset), "b": streamPieces(4, io.EOF)})
 	got := f.serve(t.Context(), resumableTerms)
 	require.Equal(t, "1;2;3;4;", got.text)
@@ -93,7 +93,7 @@
 // A stream is interrupted, and the server that is to continue it answers with an error. The
 // caller already has the head and pieces from the first server: the error appended to them
 // would end the answer as if it were complete, and a user would act on half an answer.
-func TestFailureInTheMiddleOfAStreamDoesNotEndIt(t *testing.T) {
+func TestErrorResponseDoesNotCompleteInterruptedStream(t *testing.T) {
 	for _, status := range []int{400, 500} {
 		f := newFixture(t, 10, ab, handlers{"a": streamPieces(2, errReset), "b": respondWith(status)})
 		got := f.serve(t.Context(), resumableTerms)
@@ -116,7 +116,7 @@
 
 // A replica that lost a member accepts requests and answers none. Without detection its
 // callers, and all callers sent there afterwards, would wait until the engines give up.
-func TestCallsLeaveAReplicaThatStandsStill(t *testing.T) {
+func TestCallsMoveFromStalledReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, 10, ab, handlers{"a": streamPieces(2, nil), "b": streamPieces(4, io.EOF)})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -179,7 +179,7 @@
 
 // When the caller disconnects, the attempt must be canceled so that the server stops
 // generating.
-func TestCallerLeaves(t *testing.T) {
+func TestDisconnectCancelsAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, 10, ab, handlers{"a": streamPieces(1, nil), "b": streamPieces(3, io.EOF)})
 		ctx, disconnect := context.WithCancel(t.Context())
@@ -194,7 +194,7 @@
 
 // When every replica is full, a call must be refused at once, with NotRun and a retry time,
 // instead of being queued until its answer is late.
-func TestFullReplicasRefuseAtOnce(t *testing.T) {
+func TestCallIsRefusedImmediatelyIfReplicasAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		overloaded := func(ctx context.Context, a relay.Attempt) (*relay.Reply, error) {
 			reply, err := streamPieces(1, nil)(ctx, a)
@@ -219,7 +219,7 @@
 
 // Callers that are refused at the same time must get different retry times. With the same
 // one they would overload the replicas again.
-func TestRefusedCallersComeBackSpread(t *testing.T) {
+func TestRefusedCallersGetDifferentRetryTimes(t *testing.T) {
 	full := newFixture(t, 0, ab[:1], handlers{"a": failWith(errFull)})
 	seen := map[time.Duration]bool{}
 	for range 20 {
@@ -249,7 +249,7 @@
 
 // The last attempt that a call is allowed must not be canceled for being slow: the caller
 // would get no answer although one is on its way.
-func TestLastAttemptIsWaitedFor(t *testing.T) {
+func TestLastAttemptIsNotCanceledForSlowness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(ctx context.Context, a relay.Attempt) (*relay.Reply, error) {
 			select {
--- a/internal/relay/stall_test.go
+++ b/internal/relay/stall_test.go
@@ -42,7 +42,7 @@
 
 // A slow member slows down its replica: pieces arrive at several times the usual gap. If
 // the replica were considered stalled, all its streams would be interrupted midway.
-func TestSlowReplicaDoesNotStandStill(t *testing.T) {
+func TestSlowReplicaIsNotStalled(t *testing.T) {
 	alarm, after := simulate(80*time.Millisecond, 180*time.Millisecond, 480*time.Millisecond)
 	require.False(t, alarm)
 	require.LessOrEqual(t, after, maxStallTimeout)
@@ -50,7 +50,7 @@
 
 // A replica that loses a member while it sends pieces at the usual gap must be detected as
 // stalled within half a second.
-func TestStandstillShowsSoon(t *testing.T) {
+func TestStallIsDetectedWithinHalfASecond(t *testing.T) {
 	alarm, after := simulate(80 * time.Millisecond)
 	require.False(t, alarm)
 	require.LessOrEqual(t, after, 500*time.Millisecond)
