--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -24,7 +24,7 @@
 	return replicas[0]
 }
 
-func TestReplicaServesOnlyWhole(t *testing.T) {
+func TestReplicaServesOnlyIfHealthy(t *testing.T) {
 	complete := singleReplica(t, member("a", 0, fleet.Open), member("b", 1, fleet.Ready), member("c", 2, fleet.Ready))
 	require.True(t, complete.Serves())
 	require.EqualValues(t, "m/7.7", complete.ID())
--- a/internal/fleet/mirror_test.go
+++ b/internal/fleet/mirror_test.go
@@ -124,7 +124,7 @@
 // The store is down long enough for the leases of live servers to expire, so their entries are
 // missing for a moment after it recovers. Dropping them at once would refuse every call
 // although all servers are alive. Only the server that does not register again is dropped.
-func TestEntriesThatLapsedWhileTheStoreWasAway(t *testing.T) {
+func TestEntriesExpiredDuringStoreOutageAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newMirrorHarness(t)
 		lease, err := h.mem.Grant(t.Context(), 3*time.Second)
@@ -149,7 +149,7 @@
 
 // The store compacts its history during an outage in which entries change. A watch resumed from
 // its last revision would never deliver these changes.
-func TestMirrorAfterTheHistoryIsGone(t *testing.T) {
+func TestMirrorReloadsAfterCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newMirrorHarness(t)
 		h.put(t, "servers/a", 0)
@@ -185,7 +185,7 @@
 
 // The reads of the views are not one snapshot: events older than an entry that was read must
 // not overwrite it.
-func TestOlderEventsDoNotTakeAnEntryBack(t *testing.T) {
+func TestOlderEventsDoNotOverwriteEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var values []string
 		source := movingSource{make(chan store.WatchBatch)}
@@ -213,7 +213,7 @@
 
 // A node that reconnects to the store keeps expired entries for a grace period. It must not
 // pass them on to followers as confirmed.
-func TestLapsedEntriesAreNotPassedOn(t *testing.T) {
+func TestExpiredEntriesAreNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newMirrorHarness(t)
 		lease, err := h.mem.Grant(t.Context(), 3*time.Second)
@@ -240,7 +240,7 @@
 func (noFeed) Follow(context.Context, func(store.WatchBatch, bool)) bool { return false }
 
 // A failing store must not receive calls several times a second from each of hundreds of nodes.
-func TestNodesWithAFeedAskAStoreThatFailsSeldom(t *testing.T) {
+func TestNodesWithFeedBackOffFromFailingStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const seconds = 20
 		mem := memstore.New(memstore.Options{})
