--- a/internal/formation/acquire_schedule_test.go
+++ b/internal/formation/acquire_schedule_test.go
@@ -33,7 +33,7 @@
 }
 
 // Guards against calls from every node to the store at the same moment when a lease expires.
-func TestFewNodesTryForAFreeLease(t *testing.T) {
+func TestFewNodesCompeteForFreeLease(t *testing.T) {
 	for _, nodes := range []int{117, 420} {
 		for range 50 {
 			attempts, acquiredAfter := simulateAcquisition(3, nodes-3, 100*time.Millisecond)
@@ -44,7 +44,7 @@
 }
 
 // Guards against a lease without a holder when every node that watches the store directly is lost.
-func TestStandbysTryWhenTheFirstAreLost(t *testing.T) {
+func TestStandbysAcquireLeaseWhenWatchersAreLost(t *testing.T) {
 	for range 50 {
 		attempts, acquiredAfter := simulateAcquisition(0, 114, 100*time.Millisecond)
 		require.Less(t, attempts, 114/2)
@@ -53,7 +53,7 @@
 }
 
 // Guards against attempts at a constant rate on a store that does not respond.
-func TestTriesBackOffWhileTheStoreDoesNotAnswer(t *testing.T) {
+func TestAttemptsBackOffWhileStoreDoesNotRespond(t *testing.T) {
 	now := time.Unix(1000, 0)
 	schedule, attempts := newAcquireSchedule(false), 0
 	for range 3000 {
--- a/internal/formation/holder_test.go
+++ b/internal/formation/holder_test.go
@@ -95,7 +95,7 @@
 }
 
 // Guards against unresponsive VMs delaying the orders to others.
-func TestSilentVMsDoNotHoldUpOrders(t *testing.T) {
+func TestUnresponsiveVMsDoNotDelayOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &cpuBoundClient{cpu: make(singleCPU, 1), work: time.Millisecond / 2, unresponsive: make(map[cluster.VMID]bool)}
 		for i := range 400 {
@@ -112,7 +112,7 @@
 }
 
 // Guards against a failed lease extension ending a term.
-func TestTermOutlivesAFailedExtension(t *testing.T) {
+func TestTermSurvivesFailedLeaseExtension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mem := memstore.New(memstore.Options{})
 		defer mem.Close()
@@ -133,7 +133,7 @@
 }
 
 // Guards against long steps taking the processor time that the lease and callers need.
-func TestGapAfterAStepGrowsWithItsCost(t *testing.T) {
+func TestStepGapGrowsWithStepDuration(t *testing.T) {
 	const limit = 100 * time.Millisecond
 	for took, gap := range map[time.Duration]time.Duration{
 		0: minStepGap, 100 * time.Microsecond: minStepGap, 2 * time.Millisecond: 18 * time.Millisecond, 50 * time.Millisecond: limit,
--- a/internal/formation/term_test.go
+++ b/internal/formation/term_test.go
@@ -76,7 +76,7 @@
 
 // Guards against a log that does not show why a VM counts as down: a refused connection and a timeout
 // have different causes.
-func TestWhyAProbeFailedIsLogged(t *testing.T) {
+func TestProbeFailureCauseIsLogged(t *testing.T) {
 	var out bytes.Buffer
 	term := newTestTerm(t, &fakeClient{unresponsive: map[cluster.VMID]bool{"b": true}})
 	term.opts.Log = slog.New(slog.NewTextHandler(&out, nil))
@@ -88,7 +88,7 @@
 }
 
 // Guards against VMs counting as down after one lost probe, or because this node is partitioned.
-func TestOnlyMembersSilentTwiceAreDown(t *testing.T) {
+func TestOnlyMembersFailingTwoProbesAreDown(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
 		unresponsive, failOnce []cluster.VMID
