--- a/internal/lifecycle/check_test.go
+++ b/internal/lifecycle/check_test.go
@@ -170,7 +170,7 @@
 
 // Guards against a VM in two replicas and an incomplete replica that opens, over every history of a
 // few faults in a small simulation.
-func TestSmallWorldExhaustively(t *testing.T) {
+func TestSmallSimulationExhaustively(t *testing.T) {
 	start := newSettledSimulation(smallSimulation)
 	open, possible := start.countServing()
 	require.Equal(t, possible, open)
--- a/internal/lifecycle/loads_test.go
+++ b/internal/lifecycle/loads_test.go
@@ -15,7 +15,7 @@
 
 // Guards against exceeding the weight store's rate when a holder dies right after it started loads
 // that its successor does not know of.
-func TestTwoHoldersInARowKeepTheRate(t *testing.T) {
+func TestConsecutiveHoldersKeepLoadRate(t *testing.T) {
 	for _, perSecond := range []float64{1.25, 4.5, 20} {
 		for _, first := range []int{0, 980} {
 			t.Run(fmt.Sprint(perSecond, " from step ", first), func(t *testing.T) { checkRateAcrossHolders(t, perSecond, first) })
@@ -70,7 +70,7 @@
 
 // Guards against loads left over for after the first request, when they take ten times as long and
 // replicas that lose a VM have no spare.
-func TestLoadsLeftBeginTogetherBeforeTheFirstRequest(t *testing.T) {
+func TestRemainingLoadsStartTogetherBeforeFirstRequest(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLoadLimiter()
 	full := []cluster.VMID{"a", "b", "c", "d", "e", "f"}
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -197,7 +197,7 @@
 
 // Guards against a VM in two replicas when a member is lost: the survivors must not be reused while
 // the head is still open.
-func TestSurvivorsWaitForTheirHead(t *testing.T) {
+func TestSurvivorsAreNotReusedBeforeHeadLeaves(t *testing.T) {
 	f, order := newOpenReplica(t, 4)
 	f.vms.response = "" // no usable response until the test sets one
 	f.vms.unresponsive[order.Members[0]] = true
@@ -220,7 +220,7 @@
 
 // Guards against reusing members of an unlisted, unresponsive head, which may still be serving: each
 // must confirm that it has left first.
-func TestMembersOfASilentHeadLeaveOneByOne(t *testing.T) {
+func TestMembersOfUnresponsiveHeadAreReleasedOneByOne(t *testing.T) {
 	f, order := newOpenReplica(t, 4)
 	head, second, third := order.Members[0], order.Members[1], order.Members[2]
 	f.unlist(head)
@@ -244,7 +244,7 @@
 
 // Guards against shutting down a working replica whose member is partitioned from the store: the
 // member is unlisted but responds to probes.
-func TestReplicaOfAMemberCutOffFromTheStoreIsLeftAlone(t *testing.T) {
+func TestReplicaWithPartitionedMemberIsKept(t *testing.T) {
 	f, order := newOpenReplica(t, 4)
 	f.unlist(order.Members[2])
 	for range 4 {
@@ -264,7 +264,7 @@
 }
 
 // Guards against a delayed order of an earlier holder undoing one of a later holder.
-func TestEpochsRiseFromHolderToHolder(t *testing.T) {
+func TestEpochsIncreaseFromHolderToHolder(t *testing.T) {
 	first := newFixture(t, 3)
 	first.step()
 	early := first.vms.takeOrders(Join)["vm-0"].Epoch
@@ -299,7 +299,7 @@
 
 // Guards against a head in two replicas: after refusing connections it is listed as open again and must
 // leave before it joins another replica.
-func TestHeadThatComesBackOpenLeavesBeforeItJoins(t *testing.T) {
+func TestHeadListedOpenAgainLeavesBeforeItJoins(t *testing.T) {
 	f, order := newOpenReplica(t, 4)
 	head, third := order.Members[0], order.Members[2]
 	headEntry := f.listed(head)
@@ -365,7 +365,7 @@
 }
 
 // Guards against reusing members of a head that delayed orders join and open again after it left.
-func TestHeadThatOpensAgainAfterItLeftIsLeftAgain(t *testing.T) {
+func TestHeadReopenedAfterLeavingIsEndedAgain(t *testing.T) {
 	f, order := newOpenReplica(t, 3)
 	head, third := order.Members[0], order.Members[2]
 	f.vms.response = Done
@@ -394,7 +394,7 @@
 
 // Guards against a broken replica that is never ended: its head broke while a member was away, and all
 // members are listed again.
-func TestReplicaWhoseHeadBrokeIsFormedAnew(t *testing.T) {
+func TestReplicaWithBrokenHeadIsFormedAgain(t *testing.T) {
 	f, order := newOpenReplica(t, 3)
 	f.setMembership(order.Members[0], order, 0, fleet.Broken)
 	for range 3 {
--- a/internal/lifecycle/quiescence_test.go
+++ b/internal/lifecycle/quiescence_test.go
@@ -43,7 +43,7 @@
 }
 
 // Guards against the holder of a large fleet using processor time to replan VMs that did not change.
-func TestNothingIsPlannedWhileNothingChanges(t *testing.T) {
+func TestNoPlanWithoutChanges(t *testing.T) {
 	for _, vms := range []int{1095, 4500} {
 		m, policy, list, now := newSettledFleet(t, vms)
 		for range 100 {
@@ -55,7 +55,7 @@
 }
 
 // Guards against a quiescent holder ignoring new input of any kind.
-func TestAnythingNewIsPlannedFor(t *testing.T) {
+func TestAnyChangeTriggersPlan(t *testing.T) {
 	for name, change := range map[string]func(in *Input){
 		"list":    func(in *Input) { in.List.ChangedRevision++ },
 		"rules":   func(in *Input) { in.Rules = rules.Assemble(rules.Set{Groups: twoModels.Groups}) },
