--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -97,14 +97,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { keeper.Run(ctx) })
-	n.log.Info("outage observer", "active", true)
+	n.log.Info("outage observer role", "held", true)
 	return func() {
 		o.mu.Lock()
 		o.keeper = nil
 		o.mu.Unlock()
 		cancel()
 		wg.Wait()
-		n.log.Info("outage observer", "active", false)
+		n.log.Info("outage observer role", "held", false)
 	}
 }
 
--- a/internal/e2e/ledger_test.go
+++ b/internal/e2e/ledger_test.go
@@ -52,7 +52,7 @@
 	s.startNode("serra-a-2", zone, "", "")
 	s.apply(fitRules)
 	for _, n := range s.nodes {
-		n.await(`msg="outage observer" .*active=true`)
+		n.await(`msg="outage observer role" .*held=true`)
 		s.awaitServing(n)
 	}
 	s.awaitEnginesAgree(w)
