--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -329,8 +329,8 @@
 				table.EndAt(now, open[i], Result{OK: rapid.Bool().Draw(rt, "ok"), FirstToken: time.Millisecond, Tokens: 5, Duration: time.Second})
 				open = append(open[:i], open[i+1:]...)
 			},
-			"health": func(rt *rapid.T) {
-				r, ok := id.Draw(rt, "replica"), rapid.Bool().Draw(rt, "healthy")
+			"whole": func(rt *rapid.T) {
+				r, ok := id.Draw(rt, "replica"), rapid.Bool().Draw(rt, "whole")
 				table.SetHealthy(r, 1, ok)
 				table.SetHealthy(r, 2, true) // a generation that was never committed
 				table.SetHealthy(r, 1, ok)
