--- a/internal/placement/mix.go
+++ b/internal/placement/mix.go
@@ -306,9 +306,9 @@
 		delete(m.proposals, groupDomain{m.in.Groups[i].Name, p.domain})
 	}
 	m.countServing(p.group, p.members[0].Zone)
-	reason := "weights-at-hand"
+	reason := "weights-staged"
 	if p.coldMembers > 0 {
-		reason = "weights-to-load"
+		reason = "weights-not-staged"
 	}
 	m.add(Action{Kind: Form, Group: p.group.Name, Members: members, Reason: reason})
 }
--- a/internal/placement/naive.go
+++ b/internal/placement/naive.go
@@ -24,7 +24,7 @@
 	for _, r := range in.Replicas {
 		reason := brokenReason(r, vms, in.Groups)
 		if g := FindGroup(in.Groups, r.Group); reason == "" && g.Replicas > 0 && count[r.Group] >= g.Replicas {
-			reason = "more-than-wanted"
+			reason = "surplus-replica"
 		}
 		if reason != "" {
 			plan.Actions = append(plan.Actions, Action{Kind: BreakUp, Group: r.Group, Replica: r.ID, Reason: reason})
--- a/internal/placement/weighted.go
+++ b/internal/placement/weighted.go
@@ -98,7 +98,7 @@
 			continue
 		}
 		if g.Replicas > 0 && p.serving[g.Name] >= g.Replicas {
-			p.retire(r, "more-than-wanted")
+			p.retire(r, "surplus-replica")
 			continue
 		}
 		p.serving[g.Name]++
@@ -199,7 +199,7 @@
 		p.drain(b.Replica, "member-leaving")
 		return true
 	case g.Replicas > 0 && p.serving[g.Name] >= g.Replicas:
-		p.breakUp(b.Replica, "more-than-wanted")
+		p.breakUp(b.Replica, "surplus-replica")
 		return true
 	default:
 		return p.replaceMissing(b, "spare-replaces-member")
@@ -223,11 +223,11 @@
 func (p *planner) resumeDrained() {
 	for _, r := range p.intact {
 		if r.Leaving && !r.streaming {
-			p.add(Action{Kind: Replace, Group: r.Group, Replica: r.ID, Reason: "members-are-back"})
+			p.add(Action{Kind: Replace, Group: r.Group, Replica: r.ID, Reason: "members-recovered"})
 		}
 	}
 	for _, b := range p.waiting {
-		p.add(Action{Kind: Wait, Group: b.Group, Replica: b.ID, Reason: "no-spare-in-reach"})
+		p.add(Action{Kind: Wait, Group: b.Group, Replica: b.ID, Reason: "no-spare-available"})
 	}
 }
 
