--- a/internal/grouping/commit.go
+++ b/internal/grouping/commit.go
@@ -27,7 +27,7 @@
 	CommitLeaseLost CommitErrorKind = "lease-lost"
 	// CommitConflict: the table changed since it was read although the lease is still held,
 	// because an earlier write of this holder took effect late.
-	CommitConflict CommitErrorKind = "overtaken"
+	CommitConflict CommitErrorKind = "conflict"
 	// CommitNotApplied: the answer was lost, and the write is not in the store, or not yet.
 	CommitNotApplied CommitErrorKind = "not-applied"
 	// CommitFailed: the store refused the write or could not be reached.
