--- a/internal/placement/mix.go
+++ b/internal/placement/mix.go
@@ -306,9 +306,9 @@
 		delete(m.proposals, groupDomain{m.in.Groups[i].Name, p.domain})
 	}
 	m.countServing(p.group, p.members[0].Zone)
-	reason := "weights-staged"
+	reason := "weights-available"
 	if p.coldMembers > 0 {
-		reason = "weights-not-staged"
+		reason = "weights-missing"
 	}
 	m.add(Action{Kind: Form, Group: p.group.Name, Members: members, Reason: reason})
 }
--- a/internal/placement/mix_test.go
+++ b/internal/placement/mix_test.go
@@ -117,7 +117,7 @@
 	plan := p.plan()
 	p.apply(plan, 0)
 	require.Equal(t, 1, p.serving("four"))
-	require.Equal(t, "weights-staged", plan.Actions[0].Reason)
+	require.Equal(t, "weights-available", plan.Actions[0].Reason)
 }
 
 // One domain lacks one load for a replica, another lacks all. The weight store is slow, so
