--- a/internal/suspect/tracker_test.go
+++ b/internal/suspect/tracker_test.go
@@ -75,7 +75,7 @@
 // The goal is two crashes. A third replica crashes only if two suspects share one,
 // which the nodes' turns prevent unless the report of one of them is late. With more
 // nodes than replicas, all nodes compete for the same few replicas.
-func TestPoisonRequestMostlyCostsExactlyTwo(t *testing.T) {
+func TestPoisonRequestUsuallyCrashesTwoReplicas(t *testing.T) {
 	for _, c := range []struct {
 		scenario
 		// oneIn allows one crash more than two in one of so many runs.
