--- a/internal/grouping/repair_test.go
+++ b/internal/grouping/repair_test.go
@@ -55,7 +55,7 @@
 // The platform announces that a VM will leave while streams are running. The replica gets no
 // new requests, its streams end by themselves, and only then does the spare replace the leaving
 // VM.
-func TestLeavingVMIsReplacedAfterItsStreams(t *testing.T) {
+func TestLeavingVMIsReplacedAfterItsStreamsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb, n, before := startWeightedZone(t, 5)
 		serving := before[0].Serving
--- a/internal/grouping/table_test.go
+++ b/internal/grouping/table_test.go
@@ -52,7 +52,7 @@
 
 // The store goes down while replicas serve. The table must keep its contents, and catch up once
 // the store is back.
-func TestTableThroughOutage(t *testing.T) {
+func TestTableKeepsContentsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
 		putReplica(t, s, cluster.Replica{ID: "r2", Generation: 1})
