--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -140,8 +140,8 @@
 const (
 	reasonNodeStopping = "node-stopping"
 	reasonFenced       = "superseded-by-later-holder"
-	reasonLeaseLost    = "lease-lost"
-	reasonLeaseExpired = "lease-expired"
+	reasonLeaseLost    = "lease-not-found"
+	reasonLeaseExpired = "lease-not-extended"
 )
 
 // HoldsLease reports whether this node holds the lease.
