--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -50,8 +50,8 @@
 	Candidate func() bool
 	// LeaseTTL is the TTL of the placement lease; zero means DefaultLeaseTTL.
 	LeaseTTL time.Duration
-	// Tick is the pause between two iterations of the reconcile loop; zero means DefaultTick.
-	Tick time.Duration
+	// StepInterval is the pause between two iterations of the reconcile loop; zero means DefaultStepInterval.
+	StepInterval time.Duration
 	// OrderTimeout bounds one order from its lease check to its answer. It is also how long a
 	// new holder waits before its first order. Zero means DefaultOrderTimeout or a fifth of
 	// LeaseTTL, whichever is less.
@@ -60,7 +60,7 @@
 	// means DefaultDownAfter.
 	DownAfter time.Duration
 	// PollInterval is the time between polls of an engine that is in its desired state. It
-	// bounds how long an engine that ignores fencing numbers can act on a stale order. Zero
+	// bounds how long an engine that ignores fencing tokens can act on a stale order. Zero
 	// means DefaultPollInterval.
 	PollInterval time.Duration
 	// LoadsPerSecond limits how many VMs per second start to load weights; zero means no limit.
@@ -72,7 +72,7 @@
 // Defaults of a Controller.
 const (
 	DefaultLeaseTTL     = 10 * time.Second
-	DefaultTick         = time.Second
+	DefaultStepInterval = time.Second
 	DefaultOrderTimeout = 2 * time.Second
 	DefaultDownAfter    = 3 * time.Second
 	DefaultPollInterval = 5 * time.Second
@@ -101,7 +101,7 @@
 // NewController returns a Controller; Run starts it.
 func NewController(opts Options) *Controller {
 	setDefault(&opts.LeaseTTL, DefaultLeaseTTL)
-	setDefault(&opts.Tick, DefaultTick)
+	setDefault(&opts.StepInterval, DefaultStepInterval)
 	// With a longer timeout, some orders would not be sent, because the lease has too little
 	// time left for them towards the end of each renewal interval.
 	setDefault(&opts.OrderTimeout, min(DefaultOrderTimeout, opts.LeaseTTL/5))
@@ -138,7 +138,7 @@
 	defer cancel()
 	lease, err := AcquireLease(tryCtx, c.opts.Store, c.opts.Zone, c.opts.Node, c.opts.LeaseTTL)
 	if err != nil {
-		c.opts.Log.Warn("placement lease not tried", "zone", c.opts.Zone, "error", err)
+		c.opts.Log.Warn("placement lease acquisition failed", "zone", c.opts.Zone, "error", err)
 		return
 	}
 	if lease == nil {
@@ -184,11 +184,11 @@
 		drainedSince: make(map[cluster.ReplicaID]time.Time),
 	}
 	// The previous holder may have sent its last order just before its lease expired. Without
-	// this wait, an engine that ignores fencing numbers could apply that order after ours.
+	// this wait, an engine that ignores fencing tokens could apply that order after ours.
 	sleep(ctx, c.opts.OrderTimeout)
 	for ctx.Err() == nil && lease.Remaining(time.Now()) > 0 {
 		c.reconcile(ctx, t)
-		sleep(ctx, c.opts.Tick)
+		sleep(ctx, c.opts.StepInterval)
 	}
 	cancel()
 	<-renewalDone
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -68,13 +68,13 @@
 
 // Reasons for picks, as they appear in logs.
 const (
-	ReasonRandom   = "random"
-	ReasonLoad     = "least-loaded"
-	ReasonPrefix   = "prefix"
-	ReasonZone     = "own-zone"
-	ReasonTrial    = "trial"
-	ReasonIsolated = "suspect-alone"
-	ReasonNoOther  = "no-better-replica"
+	ReasonRandom  = "random"
+	ReasonLoad    = "least-loaded"
+	ReasonPrefix  = "prefix"
+	ReasonZone    = "own-zone"
+	ReasonTrial   = "trial"
+	ReasonAlone   = "suspect-alone"
+	ReasonNoOther = "no-better-replica"
 )
 
 // Naive picks a healthy replica at random. It is the baseline of the differential tests and
@@ -125,8 +125,8 @@
 	if v.Len() == 0 {
 		return Pick{}
 	}
-	if req.Isolated {
-		return pickIsolated(v, req)
+	if req.Alone {
+		return pickAlone(v, req)
 	}
 	sel := selection{policy: p, req: req}
 	p.considerHolders(v, req, &sel)
@@ -255,11 +255,11 @@
 	return ReasonLoad
 }
 
-// pickIsolated picks the replica with the fewest requests and no suspect request, so that a
+// pickAlone picks the replica with the fewest requests and no suspect request, so that a
 // crash affects the fewest other requests. Suspect requests are rare, so all replicas are
 // considered.
-func pickIsolated(v View, req Request) Pick {
-	out := Pick{Reason: ReasonIsolated, Considered: v.Len()}
+func pickAlone(v View, req Request) Pick {
+	out := Pick{Reason: ReasonAlone, Considered: v.Len()}
 	for i := range v.Len() {
 		c := v.At(i)
 		if !c.Healthy || c.Suspects > 0 || slices.Contains(req.Exclude, c.ID) {
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -23,9 +23,9 @@
 	PrefixHashes []uint64
 	// Exclude lists the replicas that already failed this request.
 	Exclude []cluster.ReplicaID
-	// Isolated requires a replica that runs no other suspect request (see package suspect).
-	Isolated bool
-	// MayRetryOn restricts the replicas of an isolated request; nil allows all.
+	// Alone requires a replica that runs no other suspect request (see package suspect).
+	Alone bool
+	// MayRetryOn restricts the replicas of a request that must run alone; nil allows all.
 	MayRetryOn func(cluster.ReplicaID) bool
 	// Limit limits the requests on the chosen replica, this one included. The zero value
 	// means no limit.
@@ -62,8 +62,8 @@
 	Reason string
 	// Considered is the number of candidates compared.
 	Considered int
-	// Isolated is copied from the request.
-	Isolated bool
+	// Alone is copied from the request.
+	Alone bool
 
 	// entry is the table entry on which the request is counted until End.
 	entry *entry
