--- a/internal/standin/engine/members.go
+++ b/internal/standin/engine/members.go
@@ -240,7 +240,7 @@
 	if elapsed > 0 {
 		next.TokensPerSecond = float64(made-s.loadTokens) / elapsed
 	}
-	if s.faults.LieIdle {
+	if s.faults.ReportIdle {
 		next.Running, next.Waiting, next.KVUsed = 0, 0, 0
 	}
 	s.load, s.loadTokens = next, made
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -107,9 +107,9 @@
 	Freeze bool `json:"freeze,omitempty"`
 	// SlowBy multiplies the time between tokens: a straggler.
 	SlowBy float64 `json:"slow_by,omitempty"`
-	// LieIdle reports an empty engine whatever runs; MuteLoad repeats the last report for ever.
-	LieIdle  bool `json:"lie_idle,omitempty"`
-	MuteLoad bool `json:"mute_load,omitempty"`
+	// ReportIdle reports an empty engine whatever runs; MuteLoad repeats the last report for ever.
+	ReportIdle bool `json:"lie_idle,omitempty"`
+	MuteLoad   bool `json:"mute_load,omitempty"`
 	// CrashMarker crashes the engine when it runs a body that contains the text.
 	CrashMarker string `json:"crash_marker,omitempty"`
 }
