--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// start lets the run generate now or queues it; false when the engine is full.
-// The caller holds s.mu.
+// startLocked registers the run and starts or queues it. It returns false when
+// both the batch and the queue are full. The caller holds s.mu.
 func (s *Server) startLocked(r *run) bool {
 	if s.running >= s.opts.MaxRunning && len(s.waiting) >= s.opts.MaxWaiting {
 		return false
@@ -17,16 +17,16 @@
 	s.runsByID[r.id]++
 	s.runsByBody[bodyKey(r.body)]++
 	s.waiting = append(s.waiting, r)
-	s.fillLocked()
+	s.fillBatchLocked()
 	return true
 }
 
-// fillLocked moves waiting runs into the batch, highest priority first.
-func (s *Server) fillLocked() {
+// fillBatchLocked moves waiting runs into the batch by priority, then by arrival.
+func (s *Server) fillBatchLocked() {
 	for s.running < s.opts.MaxRunning && len(s.waiting) > 0 {
 		best := 0
 		for i, r := range s.waiting {
-			if before(r, s.waiting[best]) {
+			if runsBefore(r, s.waiting[best]) {
 				best = i
 			}
 		}
@@ -38,14 +38,14 @@
 	}
 }
 
-func before(a, b *run) bool {
+func runsBefore(a, b *run) bool {
 	if a.priority != b.priority {
 		return a.priority > b.priority
 	}
 	return a.arrived < b.arrived
 }
 
-// generate makes the run's events at the engine's pace.
+// generate produces the run's events at the configured prefill and token rate.
 func (s *Server) generate(r *run) {
 	defer s.wg.Done()
 	defer s.leaveBatch()
@@ -65,7 +65,8 @@
 	}
 }
 
-// pause waits for d and while the engine is frozen; false when the run ended.
+// pause waits for d and then until the engine is not frozen. It returns false if
+// the run is aborted meanwhile.
 func (s *Server) pause(r *run, d time.Duration) bool {
 	if d > 0 {
 		t := time.NewTimer(d)
@@ -88,7 +89,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
-	s.fillLocked()
+	s.fillBatchLocked()
 }
 
 func (s *Server) crashesOn(body []byte) bool {
@@ -111,15 +112,15 @@
 	return s.opts.TokenInterval
 }
 
-// forget drops a run that nobody came back for.
-func (s *Server) forget(r *run) {
+// discard aborts a run and removes it, so that it can no longer be resumed.
+func (s *Server) discard(r *run) {
 	r.abort()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropLocked(r)
+	s.removeLocked(r)
 }
 
-func (s *Server) dropLocked(r *run) {
+func (s *Server) removeLocked(r *run) {
 	if s.runs[r.id] == r {
 		delete(s.runs, r.id)
 	}
@@ -131,11 +132,12 @@
 	}
 }
 
-// abortAllLocked ends every run without a clean end: the replica is gone.
+// abortAllLocked aborts and removes all runs, for example because the replica lost
+// a member. Their streams end without a done marker.
 func (s *Server) abortAllLocked() {
 	for _, r := range s.runs {
 		r.abort()
-		r.dropTimer()
+		r.stopIdleTimer()
 	}
 	s.runs = map[string]*run{}
 	s.waiting = nil
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -7,18 +7,18 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// prefixCache holds prompt prefixes, least recently used first out, and the log
-// of events about them, which is published late and with gaps.
+// prefixCache is an LRU cache of prompt prefixes. It logs insertions and evictions
+// as events, which are published with a delay and with some dropped.
 type prefixCache struct {
-	capacity int
-	lag      time.Duration
-	gapEvery int64
+	capacity  int
+	lag       time.Duration
+	dropEvery int64
 
-	mu     sync.Mutex
-	used   map[uint64]int64 // prefix hash -> last use
-	clock  int64
-	seq    int64
-	events []timedCacheEvent
+	mu      sync.Mutex
+	lastUse map[uint64]int64 // prefix hash -> value of useSeq at the last use
+	useSeq  int64
+	seq     int64
+	events  []timedCacheEvent
 }
 
 type timedCacheEvent struct {
@@ -26,29 +26,31 @@
 	event engine.CacheEvent
 }
 
-// maxCacheEvents bounds the log; older events are a gap to whoever asks late.
+// maxCacheEvents limits the event log. A client that polls too late sees a gap in
+// the sequence numbers.
 const maxCacheEvents = 4096
 
 func newPrefixCache(o Options) *prefixCache {
 	return &prefixCache{
-		capacity: o.CacheBlocks, lag: o.CacheEventLag, gapEvery: int64(o.CacheEventGap),
-		used: map[uint64]int64{},
+		capacity: o.CacheBlocks, lag: o.CacheEventLag, dropEvery: int64(o.CacheEventGap),
+		lastUse: map[uint64]int64{},
 	}
 }
 
-// touch caches the prompt's prefixes and returns how many blocks were not cached.
+// touch inserts or refreshes the prompt's prefixes and returns the number of blocks
+// that were not cached.
 func (c *prefixCache) touch(text string, now time.Time) (uncached int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, h := range engine.PrefixHashes(text) {
-		c.clock++
-		if _, ok := c.used[h]; !ok {
+		c.useSeq++
+		if _, ok := c.lastUse[h]; !ok {
 			uncached++
-			c.log(engine.CacheEvent{PrefixHash: h}, now)
+			c.appendEvent(engine.CacheEvent{PrefixHash: h}, now)
 		}
-		c.used[h] = c.clock
+		c.lastUse[h] = c.useSeq
 	}
-	for len(c.used) > c.capacity {
+	for len(c.lastUse) > c.capacity {
 		c.evictOldest(now)
 	}
 	return uncached
@@ -56,19 +58,19 @@
 
 func (c *prefixCache) evictOldest(now time.Time) {
 	var oldest uint64
-	age := c.clock + 1
-	for h, at := range c.used {
+	age := c.useSeq + 1
+	for h, at := range c.lastUse {
 		if at < age {
 			oldest, age = h, at
 		}
 	}
-	delete(c.used, oldest)
-	c.log(engine.CacheEvent{PrefixHash: oldest, Evicted: true}, now)
+	delete(c.lastUse, oldest)
+	c.appendEvent(engine.CacheEvent{PrefixHash: oldest, Evicted: true}, now)
 }
 
-func (c *prefixCache) log(e engine.CacheEvent, now time.Time) {
+func (c *prefixCache) appendEvent(e engine.CacheEvent, now time.Time) {
 	c.seq++
-	if c.gapEvery > 0 && c.seq%c.gapEvery == 0 {
+	if c.dropEvery > 0 && c.seq%c.dropEvery == 0 {
 		return
 	}
 	e.Seq = c.seq
@@ -78,8 +80,9 @@
 	}
 }
 
-// after returns the events past seq that are old enough to be published.
-func (c *prefixCache) after(seq int64, now time.Time) (events []engine.CacheEvent, next int64) {
+// eventsAfter returns the events after seq that are at least lag old, and the
+// sequence number to continue from.
+func (c *prefixCache) eventsAfter(seq int64, now time.Time) (events []engine.CacheEvent, next int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next = seq
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -51,7 +51,7 @@
 	return res
 }
 
-// assign forms replica r1 generation 7 of the engines, the first one serving.
+// assign forms generation 7 of replica r1 from the engines; the first one serves.
 func assign(t *testing.T, engines ...*testEngine) {
 	t.Helper()
 	a := engine.Assignment{
@@ -73,7 +73,7 @@
 	require.Eventually(t, func() bool {
 		first.mu.Lock()
 		defer first.mu.Unlock()
-		return first.wholeLocked(time.Now())
+		return first.healthyLocked(time.Now())
 	}, 5*time.Second, time.Millisecond)
 }
 
@@ -106,7 +106,7 @@
 	return c.Choices[0].Delta.Content
 }
 
-// readEvents reads up to n events (0: to the end) and returns how the body ended.
+// readEvents reads up to n events, or all if n is 0, and returns the read error.
 func readEvents(body io.Reader, n int) (events []event, err error) {
 	scan := bufio.NewScanner(body)
 	next := event{}
@@ -140,7 +140,7 @@
 	return out
 }
 
-func TestStreamIsWholeAndDeterministic(t *testing.T) {
+func TestStreamIsCompleteAndDeterministic(t *testing.T) {
 	e := startEngine(t, Options{VM: "vm-1"})
 	assign(t, e)
 	resp := e.send(t, "q1", chatBody)
@@ -155,8 +155,8 @@
 	require.Equal(t, 1, e.Runs().ByRequest["q1"])
 }
 
-// The connection breaks in the middle of an answer. The caller comes back on a
-// new connection, or on another replica, and the answer goes on where it stopped.
+// A connection that breaks within an answer must not lose or repeat events: the
+// client resumes on a new connection, or continues on another replica.
 func TestResumeAndContinue(t *testing.T) {
 	e := startEngine(t, Options{VM: "vm-1"})
 	other := startEngine(t, Options{VM: "vm-2", CanContinue: true})
@@ -171,7 +171,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []int{4, 5, 6, 7}, ids(tail))
 	require.Equal(t, Text([]byte(chatBody)), text(t, head)+text(t, tail))
-	require.Equal(t, 1, e.Runs().ByRequest["q1"], "resuming is not running again")
+	require.Equal(t, 1, e.Runs().ByRequest["q1"], "resuming must not execute the request again")
 
 	var body map[string]any
 	require.NoError(t, json.Unmarshal([]byte(chatBody), &body))
@@ -179,7 +179,7 @@
 	raw, _ := json.Marshal(body)
 	more, err := readEvents(other.send(t, "q1", string(raw), engine.HeaderResumeAfter, "3", engine.HeaderContinue, "1").Body, 0)
 	require.NoError(t, err)
-	require.Equal(t, tail, more, "another replica goes on with the same events")
+	require.Equal(t, tail, more, "the other replica must send the same events")
 
 	body[engine.FieldPrefix] = "some other text"
 	raw, _ = json.Marshal(body)
@@ -187,7 +187,7 @@
 	require.Equal(t, engine.StartedNo, refused.Header.Get(engine.HeaderStarted))
 }
 
-func TestFaultsChangeTheStream(t *testing.T) {
+func TestStreamFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults Faults
 		want   []int
@@ -213,7 +213,7 @@
 	require.NotEqual(t, Text([]byte(chatBody)), text(t, events))
 }
 
-func TestRefusalsStartNothing(t *testing.T) {
+func TestRefusedRequestsAreNotExecuted(t *testing.T) {
 	e := startEngine(t, Options{VM: "vm-1", MaxRunning: 1, MaxWaiting: 1, TokenInterval: time.Hour})
 	requireRefused := func(id string, headers ...string) {
 		t.Helper()
@@ -233,12 +233,12 @@
 	e.send(t, "waiting", chatBody)
 	requireRefused("full")
 	resp := e.send(t, "running", chatBody)
-	require.Empty(t, resp.Header.Get(engine.HeaderStarted), "the id did start")
+	require.Empty(t, resp.Header.Get(engine.HeaderStarted), "the request with this ID was started")
 }
 
-// One VM of a replica dies. The serving VM can make no further token: callers
-// see their streams break, never a clean end, and new requests are refused.
-func TestDeadMemberBreaksTheReplica(t *testing.T) {
+// When one VM of a replica fails, the serving VM cannot generate tokens: streams
+// must be aborted, not end normally, and new requests must be rejected.
+func TestDeadMemberAbortsStreams(t *testing.T) {
 	a := startEngine(t, Options{VM: "vm-1", TokenInterval: 20 * time.Millisecond, MemberTimeout: 300 * time.Millisecond})
 	b := startEngine(t, Options{VM: "vm-2"})
 	assign(t, a, b)
@@ -247,7 +247,7 @@
 	require.NoError(t, err)
 	b.Crash()
 	_, err = readEvents(resp.Body, 0)
-	require.Error(t, err, "no clean end")
+	require.Error(t, err, "the stream must be aborted")
 	refused := a.send(t, "q2", chatBody)
 	require.Equal(t, engine.StartedNo, refused.Header.Get(engine.HeaderStarted))
 	b.Restart()
@@ -268,16 +268,16 @@
 	require.NoError(t, err)
 	cancel.Body.Close()
 	_, err = readEvents(resp.Body, 0)
-	require.Error(t, err, "a canceled stream has no clean end")
+	require.Error(t, err, "a canceled stream must be aborted")
 	_, err = readEvents(e.send(t, "q2", `{"model":"m","prompt":"poison"}`).Body, 0)
 	require.Error(t, err)
 	<-crashed
 	require.Equal(t, 1, e.Runs().Crashes)
 	_, err = http.Get(e.http.URL + engine.StatePath)
-	require.Error(t, err, "a crashed engine answers nothing")
+	require.Error(t, err, "a crashed engine must not answer")
 }
 
-func TestOrdersAndFences(t *testing.T) {
+func TestOrdersAndFencingTokens(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		e := startEngine(t, Options{VM: "vm-1", ChecksFence: checks, LoadTime: time.Hour})
 		a := engine.Assignment{Replica: "r1", Generation: 1, Members: []cluster.VMID{"vm-1"}, Serving: "vm-1", Role: engine.RoleServing, Model: "m"}
@@ -291,16 +291,16 @@
 	}
 }
 
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndDropped(t *testing.T) {
 	c := newPrefixCache(Options{CacheBlocks: 2, CacheEventLag: time.Second, CacheEventGap: 2})
 	now := time.Unix(100, 0)
 	text := strings.Repeat("a", 3*engine.PrefixBlock)
 	require.Equal(t, 3, c.touch(text, now))
-	events, next := c.after(0, now)
+	events, next := c.eventsAfter(0, now)
 	require.Empty(t, events)
 	require.Zero(t, next)
-	events, next = c.after(0, now.Add(time.Second))
+	events, next = c.eventsAfter(0, now.Add(time.Second))
 	require.Equal(t, []int64{1, 3}, []int64{events[0].Seq, events[1].Seq})
 	require.EqualValues(t, 3, next)
-	require.Len(t, c.used, 2)
+	require.Len(t, c.lastUse, 2)
 }
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -11,17 +11,18 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// DefaultMaxTokens is the length of an answer whose request gives none.
+// DefaultMaxTokens is the answer length of requests that set no limit.
 const DefaultMaxTokens = 16
 
-// created is the creation time in every chunk: fixed, so that answers compare by bytes.
+// created is the creation time in every chunk. It is constant so that answers can be
+// compared byte by byte.
 const created = 1_700_000_000
 
 var vocabulary = strings.Fields(`shell liner boot flex cuff last toe heel instep buckle canting
 	wax edge pigment ochre umber cobalt paper grain weight brush sable oil gum wash glaze size
 	water tone warm cool dry firm soft narrow wide left right one two three`)
 
-// completionRequest is the part of a request body that the stand-in reads.
+// completionRequest holds the fields of a request body that the engine uses.
 type completionRequest struct {
 	Model               string           `json:"model"`
 	Messages            []engine.Message `json:"messages"`
@@ -44,7 +45,8 @@
 	return DefaultMaxTokens
 }
 
-// tokens depends only on model, prompt, seed and length.
+// tokens returns the answer's tokens, which depend only on model, prompt, seed and
+// length.
 func (r *completionRequest) tokens() []string {
 	seed := xxhash.Sum64String(fmt.Sprintf("%s\x00%d\x00%s", r.Model, r.Seed, r.promptText()))
 	rnd := rand.New(rand.NewPCG(seed, 0))
@@ -58,8 +60,8 @@
 	return out
 }
 
-// Generate returns the tokens that every engine answers to this request body
-// with, in order; nil for a body that is not valid JSON.
+// Generate returns the tokens of the answer to the request body, which are the same
+// on every engine. It returns nil if the body is not valid JSON.
 func Generate(body []byte) []string {
 	var r completionRequest
 	if json.Unmarshal(body, &r) != nil {
@@ -68,7 +70,7 @@
 	return r.tokens()
 }
 
-// Text is the whole generated answer to the body.
+// Text returns the complete text of the answer to the request body.
 func Text(body []byte) string { return strings.Join(Generate(body), "") }
 
 type usage struct {
@@ -103,7 +105,8 @@
 	Usage   *usage `json:"usage,omitempty"`
 }
 
-// answer renders the events of one request: one per token, the finish chunk, the done marker.
+// answer renders the events of one request: one for each token, then the chunk with
+// the finish reason, then the done marker.
 type answer struct {
 	chat   bool
 	id     string
@@ -120,10 +123,10 @@
 	return a
 }
 
-// eventCount is the number of events of the whole stream.
+// eventCount returns the number of events in the complete stream.
 func (a *answer) eventCount() int { return len(a.tokens) + 2 }
 
-// data returns the data of event n, counted from 1.
+// data returns the data field of event n, counted from 1.
 func (a *answer) data(n int) string {
 	if n == a.eventCount() {
 		return engine.DoneMarker
@@ -142,7 +145,7 @@
 		c.Usage = &usage{PromptTokens: prompt, CompletionTokens: len(a.tokens), TotalTokens: prompt + len(a.tokens)}
 	}
 	c.Choices = []any{a.choice(n, text, finish)}
-	raw, _ := json.Marshal(c) // plain structs of strings and numbers always marshal
+	raw, _ := json.Marshal(c) // cannot fail for structs of strings and numbers
 	return string(raw)
 }
 
--- a/internal/standin/engine/members.go
+++ b/internal/standin/engine/members.go
@@ -12,9 +12,9 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// sighting is what the serving VM last heard from one member.
-type sighting struct {
-	at         time.Time
+// memberReport is the last state that the serving VM received from a member.
+type memberReport struct {
+	receivedAt time.Time
 	replica    cluster.ReplicaID
 	generation int64
 }
@@ -43,10 +43,10 @@
 			st.Members = append(st.Members, engine.MemberDigest{VM: vm, Replica: s.assignment.Replica, Generation: s.assignment.Generation})
 			continue
 		}
-		if seen, ok := s.seen[vm]; ok {
+		if seen, ok := s.memberReports[vm]; ok {
 			st.Members = append(st.Members, engine.MemberDigest{
 				VM: vm, Replica: seen.replica, Generation: seen.generation,
-				SeenAgoMs: now.Sub(seen.at).Milliseconds(),
+				SeenAgoMs: now.Sub(seen.receivedAt).Milliseconds(),
 			})
 		}
 	}
@@ -57,15 +57,16 @@
 	return s.assignment.Model != "" && !now.Before(s.loadedAt)
 }
 
-// wholeLocked reports whether every member was heard lately and agrees.
-func (s *Server) wholeLocked(now time.Time) bool {
+// healthyLocked reports whether every other member answered within MemberTimeout
+// with the same replica and generation.
+func (s *Server) healthyLocked(now time.Time) bool {
 	a := s.assignment
 	for _, vm := range a.Members {
 		if vm == s.opts.VM {
 			continue
 		}
-		seen, ok := s.seen[vm]
-		if !ok || now.Sub(seen.at) > s.opts.MemberTimeout {
+		seen, ok := s.memberReports[vm]
+		if !ok || now.Sub(seen.receivedAt) > s.opts.MemberTimeout {
 			return false
 		}
 		if seen.replica != a.Replica || seen.generation != a.Generation {
@@ -78,7 +79,7 @@
 func (s *Server) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
-		refuse(w, http.StatusBadRequest, false, err.Error())
+		writeError(w, http.StatusBadRequest, false, err.Error())
 		return
 	}
 	now := time.Now()
@@ -89,16 +90,16 @@
 	writeJSON(w, http.StatusOK, engine.OrderResult{Accepted: reason == "", Reason: reason, State: st})
 }
 
-// applyLocked carries out the order or returns why it is refused.
+// applyLocked executes the order, or returns the reason for rejecting it.
 func (s *Server) applyLocked(o engine.Order, now time.Time) (refused string) {
 	if o.VM != s.opts.VM {
-		return "order is for another vm"
+		return "order is addressed to another VM"
 	}
 	if s.opts.ChecksFence && o.Fence < s.fence {
-		return "stale fence"
+		return "stale fencing token"
 	}
 	if o.Kind == engine.OrderLoad && s.assignment.Replica != o.Assignment.Replica {
-		return "not in that replica"
+		return "VM is not assigned to that replica"
 	}
 	next := s.assignment
 	switch o.Kind {
@@ -109,14 +110,14 @@
 	case engine.OrderLoad:
 		next.Version, next.Adapters = o.Assignment.Version, o.Assignment.Adapters
 	default:
-		return "unknown order"
+		return "unknown order kind"
 	}
 	s.fence = max(s.fence, o.Fence)
-	s.assumeLocked(next, now)
+	s.setAssignmentLocked(next, now)
 	return ""
 }
 
-func (s *Server) assumeLocked(next engine.Assignment, now time.Time) {
+func (s *Server) setAssignmentLocked(next engine.Assignment, now time.Time) {
 	prev := s.assignment
 	sameWeights := prev.Model != "" && prev.Model == next.Model &&
 		prev.Version == next.Version && slices.Equal(prev.Adapters, next.Adapters)
@@ -127,14 +128,14 @@
 	}
 	if !sameMembers {
 		s.abortAllLocked()
-		s.seen = nil
+		s.memberReports = nil
 	}
 	s.assignment = next
 }
 
-// watchMembers asks the members of the replica that this VM serves, and aborts
-// all streams when one is missing: without its share of the weights no token
-// can be made.
+// watchMembers polls the members of the replica that this VM serves. It aborts all
+// streams when one is missing, because no token can be generated without that
+// member's share of the weights.
 func (s *Server) watchMembers() {
 	defer s.wg.Done()
 	tick := time.NewTicker(s.opts.MemberPoll)
@@ -150,17 +151,17 @@
 		case <-s.done:
 			return
 		}
-		s.askMembers()
+		s.pollMembers()
 		now := time.Now()
 		s.mu.Lock()
-		if s.assignment.Role == engine.RoleServing && !s.wholeLocked(now) {
+		if s.assignment.Role == engine.RoleServing && !s.healthyLocked(now) {
 			s.abortAllLocked()
 		}
 		s.mu.Unlock()
 	}
 }
 
-func (s *Server) askMembers() {
+func (s *Server) pollMembers() {
 	s.mu.Lock()
 	a, crashed := s.assignment, s.crashed
 	s.mu.Unlock()
@@ -173,7 +174,7 @@
 		if vm == s.opts.VM || addr == "" {
 			continue
 		}
-		wg.Go(func() { s.askMember(vm, addr) })
+		wg.Go(func() { s.pollMember(vm, addr) })
 	}
 	wg.Wait()
 }
@@ -188,7 +189,7 @@
 	return ""
 }
 
-func (s *Server) askMember(vm cluster.VMID, addr string) {
+func (s *Server) pollMember(vm cluster.VMID, addr string) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.opts.MemberTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+engine.StatePath, nil)
@@ -197,7 +198,7 @@
 	}
 	resp, err := s.peers.Do(req)
 	if err != nil {
-		return // a member that stays silent ages out by MemberTimeout
+		return // the previous report expires after MemberTimeout
 	}
 	defer resp.Body.Close()
 	var st engine.State
@@ -206,13 +207,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seen == nil {
-		s.seen = map[cluster.VMID]sighting{}
+	if s.memberReports == nil {
+		s.memberReports = map[cluster.VMID]memberReport{}
 	}
-	s.seen[vm] = sighting{at: time.Now(), replica: st.Assignment.Replica, generation: st.Assignment.Generation}
+	s.memberReports[vm] = memberReport{receivedAt: time.Now(), replica: st.Assignment.Replica, generation: st.Assignment.Generation}
 }
 
-// sampleLoad takes the load reports, so that a report is up to LoadLag old.
+// sampleLoad updates the load report every LoadLag, so that a report is up to
+// LoadLag old.
 func (s *Server) sampleLoad() {
 	defer s.wg.Done()
 	tick := time.NewTicker(s.opts.LoadLag)
@@ -222,26 +224,26 @@
 		case <-s.done:
 			return
 		case now := <-tick.C:
-			s.takeLoad(now)
+			s.updateLoad(now)
 		}
 	}
 }
 
-func (s *Server) takeLoad(now time.Time) {
+func (s *Server) updateLoad(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.MuteLoad {
 		return
 	}
-	made := s.tokens.Load()
+	total := s.tokens.Load()
 	elapsed := now.Sub(s.load.AsOf).Seconds()
 	next := engine.Load{AsOf: now, Running: s.running, Waiting: len(s.waiting), MaxRunning: s.opts.MaxRunning}
 	next.KVUsed = float64(s.running) / float64(s.opts.MaxRunning)
 	if elapsed > 0 {
-		next.TokensPerSecond = float64(made-s.loadTokens) / elapsed
+		next.TokensPerSecond = float64(total-s.loadTokensTotal) / elapsed
 	}
 	if s.faults.ReportIdle {
 		next.Running, next.Waiting, next.KVUsed = 0, 0, 0
 	}
-	s.load, s.loadTokens = next, made
+	s.load, s.loadTokensTotal = next, total
 }
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -1,7 +1,6 @@
-// Package standinengine is a model engine stand-in for one VM. It speaks the
-// protocol of package engine over HTTP, generates deterministic text and can be
-// told to fail in the ways that real engines do. It serves tests and the quick
-// start only.
+// Package standinengine simulates the model engine of one VM. It implements the
+// protocol of package engine over HTTP, generates deterministic text and injects
+// the faults that real engines show. It is for tests and the quick start only.
 package standinengine
 
 import (
@@ -10,46 +9,49 @@
 	"github.com/fennelcourse/fennelcourse/internal/cluster"
 )
 
-// Options shape one engine. Zero fields take the defaults below.
+// Options configures a Server. Zero fields take the defaults below.
 type Options struct {
 	VM cluster.VMID
-	// ChecksFence makes the engine refuse orders with an old fencing number.
+	// ChecksFence makes the engine reject orders with an old fencing token.
 	ChecksFence bool
-	// TokenInterval is the time between two tokens of one request.
+	// TokenInterval is the time between consecutive tokens of a request.
 	TokenInterval time.Duration
-	// PrefillPerBlock is the time that each uncached prompt block adds to the first token.
+	// PrefillPerBlock is added to the time to first token for each uncached prompt block.
 	PrefillPerBlock time.Duration
-	// MaxRunning is how many requests are batched; MaxWaiting how many wait beyond.
+	// MaxRunning limits the batch size and MaxWaiting the queue behind it.
 	MaxRunning int
 	MaxWaiting int
-	// MaxGap is the promised longest silence within a stream.
+	// MaxGap is the advertised maximum time between two writes on a stream.
 	MaxGap time.Duration
-	// CanContinue lets this engine continue streams that another replica began.
+	// CanContinue allows continuing streams that another replica started.
 	CanContinue bool
-	// LoadTime is how long loading a model or version takes.
+	// LoadTime is the duration of loading a model or version.
 	LoadTime time.Duration
-	// LoadLag is how old a load report can get.
+	// LoadLag is the sampling interval, and so the maximum age, of the load report.
 	LoadLag time.Duration
-	// ResumeGrace is how long a request without a connection is kept.
+	// ResumeGrace is how long a request without a connection is kept for resumption.
 	ResumeGrace time.Duration
-	// MemberPoll is how often the serving VM asks its members; one that has not
-	// answered for MemberTimeout is dead.
+	// MemberPoll is the interval at which the serving VM polls its members. A member
+	// that has not answered for MemberTimeout is considered dead.
 	MemberPoll    time.Duration
 	MemberTimeout time.Duration
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// CacheEventLag delays cache events; every CacheEventGap-th one is lost (0: none).
+	// CacheEventLag delays the publication of cache events. Every CacheEventGap-th
+	// event is dropped; zero drops none.
 	CacheEventLag time.Duration
 	CacheEventGap int
-	// CrashMarker crashes the engine that runs a body containing it; empty: none.
+	// CrashMarker crashes the engine when it executes a body that contains the text;
+	// empty disables it.
 	CrashMarker string
-	// PeerAddr finds a member that the assignment gives no address for; may be nil.
+	// PeerAddr resolves members without an address in the assignment; may be nil.
 	PeerAddr func(cluster.VMID) string
-	// OnCrash is called when the engine crashes; a process exits in it. May be nil.
+	// OnCrash is called when the engine crashes; fennel-standin exits the process in
+	// it. May be nil.
 	OnCrash func()
 }
 
-// Defaults of Options.
+// Default values of Options fields.
 const (
 	DefaultTokenInterval = time.Millisecond
 	DefaultMaxRunning    = 8
@@ -81,35 +83,37 @@
 	}
 }
 
-// Faults are the ways in which the engine misbehaves until they are set anew.
-// Event numbers count from 1; zero switches a fault off.
+// Faults selects the faults to inject; they stay active until the next SetFaults.
+// Event numbers count from 1; zero disables a fault.
 type Faults struct {
-	// Streams limits the stream faults to that many streams; zero means all.
+	// Streams is the number of streams that the stream faults apply to; zero means all.
 	Streams int `json:"streams,omitempty"`
-	// SwapEcho echoes another request's id and sends another request's answer.
+	// SwapEcho returns another request's ID and answer.
 	SwapEcho bool `json:"swap_echo,omitempty"`
-	// SwapFrom sends events of another request from that event on, under the right header.
+	// SwapFrom sends events of another request from this event on, with the correct
+	// request ID in the header.
 	SwapFrom int `json:"swap_from,omitempty"`
-	// TruncateAfter closes the stream cleanly after that many events.
+	// TruncateAfter ends the response normally after this many events.
 	TruncateAfter int `json:"truncate_after,omitempty"`
-	// AbortAfter breaks the connection after that many events.
+	// AbortAfter aborts the connection after this many events.
 	AbortAfter int `json:"abort_after,omitempty"`
-	// StallAfter sends nothing more on the connection after that many events.
+	// StallAfter keeps the connection open but sends nothing after this many events.
 	StallAfter int `json:"stall_after,omitempty"`
-	// Repeat sends that event twice, Skip leaves it out, Reorder swaps it with the next.
+	// Repeat sends this event twice, Skip omits it, Reorder swaps it with the next.
 	Repeat  int `json:"repeat,omitempty"`
 	Skip    int `json:"skip,omitempty"`
 	Reorder int `json:"reorder,omitempty"`
 
-	// Refuse refuses every request as not started.
+	// Refuse rejects every request as not started.
 	Refuse bool `json:"refuse,omitempty"`
-	// Freeze stops everything: connections stay open, nothing moves.
+	// Freeze suspends the engine: connections stay open but make no progress.
 	Freeze bool `json:"freeze,omitempty"`
-	// SlowBy multiplies the time between tokens: a straggler.
+	// SlowBy multiplies the time between tokens, which simulates a straggler.
 	SlowBy float64 `json:"slow_by,omitempty"`
-	// ReportIdle reports an empty engine whatever runs; MuteLoad repeats the last report for ever.
+	// ReportIdle reports zero load regardless of the running requests; MuteLoad stops
+	// updating the load report.
 	ReportIdle bool `json:"lie_idle,omitempty"`
 	MuteLoad   bool `json:"mute_load,omitempty"`
-	// CrashMarker crashes the engine when it runs a body that contains the text.
+	// CrashMarker acts like Options.CrashMarker, in addition to it.
 	CrashMarker string `json:"crash_marker,omitempty"`
 }
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -5,66 +5,69 @@
 	"time"
 )
 
-// runState is how far a run got.
+// runState is the lifecycle state of a run.
 type runState int
 
 const (
 	runActive runState = iota
 	runDone
-	// runAborted has no clean end: canceled, or the replica died under it.
+	// runAborted means that the run was canceled or its replica failed; its stream
+	// ends without a done marker.
 	runAborted
 )
 
-// run is one accepted request. It outlives its connection, so that a caller who
-// lost the connection can resume from any event.
+// run is the execution of one accepted request. It outlives its connection, so that
+// a client that lost the connection can resume after any event.
 type run struct {
 	id       string
 	answer   *answer
 	body     []byte
 	priority int
 	arrived  int64
-	// first is the number of the first event this run generates (above 1 when continued).
-	first int
+	// firstEvent is the number of the first event that this run generates. It is above
+	// 1 when the run continues another replica's stream.
+	firstEvent int
 
-	mu      sync.Mutex
-	made    int // events generated so far, as an absolute event number
-	state   runState
-	changed chan struct{} // closed and replaced at each change
-	readers int
-	idle    *time.Timer // aborts the run when nobody comes back
-	stop    chan struct{}
+	mu        sync.Mutex
+	lastEvent int // number of the newest generated event
+	state     runState
+	changed   chan struct{} // closed and replaced on each change
+	readers   int
+	idleTimer *time.Timer // discards the run when no client resumes it in time
+	stop      chan struct{}
 }
 
 func newRun(id string, a *answer, body []byte, first int) *run {
 	return &run{
-		id: id, answer: a, body: body, first: first, made: first - 1,
+		id: id, answer: a, body: body, firstEvent: first, lastEvent: first - 1,
 		changed: make(chan struct{}), stop: make(chan struct{}),
 	}
 }
 
-// view returns the newest event number, the state and a channel closed at the next change.
-func (r *run) view() (made int, state runState, changed <-chan struct{}) {
+// snapshot returns the newest event number, the state, and a channel that is closed
+// on the next change.
+func (r *run) snapshot() (lastEvent int, state runState, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.made, r.state, r.changed
+	return r.lastEvent, r.state, r.changed
 }
 
-// advance makes the next event and reports whether it was the last.
+// advance generates the next event and reports whether the run has ended.
 func (r *run) advance() (last bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state != runActive {
 		return true
 	}
-	r.made++
-	if r.made == r.answer.eventCount() {
+	r.lastEvent++
+	if r.lastEvent == r.answer.eventCount() {
 		r.state = runDone
 	}
-	r.broadcast()
+	r.notify()
 	return r.state == runDone
 }
 
-// abort ends the run without a clean end; a run that is done stays done.
+// abort ends an active run without a done marker; a completed run stays completed.
 func (r *run) abort() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,10 +76,10 @@
 	}
 	r.state = runAborted
 	close(r.stop)
-	r.broadcast()
+	r.notify()
 }
 
-func (r *run) broadcast() {
+func (r *run) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -85,26 +88,27 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers++
-	if r.idle != nil {
-		r.idle.Stop()
-		r.idle = nil
+	if r.idleTimer != nil {
+		r.idleTimer.Stop()
+		r.idleTimer = nil
 	}
 }
 
-// detach starts the grace after which forget is called, unless someone reads again.
-func (r *run) detach(grace time.Duration, forget func()) {
+// detach removes a reader. When it was the last one, discard is called after the
+// grace period unless a reader attaches first.
+func (r *run) detach(grace time.Duration, discard func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers--
 	if r.readers == 0 {
-		r.idle = time.AfterFunc(grace, forget)
+		r.idleTimer = time.AfterFunc(grace, discard)
 	}
 }
 
-func (r *run) dropTimer() {
+func (r *run) stopIdleTimer() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.idle != nil {
-		r.idle.Stop()
+	if r.idleTimer != nil {
+		r.idleTimer.Stop()
 	}
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -15,20 +15,21 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// Paths by which tests steer and inspect a stand-in process.
+// Paths for injecting faults and for reading the execution counts.
 const (
 	FaultsPath = "/standin/faults"
 	RunsPath   = "/standin/runs"
 )
 
-// Runs counts executions, by request id and by the hex SHA-256 of the body.
+// Runs counts executions by request ID and by the hex SHA-256 of the body, and the
+// crashes.
 type Runs struct {
 	ByRequest map[string]int `json:"by_request"`
 	ByBody    map[string]int `json:"by_body"`
 	Crashes   int            `json:"crashes"`
 }
 
-// Server is one VM's engine. Make it with New and end it with Close.
+// Server is the engine of one VM. Create it with New and stop it with Close.
 type Server struct {
 	opts   Options
 	cache  *prefixCache
@@ -38,34 +39,34 @@
 	done   chan struct{}
 	wg     sync.WaitGroup
 
-	mu         sync.Mutex
-	boot       string
-	crashed    bool
-	gone       chan struct{} // closed by a crash
-	assignment engine.Assignment
-	fence      cluster.Fence
-	loadedAt   time.Time // when loading is or was complete
-	seen       map[cluster.VMID]sighting
-	faults     Faults
-	thaw       chan struct{} // closed unless frozen
-	runs       map[string]*run
-	waiting    []*run
-	running    int
-	arrivals   int64
-	runsByID   map[string]int
-	runsByBody map[string]int
-	crashes    int
-	load       engine.Load
-	loadTokens int64
+	mu              sync.Mutex
+	boot            string
+	crashed         bool
+	crashSignal     chan struct{} // closed on a crash
+	assignment      engine.Assignment
+	fence           cluster.Fence
+	loadedAt        time.Time // time at which loading completes
+	memberReports   map[cluster.VMID]memberReport
+	faults          Faults
+	thaw            chan struct{} // closed unless frozen
+	runs            map[string]*run
+	waiting         []*run
+	running         int
+	arrivals        int64
+	runsByID        map[string]int
+	runsByBody      map[string]int
+	crashes         int
+	load            engine.Load
+	loadTokensTotal int64
 }
 
-// New returns an idle engine and starts watching its members once it serves.
+// New returns an idle engine and starts its background goroutines.
 func New(opts Options) *Server {
 	opts = opts.withDefaults()
 	s := &Server{
 		opts: opts, cache: newPrefixCache(opts), mux: http.NewServeMux(),
 		peers: &http.Client{Timeout: opts.MemberTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
-		done:  make(chan struct{}), boot: newBoot(), gone: make(chan struct{}),
+		done:  make(chan struct{}), boot: randomID(), crashSignal: make(chan struct{}),
 		assignment: engine.Assignment{Role: engine.RoleIdle},
 		thaw:       closedChan(), runs: map[string]*run{},
 		runsByID: map[string]int{}, runsByBody: map[string]int{},
@@ -85,7 +86,7 @@
 	return s
 }
 
-func newBoot() string {
+func randomID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
@@ -97,13 +98,14 @@
 	return c
 }
 
-// Handler serves the engine's HTTP interface.
+// Handler returns the engine's HTTP interface.
 func (s *Server) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.isCrashed() {
 			panic(http.ErrAbortHandler)
 		}
-		// The switches that tests use work on a frozen engine too.
+		// Faults and execution counts stay accessible while the engine is frozen, so
+		// that it can be unfrozen.
 		if r.URL.Path != FaultsPath && r.URL.Path != RunsPath {
 			select {
 			case <-s.thawed():
@@ -117,7 +119,7 @@
 	})
 }
 
-// Close ends all runs and goroutines.
+// Close aborts all runs and waits for all goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if !s.closedLocked() {
@@ -138,7 +140,7 @@
 	}
 }
 
-// Crash makes the engine die: every connection breaks and nothing is answered
+// Crash simulates a crash: every connection is aborted and no request is answered
 // until Restart.
 func (s *Server) Crash() {
 	s.mu.Lock()
@@ -148,7 +150,7 @@
 	}
 	s.crashed = true
 	s.crashes++
-	close(s.gone)
+	close(s.crashSignal)
 	s.abortAllLocked()
 	s.mu.Unlock()
 	if s.opts.OnCrash != nil {
@@ -156,14 +158,14 @@
 	}
 }
 
-// Restart brings a crashed engine back: a new boot, idle, nothing loaded.
+// Restart restarts the engine with a new boot ID, idle and with nothing loaded.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.abortAllLocked()
-	s.boot, s.crashed, s.gone = newBoot(), false, make(chan struct{})
+	s.boot, s.crashed, s.crashSignal = randomID(), false, make(chan struct{})
 	s.assignment, s.fence = engine.Assignment{Role: engine.RoleIdle}, 0
-	s.loadedAt, s.seen = time.Time{}, nil
+	s.loadedAt, s.memberReports = time.Time{}, nil
 }
 
 func (s *Server) isCrashed() bool {
@@ -178,7 +180,7 @@
 	return s.thaw
 }
 
-// SetFaults replaces the engine's faults.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,7 +193,7 @@
 	s.faults = f
 }
 
-// Runs returns how often each request and body was executed since New.
+// Runs returns the execution and crash counts since New.
 func (s *Server) Runs() Runs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +215,7 @@
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
-		refuse(w, http.StatusBadRequest, false, err.Error())
+		writeError(w, http.StatusBadRequest, false, err.Error())
 		return
 	}
 	s.SetFaults(f)
@@ -223,22 +225,22 @@
 func (s *Server) serveCancel(w http.ResponseWriter, r *http.Request) {
 	var c engine.CancelRequest
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
-		refuse(w, http.StatusBadRequest, false, err.Error())
+		writeError(w, http.StatusBadRequest, false, err.Error())
 		return
 	}
 	s.mu.Lock()
 	run := s.runs[c.RequestID]
 	s.mu.Unlock()
 	if run != nil {
-		run.dropTimer()
-		s.forget(run)
+		run.stopIdleTimer()
+		s.discard(run)
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
 func (s *Server) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
-	events, next := s.cache.after(after, time.Now())
+	events, next := s.cache.eventsAfter(after, time.Now())
 	s.mu.Lock()
 	boot := s.boot
 	s.mu.Unlock()
@@ -248,7 +250,7 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the peer may be gone
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
 
 type errorBody struct {
@@ -258,8 +260,9 @@
 	} `json:"error"`
 }
 
-// refuse answers an error; notStarted adds the proof that nothing ran.
-func refuse(w http.ResponseWriter, status int, notStarted bool, message string) {
+// writeError writes an error response. With notStarted the response carries the
+// header by which the caller knows that the request was not executed.
+func writeError(w http.ResponseWriter, status int, notStarted bool, message string) {
 	if notStarted {
 		w.Header().Set(engine.HeaderStarted, engine.StartedNo)
 	}
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -20,27 +20,28 @@
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, true, err.Error())
+		writeError(w, http.StatusBadRequest, true, err.Error())
 		return
 	}
 	id := r.Header.Get(engine.HeaderRequestID)
 	if id == "" {
-		id = newBoot()
+		id = randomID()
 	}
 	w.Header().Set(engine.HeaderRequestID, id)
 	after, resume, err := resumePoint(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, true, err.Error())
+		writeError(w, http.StatusBadRequest, true, err.Error())
 		return
 	}
 	if resume && r.Header.Get(engine.HeaderContinue) != "1" {
 		s.resume(w, r, id, after)
 		return
 	}
-	s.accept(w, r, id, body, after)
+	s.startRun(w, r, id, body, after)
 }
 
-// resumePoint returns the last event that the caller has and whether it names one.
+// resumePoint returns the number of the last event that the client has received,
+// and whether the request has the header that gives it.
 func resumePoint(r *http.Request) (after int, resume bool, err error) {
 	text := r.Header.Get(engine.HeaderResumeAfter)
 	if text == "" {
@@ -48,34 +49,34 @@
 	}
 	after, err = strconv.Atoi(text)
 	if err == nil && after < 0 {
-		err = fmt.Errorf("%s: negative", engine.HeaderResumeAfter)
+		err = fmt.Errorf("%s must not be negative", engine.HeaderResumeAfter)
 	}
 	return after, true, err
 }
 
-// resume goes on with a run whose connection was lost.
+// resume attaches the client to a run whose connection was lost.
 func (s *Server) resume(w http.ResponseWriter, r *http.Request, id string, after int) {
 	s.mu.Lock()
 	run := s.runs[id]
 	faults := s.takeStreamFaultsLocked()
 	s.mu.Unlock()
-	if run == nil || after > run.answer.eventCount() || after < run.first-1 {
-		refuse(w, http.StatusNotFound, false, "no such request to resume")
+	if run == nil || after > run.answer.eventCount() || after < run.firstEvent-1 {
+		writeError(w, http.StatusNotFound, false, "no request to resume with this ID and event number")
 		return
 	}
 	s.stream(w, r, run, after, faults)
 }
 
-// accept begins a run, or refuses it as not started.
-func (s *Server) accept(w http.ResponseWriter, r *http.Request, id string, body []byte, after int) {
+// startRun starts a run, or rejects the request as not started.
+func (s *Server) startRun(w http.ResponseWriter, r *http.Request, id string, body []byte, after int) {
 	var req completionRequest
 	if err := json.Unmarshal(body, &req); err != nil {
-		refuse(w, http.StatusBadRequest, true, "body is not JSON: "+err.Error())
+		writeError(w, http.StatusBadRequest, true, "body is not JSON: "+err.Error())
 		return
 	}
 	ans := newAnswer(r.URL.Path, id, req)
-	if reason := s.cannotContinue(ans, after); reason != "" {
-		refuse(w, http.StatusBadRequest, true, reason)
+	if reason := s.continueRefusal(ans, after); reason != "" {
+		writeError(w, http.StatusBadRequest, true, reason)
 		return
 	}
 	run := newRun(id, ans, body, after+1)
@@ -83,7 +84,7 @@
 	s.mu.Lock()
 	reason := s.refusalLocked(r, id, time.Now())
 	if reason == "" && !s.startLocked(run) {
-		reason = "full"
+		reason = "batch and queue are full"
 	}
 	faults := Faults{}
 	if reason == "" {
@@ -91,23 +92,26 @@
 	}
 	s.mu.Unlock()
 	if reason != "" {
-		// A request whose id runs here already did start, so nothing is promised for it.
-		refuse(w, http.StatusServiceUnavailable, reason != reasonRunning, reason)
+		// A request whose ID is running already has been started, so the response must
+		// not say that it was not.
+		writeError(w, http.StatusServiceUnavailable, reason != reasonRunning, reason)
 		return
 	}
 	s.stream(w, r, run, after, faults)
 }
 
-func (s *Server) cannotContinue(a *answer, after int) (reason string) {
+// continueRefusal returns why the answer cannot be continued after the given event,
+// or "".
+func (s *Server) continueRefusal(a *answer, after int) (reason string) {
 	if after == 0 {
 		return ""
 	}
 	if !s.opts.CanContinue {
 		return "this engine cannot continue another replica's stream"
 	}
-	made := min(after, len(a.tokens))
-	if after > len(a.tokens)+1 || strings.Join(a.tokens[:made], "") != a.req.Prefix {
-		return "fennel_prefix does not fit the event to continue after"
+	sent := min(after, len(a.tokens))
+	if after > len(a.tokens)+1 || strings.Join(a.tokens[:sent], "") != a.req.Prefix {
+		return "fennel_prefix does not match the event to continue after"
 	}
 	return ""
 }
@@ -120,32 +124,33 @@
 	return p
 }
 
-const reasonRunning = "request id is running already"
+const reasonRunning = "a request with this ID is already running"
 
-// refusalLocked returns why this engine does not start the request, or "".
+// refusalLocked returns why the engine cannot start the request, or "".
 func (s *Server) refusalLocked(r *http.Request, id string, now time.Time) string {
 	generation := strconv.FormatInt(s.assignment.Generation, 10)
 	switch {
 	case s.closedLocked():
-		return "stopping"
+		return "engine is shutting down"
 	case s.runs[id] != nil:
 		return reasonRunning
 	case s.faults.Refuse:
-		return "told to refuse"
+		return "refused by an injected fault"
 	case s.assignment.Role != engine.RoleServing:
-		return "not a serving vm"
+		return "VM does not serve a replica"
 	case r.Header.Get(engine.HeaderReplica) != string(s.assignment.Replica),
 		r.Header.Get(engine.HeaderGeneration) != generation:
-		return "not in that replica and generation"
+		return "VM is not assigned to that replica and generation"
 	case !s.loadedLocked(now):
-		return "not loaded"
-	case !s.wholeLocked(now):
-		return "a member is missing"
+		return "model is not loaded"
+	case !s.healthyLocked(now):
+		return "a member of the replica is missing"
 	}
 	return ""
 }
 
-// takeStreamFaultsLocked returns the faults for the next stream and counts it.
+// takeStreamFaultsLocked returns the faults for the next stream and decrements the
+// number of streams left to affect.
 func (s *Server) takeStreamFaultsLocked() Faults {
 	f := s.faults
 	if f.Streams == 0 {
@@ -165,20 +170,20 @@
 	}
 }
 
-// stream sends the run's events after the given one until its end.
+// stream sends the run's events after the given one until the run ends.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, run *run, after int, f Faults) {
 	run.attach()
-	defer run.detach(s.opts.ResumeGrace, func() { s.forget(run) })
+	defer run.detach(s.opts.ResumeGrace, func() { s.discard(run) })
 	s.mu.Lock()
-	gone := s.gone
+	crashSignal := s.crashSignal
 	s.mu.Unlock()
-	out := &eventWriter{w: w, rc: http.NewResponseController(w), run: run, faults: f, gone: gone}
-	out.writeHead(s.opts)
+	out := &eventWriter{w: w, rc: http.NewResponseController(w), run: run, faults: f, crashSignal: crashSignal}
+	out.writeHeader(s.opts)
 	for next := after + 1; ; {
-		made, state, changed := run.view()
-		for ; next <= made; next++ {
+		last, state, changed := run.snapshot()
+		for ; next <= last; next++ {
 			s.awaitThaw(r)
-			if out.endsBefore(next, r) || !out.send(next) {
+			if out.endBefore(next, r) || !out.send(next) {
 				return
 			}
 		}
@@ -194,8 +199,8 @@
 	}
 }
 
-// awaitChange waits for the next event and keeps the stream alive meanwhile;
-// false when the caller is gone.
+// awaitChange waits for the run to change, or sends a keep-alive comment after half
+// of MaxGap. It returns false when the client has disconnected.
 func (s *Server) awaitChange(r *http.Request, out *eventWriter, changed <-chan struct{}) bool {
 	keepAlive := time.NewTimer(s.opts.MaxGap / 2)
 	defer keepAlive.Stop()
@@ -203,8 +208,8 @@
 	case <-changed:
 	case <-keepAlive.C:
 		s.awaitThaw(r)
-		out.comment()
-	case <-out.gone:
+		out.writeKeepAlive()
+	case <-out.crashSignal:
 		panic(http.ErrAbortHandler)
 	case <-r.Context().Done():
 		return false
@@ -220,16 +225,16 @@
 	}
 }
 
-// eventWriter writes one connection's share of a run, with its faults.
+// eventWriter writes a run's events to one connection and injects the stream faults.
 type eventWriter struct {
-	w      http.ResponseWriter
-	rc     *http.ResponseController
-	run    *run
-	faults Faults
-	gone   <-chan struct{} // closed when the engine crashes
+	w           http.ResponseWriter
+	rc          *http.ResponseController
+	run         *run
+	faults      Faults
+	crashSignal <-chan struct{} // closed on a crash
 }
 
-func (o *eventWriter) writeHead(opts Options) {
+func (o *eventWriter) writeHeader(opts Options) {
 	h := o.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -244,8 +249,9 @@
 	_ = o.rc.Flush()
 }
 
-// endsBefore ends the stream early where a fault says so.
-func (o *eventWriter) endsBefore(next int, r *http.Request) bool {
+// endBefore reports whether a fault ends the stream before the next event. It
+// aborts the connection or stalls if that is the fault.
+func (o *eventWriter) endBefore(next int, r *http.Request) bool {
 	sent := next - 1
 	switch {
 	case o.faults.TruncateAfter > 0 && sent >= o.faults.TruncateAfter:
@@ -256,14 +262,15 @@
 		select {
 		case <-r.Context().Done():
 			return true
-		case <-o.gone:
+		case <-o.crashSignal:
 			panic(http.ErrAbortHandler)
 		}
 	}
 	return false
 }
 
-// send writes event n, or what a fault makes of it; false when the connection is gone.
+// send writes event n as modified by the faults. It returns false when the
+// connection is lost.
 func (o *eventWriter) send(n int) bool {
 	switch n {
 	case o.faults.Skip, o.faults.Reorder:
@@ -283,7 +290,7 @@
 func (o *eventWriter) write(n int) bool {
 	data := o.run.answer.data(n)
 	if o.faults.SwapEcho || (o.faults.SwapFrom > 0 && n >= o.faults.SwapFrom) {
-		data = o.swapped(n)
+		data = o.swappedData(n)
 	}
 	if _, err := fmt.Fprintf(o.w, "id: %d\ndata: %s\n\n", n, data); err != nil {
 		return false
@@ -291,8 +298,8 @@
 	return o.rc.Flush() == nil
 }
 
-// swapped is the same event of another request's answer.
-func (o *eventWriter) swapped(n int) string {
+// swappedData returns event n of another request's answer.
+func (o *eventWriter) swappedData(n int) string {
 	other := *o.run.answer
 	other.id = "chatcmpl-swapped"
 	other.req.Seed++
@@ -300,7 +307,7 @@
 	return other.data(n)
 }
 
-func (o *eventWriter) comment() {
-	_, _ = io.WriteString(o.w, ": keep-alive\n\n") // a lost peer shows in the request's context
+func (o *eventWriter) writeKeepAlive() {
+	_, _ = io.WriteString(o.w, ": keep-alive\n\n") // a disconnect cancels the request's context
 	_ = o.rc.Flush()
 }
