--- a/internal/standin/engine/members.go
+++ b/internal/standin/engine/members.go
@@ -232,7 +232,7 @@
 func (s *Server) updateLoad(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.MuteLoad {
+	if s.faults.FreezeLoadReport {
 		return
 	}
 	total := s.tokens.Load()
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -112,8 +112,8 @@
 	SlowBy float64 `json:"slow_by,omitempty"`
 	// ReportIdle reports zero load regardless of the running requests; MuteLoad stops
 	// updating the load report.
-	ReportIdle bool `json:"lie_idle,omitempty"`
-	MuteLoad   bool `json:"mute_load,omitempty"`
+	ReportIdle       bool `json:"lie_idle,omitempty"`
+	FreezeLoadReport bool `json:"mute_load,omitempty"`
 	// CrashMarker acts like Options.CrashMarker, in addition to it.
 	CrashMarker string `json:"crash_marker,omitempty"`
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -166,7 +166,7 @@
 func (f Faults) withoutStreamFaults() Faults {
 	return Faults{
 		Refuse: f.Refuse, Freeze: f.Freeze, SlowBy: f.SlowBy, ReportIdle: f.ReportIdle,
-		MuteLoad: f.MuteLoad, CrashMarker: f.CrashMarker,
+		FreezeLoadReport: f.FreezeLoadReport, CrashMarker: f.CrashMarker,
 	}
 }
 
