--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -110,8 +110,8 @@
 	Freeze bool `json:"freeze,omitempty"`
 	// SlowBy multiplies the time between tokens, which simulates a straggler.
 	SlowBy float64 `json:"slow_by,omitempty"`
-	// ReportIdle reports zero load regardless of the running requests; MuteLoad stops
-	// updating the load report.
+	// ReportIdle reports zero load regardless of the running requests;
+	// FreezeLoadReport stops updating the load report.
 	ReportIdle       bool `json:"lie_idle,omitempty"`
 	FreezeLoadReport bool `json:"mute_load,omitempty"`
 	// CrashMarker acts like Options.CrashMarker, in addition to it.
