--- a/internal/standin/platform/gateway.go
+++ b/internal/standin/platform/gateway.go
@@ -12,7 +12,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/etcdjson"
 )
 
-// maxBody bounds a request's body: a transaction of large values, in base64.
+// maxBody limits the request body. It admits a transaction of large values in base64.
 const maxBody = 4 << 20
 
 func (s *Server) handleRange(w http.ResponseWriter, r *http.Request) {
@@ -23,15 +23,15 @@
 	if len(req.RangeEnd) == 0 {
 		kv, revision, err := s.store.Get(r.Context(), string(req.Key))
 		if err != nil {
-			writeFailure(w, err)
+			writeStoreError(w, err)
 			return
 		}
-		writeJSON(w, oneKey(kv, revision))
+		writeJSON(w, singleKeyResponse(kv, revision))
 		return
 	}
-	prefix, after, ok := splitRange(req)
+	prefix, after, ok := parsePrefixRange(req)
 	if !ok {
-		writeError(w, http.StatusBadRequest, etcdjson.CodeUnimplemented, "the stand-in serves only ranges by prefix")
+		writeError(w, http.StatusBadRequest, etcdjson.CodeUnimplemented, "only ranges by prefix are supported")
 		return
 	}
 	res, err := s.store.Range(r.Context(), prefix, store.RangeOptions{
@@ -41,7 +41,7 @@
 		Revision:   int64(req.Revision),
 	})
 	if err != nil {
-		writeFailure(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	out := etcdjson.RangeResponse{Header: header(res.Revision), More: res.More, Count: etcdjson.Int64(len(res.KVs))}
@@ -51,16 +51,16 @@
 	writeJSON(w, out)
 }
 
-// splitRange turns the gateway's key and range_end back into a prefix and the
-// key to start after: the stand-in serves only such ranges.
-func splitRange(req etcdjson.RangeRequest) (prefix, after string, ok bool) {
+// parsePrefixRange converts key and range_end to a prefix and the key to start after.
+// It returns false for any other range, because the store reads only by prefix.
+func parsePrefixRange(req etcdjson.RangeRequest) (prefix, after string, ok bool) {
 	key := string(req.Key)
 	for n := len(key); n > 0; n-- {
 		if string(etcdjson.PrefixEnd(key[:n])) != string(req.RangeEnd) {
 			continue
 		}
 		if n < len(key) {
-			after = key[:len(key)-1] // a continued read starts at after + "\x00"
+			after = key[:len(key)-1] // a paginated read starts at after + "\x00"
 		}
 		return key[:n], after, true
 	}
@@ -75,7 +75,7 @@
 	}
 	res, err := s.store.Txn(r.Context(), store.Txn{Then: []store.Op{putOp(&req)}})
 	if err != nil {
-		writeFailure(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	writeJSON(w, etcdjson.PutResponse{Header: header(res.Revision)})
@@ -86,13 +86,13 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	txn := store.Txn{Then: ops(req.Success), Else: ops(req.Failure)}
+	txn := store.Txn{Then: toOps(req.Success), Else: toOps(req.Failure)}
 	for _, c := range req.Compare {
-		txn.Guards = append(txn.Guards, guard(c))
+		txn.Guards = append(txn.Guards, toGuard(c))
 	}
 	res, err := s.store.Txn(r.Context(), txn)
 	if err != nil {
-		writeFailure(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	branch := req.Success
@@ -102,19 +102,19 @@
 	writeJSON(w, etcdjson.TxnResponse{
 		Header:    header(res.Revision),
 		Succeeded: res.Succeeded,
-		Responses: responses(branch, res),
+		Responses: txnResponses(branch, res),
 	})
 }
 
-func responses(branch []etcdjson.RequestOp, res store.TxnResult) []etcdjson.ResponseOp {
+func txnResponses(branch []etcdjson.RequestOp, res store.TxnResult) []etcdjson.ResponseOp {
 	var out []etcdjson.ResponseOp
 	gets := res.Gets
 	for _, op := range branch {
 		switch {
 		case op.Range != nil:
-			one := oneKey(gets[0], res.Revision)
+			rangeResponse := singleKeyResponse(gets[0], res.Revision)
 			gets = gets[1:]
-			out = append(out, etcdjson.ResponseOp{Range: &one})
+			out = append(out, etcdjson.ResponseOp{Range: &rangeResponse})
 		case op.Put != nil:
 			out = append(out, etcdjson.ResponseOp{Put: &etcdjson.PutResponse{Header: header(res.Revision)}})
 		default:
@@ -124,7 +124,7 @@
 	return out
 }
 
-func ops(in []etcdjson.RequestOp) []store.Op {
+func toOps(in []etcdjson.RequestOp) []store.Op {
 	var out []store.Op
 	for _, op := range in {
 		switch {
@@ -143,7 +143,7 @@
 	return store.Put(string(req.Key), req.Value, store.LeaseID(req.Lease))
 }
 
-func guard(c etcdjson.Compare) store.Guard {
+func toGuard(c etcdjson.Compare) store.Guard {
 	g := store.Guard{Key: string(c.Key)}
 	value := c.CreateRevision
 	switch c.Target {
@@ -165,7 +165,7 @@
 	}
 	id, err := s.store.Grant(r.Context(), time.Duration(req.TTL)*time.Second)
 	if err != nil {
-		writeFailure(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	writeJSON(w, etcdjson.LeaseResponse{ID: etcdjson.Int64(id), TTL: req.TTL})
@@ -176,17 +176,17 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	left, err := s.store.KeepAlive(r.Context(), store.LeaseID(req.ID))
-	if failure, ok := errors.Into[*store.Error](err); ok && failure.Kind == store.LeaseNotFound {
-		left, err = 0, nil // the gateway answers a TTL of zero
+	remaining, err := s.store.KeepAlive(r.Context(), store.LeaseID(req.ID))
+	if storeErr, ok := errors.Into[*store.Error](err); ok && storeErr.Kind == store.LeaseNotFound {
+		remaining, err = 0, nil // the gateway reports an expired lease by a TTL of zero
 	}
 	if err != nil {
-		writeFailure(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	writeJSON(w, etcdjson.KeepAliveResult{Result: etcdjson.LeaseResponse{
 		ID:  req.ID,
-		TTL: etcdjson.Int64(left / time.Second),
+		TTL: etcdjson.Int64(remaining / time.Second),
 	}})
 }
 
@@ -196,21 +196,21 @@
 		return
 	}
 	if err := s.store.Revoke(r.Context(), store.LeaseID(req.ID)); err != nil {
-		writeFailure(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	writeJSON(w, etcdjson.LeaseResponse{})
 }
 
-// writeFailure answers as the gateway does. A write that is lost leaves no
-// answer at all: the connection is cut.
-func writeFailure(w http.ResponseWriter, err error) {
-	failure, ok := errors.Into[*store.Error](err)
-	if !ok || failure.Outcome == store.Unknown {
-		panic(http.ErrAbortHandler) // cuts the connection
+// writeStoreError writes the error response of the gateway. If the outcome of the
+// call is unknown, it aborts the connection without a response.
+func writeStoreError(w http.ResponseWriter, err error) {
+	storeErr, ok := errors.Into[*store.Error](err)
+	if !ok || storeErr.Outcome == store.Unknown {
+		panic(http.ErrAbortHandler) // aborts the connection
 	}
-	status, code, message := http.StatusServiceUnavailable, etcdjson.CodeUnavailable, failure.Err.Error()
-	switch failure.Kind {
+	status, code, message := http.StatusServiceUnavailable, etcdjson.CodeUnavailable, storeErr.Err.Error()
+	switch storeErr.Kind {
 	case store.LeaseNotFound:
 		status, code, message = http.StatusNotFound, etcdjson.CodeNotFound, etcdjson.MessageNoLease
 	case store.Compacted:
@@ -235,14 +235,15 @@
 	return true
 }
 
-// drain reads the body, so that the server notices when the caller hangs up.
-func drain(r *http.Request) { _, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)) }
+// discardBody reads the rest of the body. Only after that does net/http detect a
+// disconnect of the client and cancel the request's context.
+func discardBody(r *http.Request) { _, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)) }
 
 func header(revision int64) etcdjson.Header {
 	return etcdjson.Header{Revision: etcdjson.Int64(revision)}
 }
 
-func oneKey(kv *store.KV, revision int64) etcdjson.RangeResponse {
+func singleKeyResponse(kv *store.KV, revision int64) etcdjson.RangeResponse {
 	out := etcdjson.RangeResponse{Header: header(revision)}
 	if kv != nil {
 		out.KVs = []etcdjson.KV{toJSON(*kv)}
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,14 +1,14 @@
-// Package platform is a small stand-in for what the platform gives: the
-// key-value service behind the published etcd v3 JSON gateway, and the VM list.
-// It keeps everything in memory and is for tests and the quick start only.
+// Package platform simulates the services that the platform provides: the key-value
+// service, with the interface of the published etcd v3 JSON gateway, and the VM list.
+// It keeps all data in memory and is for tests and the quick start only.
 //
-// Its faults are switched in process by methods, or over HTTP when it runs as a
-// process of its own:
+// Faults are injected by calling SetFaults, or over HTTP when the simulation runs as
+// a separate process:
 //
-//	GET  /vms                 the VM list
+//	GET  /vms                 returns the VM list
 //	PUT  /vms                 replaces the VMs with a JSON array
-//	POST /standin/faults      replaces the switches (Faults as JSON)
-//	GET  /standin/calls       calls by kind since the start
+//	POST /standin/faults      replaces the injected faults (Faults as JSON)
+//	GET  /standin/calls       returns the number of calls by kind since the start
 package platform
 
 import (
@@ -24,50 +24,50 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// Paths beside the gateway's.
+// Paths served in addition to those of the etcd gateway.
 const (
 	PathVMs    = "/vms"
 	PathFaults = "/standin/faults"
 	PathCalls  = "/standin/calls"
 )
 
-// KindVMs is the kind under which reads of the VM list are counted; the store's
-// kinds are memstore's.
+// KindVMs is the kind under which Calls counts reads of the VM list. Store calls are
+// counted under the kinds of memstore.
 const KindVMs = "vms"
 
 // Options configures a Server. The zero value is ready for use.
 type Options struct {
 	Store memstore.Options
 	VMs   []cluster.VM
-	// Now stamps the VM list; nil is time.Now.
+	// Now returns the timestamp of the VM list; nil means time.Now.
 	Now func() time.Time
 }
 
-// Faults are all switches of the stand-in.
+// Faults selects the faults to inject. The zero value injects none.
 type Faults struct {
 	Store memstore.Faults `json:"store"`
-	// Silent accepts requests to the store and the VM list and never answers them.
+	// Silent accepts requests to the store and the VM list but never answers them.
 	Silent bool `json:"silent,omitempty"`
 	// VMsDown fails reads of the VM list.
 	VMsDown bool `json:"vms_down,omitempty"`
-	// FreezeVMs keeps answering with the list as it was when the switch was set.
+	// FreezeVMs answers with the VM list as it was when the fault was set.
 	FreezeVMs bool `json:"freeze_vms,omitempty"`
 }
 
-// Server is the stand-in.
+// Server simulates the key-value service and the VM list.
 type Server struct {
 	store *memstore.Store
 	now   func() time.Time
 
-	mu     sync.Mutex
-	faults Faults
-	vms    []cluster.VM
-	frozen *cluster.VMList
+	mu         sync.Mutex
+	faults     Faults
+	vms        []cluster.VM
+	frozenList *cluster.VMList
 
 	vmReads atomic.Int64
 }
 
-// New returns a stand-in with an empty store.
+// New returns a Server with an empty store.
 func New(opts Options) *Server {
 	s := &Server{store: memstore.New(opts.Store), now: opts.Now, vms: slices.Clone(opts.VMs)}
 	if s.now == nil {
@@ -86,21 +86,21 @@
 	s.vms = slices.Clone(vms)
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	if !f.FreezeVMs {
-		s.frozen = nil
-	} else if s.frozen == nil {
-		list := s.listLocked()
-		s.frozen = &list
+		s.frozenList = nil
+	} else if s.frozenList == nil {
+		list := s.vmListLocked()
+		s.frozenList = &list
 	}
 	s.faults = f
 	s.mu.Unlock()
 	s.store.SetFaults(f.Store)
 }
 
-// Calls returns how many calls of each kind were made.
+// Calls returns the number of calls by kind since New.
 func (s *Server) Calls() map[string]int64 {
 	out := make(map[string]int64)
 	for kind, n := range s.store.Calls() {
@@ -123,24 +123,24 @@
 		etcdjson.PathRevokeKV:  s.handleRevoke,
 		etcdjson.PathWatch:     s.handleWatch,
 	} {
-		mux.Handle("POST "+path, s.unlessSilent(handle))
+		mux.Handle("POST "+path, s.holdIfSilent(handle))
 	}
-	mux.Handle("GET "+PathVMs, s.unlessSilent(s.handleVMs))
+	mux.Handle("GET "+PathVMs, s.holdIfSilent(s.handleVMs))
 	mux.HandleFunc("PUT "+PathVMs, s.handleSetVMs)
 	mux.HandleFunc("POST "+PathFaults, s.handleFaults)
 	mux.HandleFunc("GET "+PathCalls, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Calls()) })
 	return mux
 }
 
-// unlessSilent holds requests back for as long as the Silent switch was set when
-// they came in; the caller has to give up by itself.
-func (s *Server) unlessSilent(next http.HandlerFunc) http.Handler {
+// holdIfSilent leaves requests that arrive while the Silent fault is set unanswered
+// until the client disconnects.
+func (s *Server) holdIfSilent(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		silent := s.faults.Silent
 		s.mu.Unlock()
 		if silent {
-			drain(r)
+			discardBody(r)
 			<-r.Context().Done()
 			return
 		}
@@ -148,21 +148,21 @@
 	})
 }
 
-func (s *Server) listLocked() cluster.VMList {
+func (s *Server) vmListLocked() cluster.VMList {
 	return cluster.VMList{AsOf: s.now(), VMs: slices.Clone(s.vms)}
 }
 
 func (s *Server) handleVMs(w http.ResponseWriter, _ *http.Request) {
 	s.vmReads.Add(1)
 	s.mu.Lock()
-	list := s.listLocked()
-	if s.frozen != nil {
-		list = *s.frozen
+	list := s.vmListLocked()
+	if s.frozenList != nil {
+		list = *s.frozenList
 	}
 	down := s.faults.VMsDown
 	s.mu.Unlock()
 	if down {
-		http.Error(w, "the VM list is down", http.StatusServiceUnavailable)
+		http.Error(w, "the VM list is unavailable", http.StatusServiceUnavailable)
 		return
 	}
 	writeJSON(w, list)
@@ -188,5 +188,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", etcdjson.ContentType)
-	_ = json.NewEncoder(w).Encode(v) // the caller is gone if this fails
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -27,9 +27,9 @@
 	return res.StatusCode
 }
 
-// The store's messages are tested with the driver that speaks them; here are the
-// controls that other processes use.
-func TestControlsOverHTTP(t *testing.T) {
+// Tests setting the VM list and the faults over HTTP. The etcd gateway's messages
+// are covered by the tests of the store driver.
+func TestVMListAndFaultsOverHTTP(t *testing.T) {
 	p := platform.New(platform.Options{})
 	srv := httptest.NewServer(p.Handler())
 	defer srv.Close()
@@ -45,7 +45,7 @@
 	require.Equal(t, http.StatusNoContent, send(t, http.MethodPut, vms, `[]`, nil))
 	var frozen cluster.VMList
 	send(t, http.MethodGet, vms, "", &frozen)
-	require.Len(t, frozen.VMs, 1, "the list lags")
+	require.Len(t, frozen.VMs, 1, "the VM list must not change while frozen")
 	get := `{"key":"aw=="}`
 	require.Equal(t, http.StatusServiceUnavailable, send(t, http.MethodPost, srv.URL+etcdjson.PathRange, get, nil))
 
--- a/internal/standin/platform/watch.go
+++ b/internal/standin/platform/watch.go
@@ -15,7 +15,7 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	drain(r)
+	discardBody(r)
 	prefix := string(req.Create.Key)
 	revision := s.store.Revision()
 	from := int64(req.Create.StartRevision)
@@ -24,7 +24,7 @@
 	}
 	batches, err := s.store.Watch(r.Context(), prefix, from)
 	if err != nil {
-		writeFailure(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	stream := watchStream{w: w, enc: json.NewEncoder(w), flush: http.NewResponseController(w)}
@@ -32,7 +32,7 @@
 	stream.send(etcdjson.WatchResponse{Header: header(revision), Created: true})
 	for batch := range batches {
 		if batch.Err != nil {
-			stream.end(batch.Err)
+			stream.sendError(batch.Err)
 			return
 		}
 		stream.send(etcdjson.WatchResponse{Header: header(batch.Revision), Events: toEvents(batch.Events)})
@@ -46,19 +46,20 @@
 }
 
 func (s *watchStream) send(res etcdjson.WatchResponse) {
-	_ = s.enc.Encode(etcdjson.WatchResult{Result: res}) // the request's context ends when this fails
+	_ = s.enc.Encode(etcdjson.WatchResult{Result: res}) // a disconnect cancels the request's context
 	_ = s.flush.Flush()
 }
 
-// end tells the watcher of a compaction; any other failure cuts the connection.
-func (s *watchStream) end(err error) {
-	failure, ok := errors.Into[*store.Error](err)
-	if !ok || failure.Kind != store.Compacted {
-		panic(http.ErrAbortHandler) // cuts the connection
+// sendError reports a compaction to the watcher. On any other error it aborts the
+// connection.
+func (s *watchStream) sendError(err error) {
+	storeErr, ok := errors.Into[*store.Error](err)
+	if !ok || storeErr.Kind != store.Compacted {
+		panic(http.ErrAbortHandler) // aborts the connection
 	}
 	s.send(etcdjson.WatchResponse{
 		Canceled:        true,
-		CancelReason:    failure.Err.Error(),
+		CancelReason:    storeErr.Err.Error(),
 		CompactRevision: 1,
 	})
 }
@@ -66,11 +67,11 @@
 func toEvents(in []store.Event) []etcdjson.Event {
 	out := make([]etcdjson.Event, 0, len(in))
 	for _, ev := range in {
-		one := etcdjson.Event{KV: toJSON(ev.KV)}
+		event := etcdjson.Event{KV: toJSON(ev.KV)}
 		if ev.Type == store.EventDelete {
-			one.Type = etcdjson.EventTypeDel
+			event.Type = etcdjson.EventTypeDel
 		}
-		out = append(out, one)
+		out = append(out, event)
 	}
 	return out
 }
