--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,7 +1,7 @@
-// Package standinservice is a plain-service stand-in (deposits, bookings). It
-// executes every call it is sent, counts the executions by idempotency key and
-// body, and can be told to fail around them. It serves tests and the quick
-// start only.
+// Package standinservice simulates a plain service (deposits, bookings), as opposed
+// to a model engine. It executes every call that it receives, counts the executions
+// by idempotency key and by body, and injects faults before and after them. It is for
+// tests and the quick start only.
 package standinservice
 
 import (
@@ -17,50 +17,52 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// Paths by which tests steer and inspect a stand-in process.
+// Paths for injecting faults and for reading the execution counts.
 const (
 	FaultsPath = "/standin/faults"
 	RunsPath   = "/standin/runs"
 )
 
-// HeaderIdempotencyKey names a call that may be sent again but must not run again.
+// HeaderIdempotencyKey identifies a call that may be retried but must be executed
+// only once.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
 const maxBody = 1 << 20
 
-// Faults are the ways in which the service misbehaves until they are set anew.
+// Faults selects the faults to inject; they stay active until the next SetFaults.
 type Faults struct {
-	// Calls limits the faults to that many calls; zero means all.
+	// Calls is the number of calls that the faults apply to; zero means all.
 	Calls int `json:"calls,omitempty"`
 	// SlowMs delays each execution, in milliseconds.
 	SlowMs int `json:"slow_ms,omitempty"`
-	// LoseAnswer executes the call and closes the connection without an answer.
+	// LoseAnswer executes the call and aborts the connection without a response.
 	LoseAnswer bool `json:"lose_answer,omitempty"`
-	// Refuse answers 503 with the proof that nothing was started.
+	// Refuse answers 503 with the header that says that the call was not executed.
 	Refuse bool `json:"refuse,omitempty"`
-	// SwapEcho echoes another request's id.
+	// SwapEcho returns another request's ID.
 	SwapEcho bool `json:"swap_echo,omitempty"`
-	// CrashBefore and CrashAfter end the service before or after the execution.
+	// CrashBefore and CrashAfter crash the service before or after the execution.
 	CrashBefore bool `json:"crash_before,omitempty"`
 	CrashAfter  bool `json:"crash_after,omitempty"`
 }
 
-// Runs counts executions, by idempotency key and by the hex SHA-256 of the body.
+// Runs counts executions by idempotency key, by the hex SHA-256 of the body, and in
+// total.
 type Runs struct {
 	ByKey  map[string]int `json:"by_key"`
 	ByBody map[string]int `json:"by_body"`
 	Total  int            `json:"total"`
 }
 
-// Receipt is the answer to an executed call.
+// Receipt is the response to an executed call.
 type Receipt struct {
-	Run    int    `json:"run"` // how many calls were executed before and with this one
+	Run    int    `json:"run"` // number of calls executed so far, including this one
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   string `json:"body,omitempty"`
 }
 
-// Server is one plain service.
+// Server simulates one plain service.
 type Server struct {
 	onCrash func()
 
@@ -70,13 +72,14 @@
 	runs    Runs
 }
 
-// New returns a service. onCrash, which may be nil, is called when a fault
-// crashes it; a process exits in it.
+// New returns a Server. onCrash, which may be nil, is called when a fault crashes
+// the service; fennel-standin exits the process in it.
 func New(onCrash func()) *Server {
 	return &Server{onCrash: onCrash, runs: Runs{ByKey: map[string]int{}, ByBody: map[string]int{}}}
 }
 
-// Handler serves any path, and the two stand-in paths.
+// Handler returns the HTTP interface: FaultsPath and RunsPath, and the service itself
+// on all other paths.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+RunsPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Runs()) })
@@ -85,14 +88,14 @@
 	return mux
 }
 
-// SetFaults replaces the service's faults and brings a crashed service back.
+// SetFaults replaces the injected faults and restarts a crashed service.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults, s.crashed = f, false
 }
 
-// Runs returns the executions since New.
+// Runs returns the execution counts since New.
 func (s *Server) Runs() Runs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,18 +129,18 @@
 	if crashed {
 		panic(http.ErrAbortHandler)
 	}
-	s.echo(w, r, f)
+	s.echoRequestID(w, r, f)
 	if f.Refuse {
 		w.Header().Set(engine.HeaderStarted, engine.StartedNo)
-		http.Error(w, "refused before starting", http.StatusServiceUnavailable)
+		http.Error(w, "refused before execution", http.StatusServiceUnavailable)
 		return
 	}
 	if f.CrashBefore {
 		s.crash()
 	}
-	// An execution goes on when its caller is gone, as a booking would.
+	// The execution continues after the client disconnects, as a real booking would.
 	if f.SlowMs > 0 {
-		delay(context.WithoutCancel(r.Context()), time.Duration(f.SlowMs)*time.Millisecond)
+		sleep(context.WithoutCancel(r.Context()), time.Duration(f.SlowMs)*time.Millisecond)
 	}
 	receipt := s.execute(r, body)
 	if f.CrashAfter {
@@ -153,7 +156,7 @@
 	writeJSON(w, status, receipt)
 }
 
-func delay(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -175,7 +178,7 @@
 	return f, s.crashed
 }
 
-func (s *Server) echo(w http.ResponseWriter, r *http.Request, f Faults) {
+func (s *Server) echoRequestID(w http.ResponseWriter, r *http.Request, f Faults) {
 	id := r.Header.Get(engine.HeaderRequestID)
 	if id == "" {
 		return
@@ -198,7 +201,7 @@
 	return Receipt{Run: s.runs.Total, Method: r.Method, Path: r.URL.Path, Body: string(body)}
 }
 
-// crash breaks the connection and every later one.
+// crash aborts the connection, and all later ones until SetFaults.
 func (s *Server) crash() {
 	s.mu.Lock()
 	s.crashed = true
@@ -212,5 +215,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the peer may be gone
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -13,7 +13,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-func TestCallsAreCountedAroundEveryFault(t *testing.T) {
+func TestExecutionsAreCountedUnderFaults(t *testing.T) {
 	s := New(nil)
 	h := httptest.NewServer(s.Handler())
 	defer h.Close()
@@ -34,7 +34,7 @@
 		answered bool
 		runs     int
 	}{
-		{"sound", Faults{}, true, 1},
+		{"no-fault", Faults{}, true, 1},
 		{"slow", Faults{SlowMs: 1}, true, 1},
 		{"refused", Faults{Refuse: true}, true, 0},
 		{"lost", Faults{LoseAnswer: true}, false, 1},
