--- a/cmd/fennel-standin/main.go
+++ b/cmd/fennel-standin/main.go
@@ -1,6 +1,6 @@
-// Command fennel-standin runs one stand-in of what fennelcourse is deployed
-// beside: a model engine, a plain service, or the platform in either form. It is meant for tests
-// and the quick start only.
+// Command fennel-standin simulates one of the systems that fennelcourse works with: a
+// model engine, a plain service, the platform, or the managed platform. It is for
+// tests and the quick start only.
 package main
 
 import (
@@ -16,7 +16,8 @@
 	"github.com/peterbourgon/ff/v4/ffhelp"
 )
 
-// crashExitCode tells a crash that a fault asked for from a stop.
+// crashExitCode is the exit status of an injected crash. It differs from those of a
+// normal stop and of an error.
 const crashExitCode = 3
 
 func main() {
@@ -34,7 +35,7 @@
 	root := &ff.Command{
 		Name:        "fennel-standin",
 		Usage:       "fennel-standin <engine|service|platform|managed> [FLAGS]",
-		ShortHelp:   "run a stand-in for tests and the quick start",
+		ShortHelp:   "simulate an engine, a service or the platform for tests and the quick start",
 		Subcommands: []*ff.Command{engineCommand(log), serviceCommand(log), platformCommand(log), managedCommand(log)},
 	}
 	err := root.ParseAndRun(ctx, args)
--- a/cmd/fennel-standin/main_test.go
+++ b/cmd/fennel-standin/main_test.go
@@ -18,8 +18,8 @@
 	managed "github.com/fennelcourse/fennelcourse/platform"
 )
 
-// A stop signal must end each stand-in with status 0, or the quick start would
-// report a failure where there was none.
+// Each simulation must exit with status 0 on a stop signal. Otherwise the quick start
+// would report a failure although nothing failed.
 func TestProcessesServeAndStop(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "fennel-standin")
 	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", bin, ".").CombinedOutput()
@@ -28,7 +28,7 @@
 		engine.StatePath: {"engine", "--vm", "vm-1", "--checks-fence", "--max-gap", "200ms"},
 		"/bookings/7":    {"service"},
 		platform.PathVMs: {"platform"},
-		// The configuration of the managed platform.
+		// The managed platform returns its configuration.
 		"/-/kv-key?key=" + url.QueryEscape(managed.ConfigKey): {"managed"},
 	} {
 		cmd := exec.Command(bin, args...)
--- a/cmd/fennel-standin/managed.go
+++ b/cmd/fennel-standin/managed.go
@@ -13,18 +13,19 @@
 	"github.com/fennelcourse/fennelcourse/platform/standin"
 )
 
-// The managed platform's deployment: two domains, one a zone, and a plain service.
+// Size of the simulated deployment: two fabric domains, each in a zone of its own,
+// and a plain service.
 const (
 	managedDomains      = 2
 	managedVMsPerDomain = 8
-	managedPlain        = 2
+	managedPlainServers = 2
 )
 
 func managedCommand(log *slog.Logger) *ff.Command {
 	fs := ff.NewFlagSet("managed")
 	listen := fs.StringLong("listen", "127.0.0.1:0", "ip:port of the key-value service")
 	return &ff.Command{
-		Name: "managed", Usage: "fennel-standin managed [FLAGS]", ShortHelp: "a managed platform: key-value service, configuration and backend servers", Flags: fs,
+		Name: "managed", Usage: "fennel-standin managed [FLAGS]", ShortHelp: "simulate the managed platform: key-value service, configuration and backend servers", Flags: fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			mem := memstore.New(memstore.Options{})
 			fleet := standin.NewFleet(mem, standin.DefaultOptions())
@@ -32,13 +33,13 @@
 			if err := populate(ctx, mem, fleet); err != nil {
 				return err
 			}
-			handler := endingWith(ctx, &standin.StoreHandler{Store: mem})
+			handler := cancelRequestsWith(ctx, &standin.StoreHandler{Store: mem})
 			return serve(ctx, log.With("standin", "managed"), *listen, handler, mem.Close)
 		},
 	}
 }
 
-// populate starts the backend servers and accepts the configuration.
+// populate starts the backend servers and stores the first configuration.
 func populate(ctx context.Context, s store.Store, fleet *standin.Fleet) error {
 	for d := range managedDomains {
 		zone := fmt.Sprintf("zone-%d", d)
@@ -48,7 +49,7 @@
 			}
 		}
 	}
-	for i := range managedPlain {
+	for i := range managedPlainServers {
 		if _, err := fleet.Add(fmt.Sprintf("desk-%d", i), "desk", fmt.Sprintf("zone-%d", i), ""); err != nil {
 			return err
 		}
--- a/cmd/fennel-standin/platform.go
+++ b/cmd/fennel-standin/platform.go
@@ -17,16 +17,16 @@
 func platformCommand(log *slog.Logger) *ff.Command {
 	fs := ff.NewFlagSet("platform")
 	listen := fs.StringLong("listen", "127.0.0.1:0", "ip:port to serve on")
-	vmFile := fs.StringLong("vms", "", "file with the VM list, a JSON array; it can also be set by PUT "+platform.PathVMs)
+	vmFile := fs.StringLong("vms", "", "file with the VM list as a JSON array; it can also be set by PUT "+platform.PathVMs)
 	return &ff.Command{
-		Name: "platform", Usage: "fennel-standin platform [FLAGS]", ShortHelp: "the platform: key-value service and VM list", Flags: fs,
+		Name: "platform", Usage: "fennel-standin platform [FLAGS]", ShortHelp: "simulate the platform: key-value service and VM list", Flags: fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			vms, err := readVMs(*vmFile)
 			if err != nil {
 				return err
 			}
 			p := platform.New(platform.Options{VMs: vms})
-			return serve(ctx, log.With("standin", "platform"), *listen, endingWith(ctx, p.Handler()), p.Store().Close)
+			return serve(ctx, log.With("standin", "platform"), *listen, cancelRequestsWith(ctx, p.Handler()), p.Store().Close)
 		},
 	}
 }
@@ -46,9 +46,9 @@
 	return vms, nil
 }
 
-// endingWith ends all requests when ctx does: a waiting watch would hold up the
-// stop until its timeout.
-func endingWith(ctx context.Context, h http.Handler) http.Handler {
+// cancelRequestsWith cancels all requests when ctx is canceled. Otherwise an open
+// watch would delay the shutdown until stopTimeout.
+func cancelRequestsWith(ctx context.Context, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		reqCtx, cancel := context.WithCancel(r.Context())
 		defer cancel()
--- a/cmd/fennel-standin/service.go
+++ b/cmd/fennel-standin/service.go
@@ -14,7 +14,7 @@
 	fs := ff.NewFlagSet("service")
 	listen := fs.StringLong("listen", "127.0.0.1:0", "ip:port to serve on")
 	return &ff.Command{
-		Name: "service", Usage: "fennel-standin service [FLAGS]", ShortHelp: "a plain service (deposits, bookings)", Flags: fs,
+		Name: "service", Usage: "fennel-standin service [FLAGS]", ShortHelp: "simulate a plain service (deposits, bookings)", Flags: fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			s := standinservice.New(func() {
 				log.Error("service crash")
