--- a/cmd/fennel-standin/serve.go
+++ b/cmd/fennel-standin/serve.go
@@ -17,7 +17,8 @@
 )
 
 // serve serves h on the address until ctx is canceled, then waits up to stopTimeout
-// for requests in progress. After that closeBackend ends those that still run.
+// for requests in progress. Finally it calls closeBackend, which ends those that
+// still run.
 func serve(ctx context.Context, log *slog.Logger, addr string, h http.Handler, closeBackend func()) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -35,7 +36,7 @@
 	stopCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := srv.Shutdown(stopCtx); err != nil {
-		log.Warn("shutdown timeout exceeded, aborting requests", "error", err)
+		log.Warn("shutdown incomplete, aborting requests", "error", err)
 	}
 	closeBackend()
 	_ = srv.Close() // closes the connections that are still open after the timeout
