--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -1,4 +1,4 @@
-// Package doccheck holds the pages under docs/ against the code.
+// Package doccheck checks that the pages under docs/ match the code.
 package doccheck
 
 import (
@@ -14,8 +14,8 @@
 
 const root = "../.."
 
-// TestInvariantsNameExistingTests keeps the pages from naming a proof that is no
-// longer there.
+// TestInvariantsNameExistingTests checks that each test named as evidence on these pages
+// exists.
 func TestInvariantsNameExistingTests(t *testing.T) {
 	defined := definedTests(t)
 	for _, name := range []string{"invariants.md", "platform.md"} {
@@ -49,7 +49,8 @@
 	return defined
 }
 
-// TestPagesLinkToExistingFiles follows the relative links of all pages.
+// TestPagesLinkToExistingFiles checks that the relative links of all pages lead to
+// existing files.
 func TestPagesLinkToExistingFiles(t *testing.T) {
 	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
 	require.NoError(t, err)
--- a/internal/e2e/claims_test.go
+++ b/internal/e2e/claims_test.go
@@ -21,45 +21,45 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// desk is two nodes before one plain service, which they reach through a link.
-type desk struct {
+// depositSystem is a system of two nodes and one service, which they reach through a link.
+type depositSystem struct {
 	*system
 	svc  string
 	link *link
 }
 
-func newDesk(t *testing.T) *desk {
+func newDepositSystem(t *testing.T) *depositSystem {
 	t.Helper()
 	s := newSystem(t)
 	svc := s.service("serra-a", "caixa")
-	d := &desk{system: s, svc: svc, link: newLink(t, svc)}
+	d := &depositSystem{system: s, svc: svc, link: newLink(t, svc)}
 	s.vms[0].Addr = d.link.addr()
 	s.publish()
 	s.startNode("serra-a-1", "serra-a", "", "")
 	s.startNode("serra-a-2", "serra-a", "", "")
-	s.apply(fitRules)
+	s.apply(baseRules)
 	for _, n := range s.nodes {
 		s.awaitReady(n)
 	}
 	return d
 }
 
-// awaitReady waits until the node knows rules and VM list.
+// awaitReady waits until the node is ready: it has the rules and the VM list.
 func (s *system) awaitReady(n *node) {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool { return s.call(n, http.MethodGet, "/readyz", "", nil).status == http.StatusOK },
 		waitTimeout, pollEvery, "%s never ready", n.name)
 }
 
-const booking = `{"amount":40}`
+const depositBody = `{"amount":40}`
 
-func (d *desk) deposit(n *node, key string) reply {
+func (d *depositSystem) deposit(n *node, key string) reply {
 	d.t.Helper()
-	return d.call(n, http.MethodPost, "/deposits/42", booking, nil, gateway.HeaderIdempotencyKey, key)
+	return d.call(n, http.MethodPost, "/deposits/42", depositBody, nil, gateway.HeaderIdempotencyKey, key)
 }
 
 // depositUntil repeats the deposit until its answer has the status.
-func (d *desk) depositUntil(n *node, key string, status int) reply {
+func (d *depositSystem) depositUntil(n *node, key string, status int) reply {
 	d.t.Helper()
 	var r reply
 	require.Eventually(d.t, func() bool {
@@ -69,29 +69,29 @@
 	return r
 }
 
-func (d *desk) runs(key string) int {
+func (d *depositSystem) runs(key string) int {
 	d.t.Helper()
 	return depositRuns(d.t, d.svc, key)
 }
 
-// depositAside sends the deposit without waiting for its answer.
-func (d *desk) depositAside(n *node, key string) <-chan reply {
+// depositAsync sends the deposit without waiting for its answer.
+func (d *depositSystem) depositAsync(n *node, key string) <-chan reply {
 	got := make(chan reply, 1)
 	go func() { got <- d.deposit(n, key) }()
 	return got
 }
 
-func (d *desk) platformFaults(f standinplatform.Faults) {
+func (d *depositSystem) platformFaults(f standinplatform.Faults) {
 	d.t.Helper()
 	d.send(http.MethodPost, d.platform+standinplatform.PathFaults, f)
 }
 
-func (d *desk) serviceFaults(f standinservice.Faults) {
+func (d *depositSystem) serviceFaults(f standinservice.Faults) {
 	d.t.Helper()
 	d.send(http.MethodPost, "http://"+d.svc+standinservice.FaultsPath, f)
 }
 
-// requireRefused checks code, run state and that the body speaks like the header.
+// requireRefused checks code and run state, and that the body agrees with the headers.
 func requireRefused(t *testing.T, r reply, code fennelerr.Code, run fennelerr.RunState) {
 	t.Helper()
 	require.NoError(t, r.err)
@@ -101,19 +101,19 @@
 	require.Contains(t, r.body, fmt.Sprintf(`"fennel_run":%q`, run))
 }
 
-// A node dies by a power cut while a deposit passes through it: once before the
-// service has seen the call, once after the service has run it. The front desk
-// sees a broken connection and sends the deposit again, through the other node
-// and, when that is back, through the same one. Nobody can know whether the call
-// ran, so the answer must say so, and it must not run again.
+// A node is killed by SIGKILL while a deposit passes through it: before the service
+// has received the call, or after the service has run it. The caller sees a broken
+// connection and repeats the deposit through the other node and, after a restart,
+// through the same one. Nobody can know whether the call ran: the answer must say
+// so, and the call must not run again.
 func TestNodeKilledAroundDispatch(t *testing.T) {
 	for name, held := range map[string]direction{"before the service saw it": toService, "after it ran": toCaller} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := newDesk(t)
+			d := newDepositSystem(t)
 			dying, other := d.nodes[0], d.nodes[1]
 			d.link.hold(held)
-			cut := d.depositAside(dying, "k")
+			pending := d.depositAsync(dying, "k")
 			dying.await(`msg=claim .*result=claimed`)
 			d.link.awaitHeld(t)
 			want := 0
@@ -122,9 +122,9 @@
 				require.Eventually(t, func() bool { return d.runs("k") == 1 }, waitTimeout, pollEvery)
 			}
 			dying.kill()
-			require.Error(t, (<-cut).err, "the caller must not take this for an answer")
+			require.Error(t, (<-pending).err, "the caller must not receive a complete answer")
 			d.link.cut()
-			d.link.hold(nothing)
+			d.link.hold(holdNothing)
 			requireRefused(t, d.deposit(other, "k"), fennelerr.KeyInProgress, fennelerr.Unknown)
 			back := d.startNode("serra-a-1", "serra-a", "", "")
 			d.awaitReady(back)
@@ -135,11 +135,11 @@
 	}
 }
 
-// The web shop's client times out and sends an order again while the first one
-// still runs; the balancer gives the two to different nodes. Both see a key that
-// is free the moment before. One may run.
+// A client times out and repeats a request while the first one still runs; the
+// balancer sends the two to different nodes. Both nodes can find the key unclaimed.
+// Only one may run the request.
 func TestSameKeyAtTwoNodesAtOnce(t *testing.T) {
-	d := newDesk(t)
+	d := newDepositSystem(t)
 	const keys, sends = 40, 3
 	var wg sync.WaitGroup
 	replies := make([][]reply, keys)
@@ -161,7 +161,7 @@
 		for _, r := range replies[k] {
 			switch r.status {
 			case http.StatusCreated:
-				require.Equal(t, receipt.body, r.body, "all answers are the one receipt")
+				require.Equal(t, receipt.body, r.body, "all answers hold the same receipt")
 				if r.header.Get(gateway.HeaderReplayed) == "" {
 					fresh++
 				}
@@ -169,38 +169,37 @@
 				requireRefused(t, r, fennelerr.KeyInProgress, fennelerr.Unknown)
 			}
 		}
-		require.Equal(t, 1, fresh, "one caller gets the first answer")
+		require.Equal(t, 1, fresh, "exactly one answer is not a replay")
 		require.Equal(t, 1, d.runs(keyName(k)))
 	}
 }
 
 func keyName(k int) string { return fmt.Sprintf("booking-%d", k) }
 
-// The platform's store goes down: before a deposit, while one runs, and after
-// one has run. The front desk may be told to come back, and a deposit that was
-// called not run must go through later; none may be taken twice. Reading and
-// what needs no claim goes on.
-func TestStoreDownAroundADeposit(t *testing.T) {
+// The platform's store goes down before a deposit, while one runs, and after one has
+// run. The caller may be told to retry, and a deposit that was reported as not run
+// must succeed later; none may run twice. Reads and calls that need no claim go on.
+func TestStoreDownBeforeDuringAndAfterDeposit(t *testing.T) {
 	for name, down := range map[string]memstore.Faults{
 		"refusing": {Down: true},
 		"cut off":  {Down: true, DownUnknown: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := newDesk(t)
+			d := newDepositSystem(t)
 			one, two := d.nodes[0], d.nodes[1]
 			done := d.deposit(one, "after")
 			require.Equal(t, http.StatusCreated, done.status, done.body)
 			d.depositUntil(two, "after", http.StatusCreated)
 
 			d.link.hold(toService)
-			during := d.depositAside(one, "during")
+			during := d.depositAsync(one, "during")
 			d.link.awaitHeld(t)
 			d.platformFaults(standinplatform.Faults{Store: down})
-			d.link.hold(nothing)
+			d.link.hold(holdNothing)
 			got := <-during
-			require.Equal(t, http.StatusCreated, got.status, "the caller has its answer without the store: %s", got.body)
-			require.Equal(t, got.body, d.deposit(one, "during").body, "the node that ran it remembers")
+			require.Equal(t, http.StatusCreated, got.status, "the answer does not need the store: %s", got.body)
+			require.Equal(t, got.body, d.deposit(one, "during").body, "the node that ran it replays the answer")
 			requireRefused(t, d.deposit(two, "during"), fennelerr.StoreUnavailable, fennelerr.NotRun)
 
 			for _, n := range d.nodes {
@@ -223,12 +222,12 @@
 	}
 }
 
-// The store takes a claim but its answer gets lost, or the write is lost and
-// nobody can tell. A node that believed the claim failed would tell the caller to
-// come back while another copy runs; one that believed it succeeded could run a
+// The store writes a claim but its answer is lost, or the write itself is lost, and
+// the node can't tell which. A node that took the claim for failed would tell the
+// caller to retry while another copy runs; one that took it for written could run a
 // deposit that another node runs too.
-func TestClaimWithItsAnswerLost(t *testing.T) {
-	d := newDesk(t)
+func TestClaimAnswerLost(t *testing.T) {
+	d := newDepositSystem(t)
 	require.Equal(t, http.StatusCreated, d.deposit(d.nodes[0], "warm").status)
 	require.Equal(t, http.StatusCreated, d.deposit(d.nodes[1], "warm-2").status)
 	for i, fault := range []memstore.Faults{{LoseAnswers: 1}, {LoseAnswers: 2}, {DropWrites: 1}, {DropWrites: 3}, {LoseAnswers: 50}} {
@@ -237,7 +236,7 @@
 		first := d.deposit(d.nodes[0], key)
 		if first.status != http.StatusCreated {
 			requireRefused(t, first, fennelerr.StoreUnavailable, fennelerr.NotRun)
-			require.Zero(t, d.runs(key), "%+v: called not run", fault)
+			require.Zero(t, d.runs(key), "%+v: reported as not run", fault)
 		}
 		d.platformFaults(standinplatform.Faults{})
 		again := d.depositUntil(d.nodes[1], key, http.StatusCreated)
@@ -248,11 +247,10 @@
 	}
 }
 
-// The service refuses, loses its answer, answers for somebody else or takes long
-// enough for a second send. After each kind of answer the front desk sends the
-// deposit again, at both nodes, as its software always does.
+// The service refuses, loses its answer, or answers another request. After each kind
+// of answer the caller repeats the deposit at both nodes.
 func TestRepeatsAfterEachKindOfAnswer(t *testing.T) {
-	d := newDesk(t)
+	d := newDepositSystem(t)
 	cases := map[string]struct {
 		faults  standinservice.Faults
 		code    fennelerr.Code // empty: answered
@@ -290,13 +288,12 @@
 	}
 }
 
-// A reservation is made through the assistant, on a route whose calls may run at
-// most once. The replica that runs it dies before its first word. The system
-// moves other requests to another replica; this one it must not, nor when the
-// customer sends it again through either node.
+// A chat on a route whose calls may run at most once is running when its replica
+// dies, before the first token. Other requests are restarted at another replica;
+// this one must not be, nor when the caller repeats it through either node.
 func TestClaimedChatDoesNotMoveToAnotherReplica(t *testing.T) {
 	s, _ := smallSystem(t)
-	s.apply(strings.Replace(fitRules, "to=fit ", "to=fit once=required ", 1))
+	s.apply(strings.Replace(baseRules, "to=fit ", "to=fit once=required ", 1))
 	s.engineFaults(standinengine.Faults{SlowBy: 1e9})
 	reserve := func(n *node) reply {
 		return s.call(n, http.MethodPost, engine.ChatPath, chatBody(8, false), nil, gateway.HeaderIdempotencyKey, "fitting-7")
@@ -322,7 +319,7 @@
 	require.Equal(t, survivors, s.engineRuns(), "no other replica ran it")
 }
 
-// engineFaults sets the faults of all engines that run, but for some.
+// engineFaults sets the faults of all running engines except the given ones.
 func (s *system) engineFaults(f standinengine.Faults, except ...cluster.VMID) {
 	s.t.Helper()
 	for id := range s.engines {
@@ -333,7 +330,7 @@
 	}
 }
 
-// engineRuns counts the executions at all engines that run.
+// engineRuns counts the executions at all running engines.
 func (s *system) engineRuns() int {
 	s.t.Helper()
 	total := 0
--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -35,32 +35,31 @@
 	s.send(http.MethodPost, s.platform+platform.PathFaults, f)
 }
 
-// assignment names one committed state of a replica.
+// assignment is a committed replica at one generation.
 type assignment struct {
 	replica    cluster.ReplicaID
 	generation int64
 }
 
-// committedWatch follows a zone's replicas in the store from before the first one
-// and holds every state that the watch shows against the rule that no VM is in
-// two replicas.
+// committedWatch watches a zone's replicas in the store from before the first one and
+// checks in every state that no VM is in two replicas.
 type committedWatch struct {
-	seen     int64 // the newest revision, known to the following goroutine only
-	mu       sync.Mutex
-	now      map[string]cluster.Replica
-	ever     map[assignment]bool
-	problems []string
+	seen      int64 // the newest revision seen; used only by the watching goroutine
+	mu        sync.Mutex
+	current   map[string]cluster.Replica
+	committed map[assignment]bool
+	problems  []string
 }
 
 func (s *system) watchCommitted(zone cluster.ZoneID) *committedWatch {
 	s.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &committedWatch{seen: 1, now: map[string]cluster.Replica{}, ever: map[assignment]bool{}}
+	w := &committedWatch{seen: 1, current: map[string]cluster.Replica{}, committed: map[assignment]bool{}}
 	client := s.store()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for ctx.Err() == nil { // a watch ends now and then, as when it brings nothing for long
+		for ctx.Err() == nil { // a watch can end, for example when it has been idle for long
 			w.follow(ctx, client, store.ReplicasPrefix(zone))
 		}
 	}()
@@ -81,25 +80,25 @@
 	}
 }
 
-// apply looks at the table after each revision: the events of one transaction
-// carry the same one.
+// apply checks the table after each revision: all events of one transaction carry the
+// same revision.
 func (w *committedWatch) apply(batch store.WatchBatch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if failed, ok := errors.Into[*store.Error](batch.Err); ok && failed.Kind == store.Compacted {
-		w.problems = append(w.problems, failed.Error()) // states were missed
+		w.problems = append(w.problems, failed.Error()) // some states were not seen
 	}
 	for i, ev := range batch.Events {
 		w.seen = ev.KV.ModRevision
-		delete(w.now, ev.KV.Key)
+		delete(w.current, ev.KV.Key)
 		if ev.Type == store.EventPut {
 			var r cluster.Replica
 			if err := json.Unmarshal(ev.KV.Value, &r); err != nil {
 				w.problems = append(w.problems, err.Error())
 				continue
 			}
-			w.now[ev.KV.Key] = r
-			w.ever[assignment{r.ID, r.Generation}] = true
+			w.current[ev.KV.Key] = r
+			w.committed[assignment{r.ID, r.Generation}] = true
 		}
 		if i+1 == len(batch.Events) || batch.Events[i+1].KV.ModRevision != ev.KV.ModRevision {
 			w.checkLocked(ev.KV.ModRevision)
@@ -109,7 +108,7 @@
 
 func (w *committedWatch) checkLocked(revision int64) {
 	holder := map[cluster.VMID]cluster.ReplicaID{}
-	for _, r := range w.now {
+	for _, r := range w.current {
 		for _, vm := range r.Members {
 			if other := holder[vm]; other != "" {
 				w.problems = append(w.problems, fmt.Sprintf("revision %d: VM %s is in %s and %s", revision, vm, other, r.ID))
@@ -119,12 +118,12 @@
 	}
 }
 
-// assigned returns what each VM should believe by the newest table seen.
+// assigned returns the assignment of each VM in the newest table seen.
 func (w *committedWatch) assigned() map[cluster.VMID]assignment {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[cluster.VMID]assignment{}
-	for _, r := range w.now {
+	for _, r := range w.current {
 		for _, vm := range r.Members {
 			out[vm] = assignment{r.ID, r.Generation}
 		}
@@ -132,17 +131,17 @@
 	return out
 }
 
-// check fails the test if a VM was ever in two replicas, or if one of the nodes
-// sent a request to anything that was never committed.
+// check fails the test if a VM was ever in two replicas, or if one of the nodes routed
+// a request to a replica and generation that was never committed.
 func (w *committedWatch) check(s *system, nodes ...*node) {
 	s.t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	require.Empty(s.t, w.problems)
-	require.NotEmpty(s.t, w.ever)
+	require.NotEmpty(s.t, w.committed)
 	for _, n := range nodes {
 		for _, m := range n.matches(`msg=route .*replica=(\S+) generation=(\d+)`) {
-			require.True(s.t, w.ever[assignment{cluster.ReplicaID(m[1]), parseInt(s, m[2])}], m[0])
+			require.True(s.t, w.committed[assignment{cluster.ReplicaID(m[1]), parseInt(s, m[2])}], m[0])
 		}
 	}
 }
@@ -153,7 +152,7 @@
 	return n
 }
 
-// matches returns the submatches of all log lines so far that match.
+// matches returns the submatches of all log lines so far that match the pattern.
 func (p *proc) matches(pattern string) [][]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,8 +166,8 @@
 	return out
 }
 
-// awaitEnginesAgree waits until every engine that runs believes exactly what is
-// committed, and returns how long that took.
+// awaitEnginesAgree waits until the assignment that each running engine reports is the
+// committed one, and returns how long that took.
 func (s *system) awaitEnginesAgree(w *committedWatch) time.Duration {
 	s.t.Helper()
 	client := engine.NewProber(time.Second)
@@ -186,7 +185,7 @@
 			state, err := client.State(s.t.Context(), s.addrOf(vm.ID))
 			have := assignment{state.Assignment.Replica, state.Assignment.Generation}
 			if err != nil || have != want[vm.ID] {
-				return fmt.Sprintf("%s has %v, want %v, err %v", vm.ID, have, want[vm.ID], err)
+				return fmt.Sprintf("%s reports %v, want %v, err %v", vm.ID, have, want[vm.ID], err)
 			}
 		}
 		return ""
@@ -194,7 +193,7 @@
 	return time.Since(begin)
 }
 
-// awaitNoProblem asks until the answer is empty.
+// awaitNoProblem calls problem until it returns an empty text.
 func (s *system) awaitNoProblem(problem func() string) {
 	s.t.Helper()
 	last := ""
@@ -203,10 +202,10 @@
 			return
 		}
 	}
-	require.FailNow(s.t, "still after "+waitTimeout.String()+": "+last)
+	require.FailNow(s.t, "still failing after "+waitTimeout.String()+": "+last)
 }
 
-// addrOf is where the engine itself listens, whatever the VM list says.
+// addrOf is the engine's own listen address, which the VM list may replace by a relay's.
 func (s *system) addrOf(id cluster.VMID) string { return s.engines[id].await(listening) }
 
 func (p *proc) ended() bool {
@@ -218,34 +217,34 @@
 	}
 }
 
-// restart starts the VM's engine anew at the same address, with nothing loaded.
+// restart starts the VM's engine again at the same address, with nothing loaded.
 func (s *system) restart(id cluster.VMID, args ...string) {
 	s.t.Helper()
 	addr := s.addrOf(id)
-	p := start(s.t, string(id)+"-again", "fennel-standin", append([]string{"engine", "--vm", string(id), "--listen", addr}, args...)...)
+	p := start(s.t, string(id)+"-restarted", "fennel-standin", append([]string{"engine", "--vm", string(id), "--listen", addr}, args...)...)
 	p.await(listening)
 	s.engines[id] = p
 }
 
-// pump sends chats through one node, one after the other, until stopped.
-type pump struct {
+// chatLoop sends chats through one node, one after the other, until stopped.
+type chatLoop struct {
 	s    *system
 	n    *node
 	stop chan struct{}
 	done chan struct{}
-	// ok and refused count the answers; bad holds those that should not be.
-	ok, refused atomic.Int64
-	bad         []string
+	// answered and refused count the answers; unexpected holds the unexpected ones.
+	answered, refused atomic.Int64
+	unexpected        []string
 }
 
-func (s *system) startPump(n *node) *pump {
-	p := &pump{s: s, n: n, stop: make(chan struct{}), done: make(chan struct{})}
+func (s *system) startChats(n *node) *chatLoop {
+	p := &chatLoop{s: s, n: n, stop: make(chan struct{}), done: make(chan struct{})}
 	go p.run()
 	s.t.Cleanup(p.end)
 	return p
 }
 
-func (p *pump) run() {
+func (p *chatLoop) run() {
 	defer close(p.done)
 	body := chatBody(3, false)
 	want := standinengine.Text([]byte(body))
@@ -258,17 +257,17 @@
 		r := p.s.call(p.n, http.MethodPost, engine.ChatPath, body, nil)
 		switch {
 		case r.status == http.StatusOK && strings.Contains(r.body, want):
-			p.ok.Add(1)
+			p.answered.Add(1)
 		case r.status >= http.StatusTooManyRequests && r.header.Get("Fennel-Run") != "":
 			p.refused.Add(1)
 		default:
-			p.bad = append(p.bad, fmt.Sprintf("%+v err=%v", r, r.err))
+			p.unexpected = append(p.unexpected, fmt.Sprintf("%+v err=%v", r, r.err))
 		}
 	}
 }
 
-// end stops the pump; it may be called again.
-func (p *pump) end() {
+// end stops sending and waits; it may be called again.
+func (p *chatLoop) end() {
 	select {
 	case <-p.stop:
 	default:
@@ -277,37 +276,38 @@
 	<-p.done
 }
 
-// finish stops the pump and fails the test on an answer that was neither whole
-// nor a refusal that says whether the request ran.
-func (p *pump) finish() {
+// finish stops sending and fails the test on an answer that was neither complete nor a
+// refusal that says whether the request ran.
+func (p *chatLoop) finish() {
 	p.s.t.Helper()
 	p.end()
-	require.Empty(p.s.t, p.bad)
-	p.s.t.Logf("%s: %d answered, %d refused", p.n.name, p.ok.Load(), p.refused.Load())
+	require.Empty(p.s.t, p.unexpected)
+	p.s.t.Logf("%s: %d answered, %d refused", p.n.name, p.answered.Load(), p.refused.Load())
 }
 
-// holdUp starts a relay before the VM's engine and lists it as the VM's address.
-// It holds back the first assign order after arm and everything after mute.
-func (s *system) holdUp(id cluster.VMID) *relay {
+// interposeRelay starts a relay in front of the VM's engine and lists it as the VM's address.
+// The relay holds back the first assign order after holdNext is set, and passes nothing
+// while muted is set.
+func (s *system) interposeRelay(id cluster.VMID) *relay {
 	s.t.Helper()
 	r := newRelay(s, "http://"+s.addrOf(id))
 	s.vm(id).Addr = strings.TrimPrefix(r.url, "http://")
 	return r
 }
 
-// relay passes HTTP calls on and can delay or swallow them: a network that does.
+// relay forwards HTTP calls and can delay or drop them, to simulate a faulty network.
 type relay struct {
-	url     string
-	target  string
-	muted   atomic.Bool
-	armed   atomic.Bool
-	held    chan engine.Order // the order that is held back
-	release chan struct{}     // closed to let it go on
-	late    chan engine.OrderResult
+	url        string
+	target     string
+	muted      atomic.Bool
+	holdNext   atomic.Bool
+	held       chan engine.Order // receives the order that is held back
+	release    chan struct{}     // closed to forward it
+	lateResult chan engine.OrderResult
 }
 
 func newRelay(s *system, target string) *relay {
-	r := &relay{target: target, held: make(chan engine.Order, 1), release: make(chan struct{}), late: make(chan engine.OrderResult, 1)}
+	r := &relay{target: target, held: make(chan engine.Order, 1), release: make(chan struct{}), lateResult: make(chan engine.OrderResult, 1)}
 	server := httptest.NewServer(r)
 	s.t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	r.url = server.URL
@@ -327,11 +327,11 @@
 	ctx := req.Context()
 	var order engine.Order
 	isOrder := req.URL.Path == engine.OrdersPath && json.Unmarshal(body, &order) == nil
-	holding := isOrder && order.Kind == engine.OrderAssign && r.armed.CompareAndSwap(true, false)
+	holding := isOrder && order.Kind == engine.OrderAssign && r.holdNext.CompareAndSwap(true, false)
 	if holding {
 		r.held <- order
 		<-r.release
-		ctx = context.WithoutCancel(ctx) // the sender is gone; the bytes are under way
+		ctx = context.WithoutCancel(ctx) // the sender has given up, but its bytes still arrive
 	}
 	out, err := http.NewRequestWithContext(ctx, req.Method, r.target+req.URL.RequestURI(), strings.NewReader(string(body)))
 	if err != nil {
@@ -346,7 +346,7 @@
 	if holding {
 		var result engine.OrderResult
 		_ = json.NewDecoder(resp.Body).Decode(&result) // a zero result fails the test
-		r.late <- result
+		r.lateResult <- result
 		return
 	}
 	r.answer(w, resp)
--- a/internal/e2e/crash_test.go
+++ b/internal/e2e/crash_test.go
@@ -20,30 +20,30 @@
 
 const (
 	poisonMarker = "ultramarine"
-	// refusalsEach is how often every node refuses the poison before the test ends.
-	refusalsEach = 10
+	// refusalsPerNode is how many refusals per node the test collects before it ends.
+	refusalsPerNode = 10
 )
 
 var poisonBody = strings.Replace(chatBody(8, true), "cold toes", poisonMarker, 1)
 
-// tally counts the answers to innocent requests.
-type tally struct {
-	mu                  sync.Mutex
-	answered, condemned int
-	// refused counts honest refusals by code and run state.
-	refused map[string]int
-	wrong   []string
+// answerCounts counts the answers to requests that crash nothing.
+type answerCounts struct {
+	mu                    sync.Mutex
+	answered, quarantined int
+	// refused counts refusals with Retry-After by code and run state.
+	refused    map[string]int
+	unexpected []string
 }
 
-func (c *tally) note(body string, r reply) {
+func (c *answerCounts) add(body string, r reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	text, whole := streamText(r.body)
+	text, complete := streamText(r.body)
 	switch {
-	case r.err == nil && r.status == http.StatusOK && whole && text == standinengine.Text([]byte(body)):
+	case r.err == nil && r.status == http.StatusOK && complete && text == standinengine.Text([]byte(body)):
 		c.answered++
 	case strings.Contains(r.body, string(fennelerr.Quarantined)):
-		c.condemned++
+		c.quarantined++
 	case r.err == nil && r.header.Get("Retry-After") != "":
 		var doc struct {
 			Error struct {
@@ -52,18 +52,17 @@
 			} `json:"error"`
 		}
 		if err := json.Unmarshal([]byte(r.body), &doc); err != nil {
-			c.wrong = append(c.wrong, r.body)
+			c.unexpected = append(c.unexpected, r.body)
 		}
 		c.refused[doc.Error.Code+" "+doc.Error.Run]++
 	default:
-		c.wrong = append(c.wrong, fmt.Sprintf("%+v", r))
+		c.unexpected = append(c.unexpected, fmt.Sprintf("%+v", r))
 	}
 }
 
-// One customer's question crashes every engine that works on it, and the web shop
-// sends it again and again, each time through the next node. The engines come
-// back, as the platform restarts them. Without a memory that all nodes share, the
-// question takes down replica after replica, and everybody waits at the counter.
+// One request crashes every engine that runs it, and its caller repeats it, each time
+// through the next node, while the platform restarts the engines. Unless the nodes
+// share what they know of crashes, the request takes down replica after replica.
 func TestPoisonRequestThroughThreeNodes(t *testing.T) {
 	s := newSystem(t)
 	for i := range 6 {
@@ -73,18 +72,18 @@
 	for i := range 3 {
 		s.startNode(cluster.NodeID(fmt.Sprintf("serra-a-%d", i+1)), "serra-a", "", "")
 	}
-	s.apply(fitRules)
+	s.apply(baseRules)
 	for _, n := range s.nodes {
-		s.awaitWhole(n, 3)
+		s.awaitHealthy(n, 3)
 		s.awaitServing(n)
 	}
 
-	over := make(chan struct{})
+	stop := make(chan struct{})
 	var senders sync.WaitGroup
-	innocents := tally{refused: map[string]int{}}
+	others := answerCounts{refused: map[string]int{}}
 	for i, n := range s.nodes {
 		for k := range 2 {
-			senders.Go(func() { s.sendInnocents(n, 100_000*(2*i+k+1), &innocents, over) })
+			senders.Go(func() { s.sendOtherChats(n, 100_000*(2*i+k+1), &others, stop) })
 		}
 	}
 	done := make(chan poisonResult, 1)
@@ -98,22 +97,22 @@
 			crashes += s.restartCrashed()
 		}
 	}
-	for _, n := range s.nodes { // every replica comes back
+	for _, n := range s.nodes { // every replica is formed again
 		require.Eventually(t, func() bool {
 			crashes += s.restartCrashed()
-			return s.wholeAt(n) == 3
+			return s.healthyAt(n) == 3
 		}, waitTimeout, pollEvery)
 	}
-	close(over)
+	close(stop)
 	senders.Wait()
 
-	t.Logf("replicas killed %d; all nodes refuse after %v and %d sends; slowest refusal after that %v",
-		crashes, result.known, result.sends, result.slowest)
-	t.Logf("innocents answered %d, refused %v, quarantined %d, other %d",
-		innocents.answered, innocents.refused, innocents.condemned, len(innocents.wrong))
-	require.Empty(t, innocents.wrong)
-	require.Zero(t, innocents.condemned)
-	require.NotZero(t, innocents.answered)
+	t.Logf("replicas crashed: %d; all nodes refuse after %v and %d sends; slowest refusal after that %v",
+		crashes, result.allRefuse, result.sends, result.slowest)
+	t.Logf("other requests: %d answered, refused %v, %d quarantined, %d unexpected",
+		others.answered, others.refused, others.quarantined, len(others.unexpected))
+	require.Empty(t, others.unexpected)
+	require.Zero(t, others.quarantined)
+	require.NotZero(t, others.answered)
 	require.Equal(t, 2, crashes)
 	for _, r := range result.refused {
 		requireRefused(t, r, fennelerr.Quarantined, fennelerr.NotRun)
@@ -122,34 +121,34 @@
 	}
 }
 
-func (s *system) sendInnocents(n *node, first int, c *tally, over <-chan struct{}) {
+func (s *system) sendOtherChats(n *node, first int, c *answerCounts, stop <-chan struct{}) {
 	for i := first; ; i++ {
 		select {
-		case <-over:
+		case <-stop:
 			return
 		default:
 		}
-		f := s.chatAside(n, i, 16, true)
-		c.note(f.body, <-f.got)
+		f := s.chatAsync(n, i, 16, true)
+		c.add(f.body, <-f.answer)
 	}
 }
 
-// poisonResult is what the sender of the poison saw.
+// poisonResult is what the sender of the poison request saw.
 type poisonResult struct {
 	sends int
-	// known is when the last node refused it at once, after the first send.
-	known time.Duration
-	// refused are the refusals after that, slowest the longest that one took.
+	// allRefuse is the time from the first send until every node had refused the request.
+	allRefuse time.Duration
+	// refused holds the answers after that; slowest is the longest that one took.
 	refused []reply
 	slowest time.Duration
 }
 
-// sendPoison sends the poison through the nodes in turn until each has refused
-// it often.
+// sendPoison sends the poison request through the nodes in turn until all of them
+// refuse it and refusalsPerNode refusals per node have followed.
 func (s *system) sendPoison() (out poisonResult) {
 	began := time.Now()
 	refusedBy := map[*node]bool{}
-	for len(out.refused) < refusalsEach*len(s.nodes) && time.Since(began) < waitTimeout {
+	for len(out.refused) < refusalsPerNode*len(s.nodes) && time.Since(began) < waitTimeout {
 		n := s.nodes[out.sends%len(s.nodes)]
 		out.sends++
 		sent := time.Now()
@@ -160,7 +159,7 @@
 			out.slowest = max(out.slowest, time.Since(sent))
 		case r.status == fennelerr.Quarantined.HTTPStatus() && r.header.Get(gateway.HeaderRun) == string(fennelerr.NotRun):
 			refusedBy[n] = true
-			out.known = time.Since(began)
+			out.allRefuse = time.Since(began)
 		}
 	}
 	if out.refused == nil {
@@ -169,8 +168,8 @@
 	return out
 }
 
-// restartCrashed starts the engines that ended anew, on other addresses, as the
-// platform does, and returns how many it were.
+// restartCrashed restarts the engines that have ended, at other addresses, as the
+// platform does, and returns their number.
 func (s *system) restartCrashed() (crashed int) {
 	s.t.Helper()
 	for id, p := range s.engines {
--- a/internal/e2e/namesake_test.go
+++ b/internal/e2e/duplicate_name_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An operator copies a settings file to a second VM and forgets to change the node's
-// name. Both processes run, and one of them is heard by nobody. It has to say so where
-// operators look, and to get no callers; and when the other one is stopped it has to
-// take part again without a restart.
+// A settings file is copied to a second VM without changing the node's name, so two
+// processes run under one name and the peers ignore one of them. That one must report
+// itself as not ready, in its log, metrics and status, and must take part again without
+// a restart once the other process has stopped.
 func TestCopiedSettingsFile(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t)
--- a/internal/e2e/grouping_test.go
+++ b/internal/e2e/grouping_test.go
@@ -17,7 +17,8 @@
 	acquired = `msg="placement lease acquired" .*fence=(\d+)`
 )
 
-// groupedSystem is three nodes before engines in the given domains.
+// groupedSystem is a system of three nodes, one service and one engine for each of the
+// given domains.
 func groupedSystem(t *testing.T, rules string, engineArgs []string, domains ...cluster.DomainID) (*system, *committedWatch) {
 	t.Helper()
 	s := newSystem(t)
@@ -37,7 +38,7 @@
 	return s, w
 }
 
-// holder returns the node that holds the placement lease and the others.
+// holder returns the node that holds the placement lease, and the others.
 func (s *system) holder() (*node, []*node) {
 	s.t.Helper()
 	var holder *node
@@ -61,7 +62,7 @@
 	return holder, others
 }
 
-// awaitHolderAmong waits until one of the nodes has acquired the lease.
+// awaitHolderAmong waits until the nodes have acquired the lease more often than before.
 func (s *system) awaitHolderAmong(nodes []*node, before int) {
 	s.t.Helper()
 	count := func() int {
@@ -71,7 +72,7 @@
 		}
 		return sum
 	}
-	require.Eventually(s.t, func() bool { return count() > before }, waitTimeout, pollEvery, "nobody took the placement lease over")
+	require.Eventually(s.t, func() bool { return count() > before }, waitTimeout, pollEvery, "no node took over the placement lease")
 }
 
 // awaitCommitted waits until the table holds the VM, or no longer holds it.
@@ -86,14 +87,14 @@
 	return have
 }
 
-// The node that orders VMs into replicas stands still in the middle of an order,
-// as a VM does that its host migrates. Its lease lapses, another node takes over
-// and regroups after further losses. Then the old order arrives and the old
-// holder wakes and believes it holds the lease still. If either counted, one VM
-// would compute for two replicas, and fitters would get each other's answers or
-// none. An engine that checks fencing tokens refuses the old order. One that
-// ignores them obeys until the new holder reads its state and puts it right;
-// meanwhile nobody is routed to it, since no node finds what it says committed.
+// The placement lease holder is paused in the middle of an order, as a VM is during a
+// live migration. Its lease expires, another node takes over and regroups after
+// further losses. Then the old order arrives, and the old holder resumes and still
+// believes that it holds the lease. If either took effect, one VM would compute for
+// two replicas, and callers would get each other's answers or none. An engine that
+// checks fencing tokens refuses the old order. One that ignores them obeys it until
+// the new holder reads its state and corrects it; meanwhile no node routes to it,
+// since what it reports is not the committed assignment.
 func TestHolderFrozenInTheMiddleOfAnOrder(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -101,17 +102,17 @@
 		rules   string
 		refused bool
 	}{
-		"fence checked": {nil, fitRules, true},
-		"fence ignored": {[]string{"--checks-fence=false"}, fitRules + "fence servers=fit checks=no # asked for by: Ana\n", false},
+		"fencing token checked": {nil, baseRules, true},
+		"fencing token ignored": {[]string{"--checks-fence=false"}, baseRules + "fence servers=fit checks=no # asked for by: Ana\n", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			frozenHolder(t, c.args, c.rules, c.refused)
+			testFrozenHolder(t, c.args, c.rules, c.refused)
 		})
 	}
 }
 
-func frozenHolder(t *testing.T, args []string, rules string, refused bool) {
+func testFrozenHolder(t *testing.T, args []string, rules string, refused bool) {
 	s := newSystem(t)
 	w := s.watchCommitted(zone)
 	for range 5 {
@@ -120,7 +121,7 @@
 	s.service(zone, "caixa")
 	// VMs 0 and 1, 2 and 3 form replicas; VM 4 is the spare.
 	spare := s.vms[4].ID
-	late := s.holdUp(spare)
+	late := s.interposeRelay(spare)
 	s.publish()
 	for i := range 3 {
 		s.startNode(cluster.NodeID(fmt.Sprintf("serra-a-%d", i+1)), zone, "", "")
@@ -131,142 +132,141 @@
 	}
 	s.awaitEnginesAgree(w)
 	old, others := s.holder()
-	var pumps []*pump
+	var chatLoops []*chatLoop
 	for _, n := range others {
-		pumps = append(pumps, s.startPump(n))
+		chatLoops = append(chatLoops, s.startChats(n))
 	}
-	taken := 0
+	acquisitions := 0
 	for _, n := range others {
-		taken += len(n.matches(acquired))
+		acquisitions += len(n.matches(acquired))
 	}
 
-	late.armed.Store(true)
+	late.holdNext.Store(true)
 	s.engines[s.vms[0].ID].kill()
 	order := <-late.held
 	old.signal(syscall.SIGSTOP)
-	s.awaitHolderAmong(others, taken)
-	// The replica that the spare has joined loses its other VM, and the second
-	// replica one of its own: what is left of both becomes one.
+	s.awaitHolderAmong(others, acquisitions)
+	// The replica that the spare joined loses its other VM, and the second replica
+	// one of its VMs: the two remaining VMs form one replica.
 	s.engines[s.vms[1].ID].kill()
 	s.engines[s.vms[2].ID].kill()
 	s.awaitNoProblem(func() string {
 		now := w.assigned()
 		ordered := assignment{order.Assignment.Replica, order.Assignment.Generation}
 		if now[spare] != now[s.vms[3].ID] || now[spare] == ordered {
-			return fmt.Sprintf("the spare has not moved: %v", now)
+			return fmt.Sprintf("the spare VM has not been moved: %v", now)
 		}
 		return ""
 	})
 	s.awaitEnginesAgree(w)
 
 	close(late.release)
-	result := <-late.late
+	result := <-late.lateResult
 	require.Equal(t, !refused, result.Accepted, "%+v", result)
 	old.signal(syscall.SIGCONT)
-	misled := s.awaitEnginesAgree(w)
+	convergence := s.awaitEnginesAgree(w)
 	old.await(`msg="placement lease given up"`)
-	t.Logf("late order %s of fence %d: accepted %t; engines agreed with the table after %v", order.ID, order.Fence, result.Accepted, misled.Round(time.Millisecond))
+	t.Logf("late order %s with fencing token %d: accepted %t; engines agreed with the table after %v", order.ID, order.Fence, result.Accepted, convergence.Round(time.Millisecond))
 	for _, n := range s.nodes {
 		s.awaitServing(n)
 	}
 	s.awaitEnginesAgree(w)
-	for _, p := range pumps {
+	for _, p := range chatLoops {
 		p.finish()
-		require.Positive(t, p.ok.Load())
+		require.Positive(t, p.answered.Load())
 	}
 	w.check(s, s.nodes...)
 }
 
-// A machine of a replica stops for a while and goes on as if nothing happened,
-// or its engine process dies and is back a moment later with nothing loaded. The
-// replica is not whole in between and its place in the table may be taken. A node
-// that went by the address alone would send fitters to an engine that is in no
-// replica, or in one that was broken up.
-func TestVMComesBackAsIfNothingHappened(t *testing.T) {
+// A VM of a replica is paused and resumes, or its engine process dies and restarts
+// with nothing loaded. The replica is unhealthy in between, and another VM may take
+// its place in the table. A node that went by the address alone would route to an
+// engine that is in no replica, or in one that was broken up.
+func TestVMReturnsAfterPauseOrRestart(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		away, back func(s *system, id cluster.VMID)
+		interrupt, restore func(s *system, id cluster.VMID)
 	}{
 		"paused": {
 			func(s *system, id cluster.VMID) { s.engines[id].signal(syscall.SIGSTOP) },
 			func(s *system, id cluster.VMID) { s.engines[id].signal(syscall.SIGCONT) },
 		},
-		"started anew": {
+		"restarted": {
 			func(s *system, id cluster.VMID) { s.engines[id].kill() },
 			func(s *system, id cluster.VMID) { s.restart(id, "--checks-fence") },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, w := groupedSystem(t, fitRules, nil, "rack-1", "rack-1", "rack-1", "rack-1", "rack-1")
+			s, w := groupedSystem(t, baseRules, nil, "rack-1", "rack-1", "rack-1", "rack-1", "rack-1")
 			s.awaitEnginesAgree(w)
 			vm := s.vms[0].ID
 			first := w.assigned()[vm]
 			for _, n := range s.nodes {
-				n.await(isWhole(first))
+				n.await(isHealthy(first))
 			}
-			pumps := []*pump{s.startPump(s.nodes[0]), s.startPump(s.nodes[1])}
-			c.away(s, vm)
-			s.awaitCommitted(w, vm, false) // the spare takes its place
+			chatLoops := []*chatLoop{s.startChats(s.nodes[0]), s.startChats(s.nodes[1])}
+			c.interrupt(s, vm)
+			s.awaitCommitted(w, vm, false) // the spare VM replaces it
 			second := w.assigned()[s.vms[1].ID]
 			require.NotEqual(t, first, second)
-			whole := map[*node]int{}
+			healthyLines := map[*node]int{}
 			for _, n := range s.nodes {
-				n.await(isWhole(second))
-				whole[n] = len(n.matches(isWhole(first)))
+				n.await(isHealthy(second))
+				healthyLines[n] = len(n.matches(isHealthy(first)))
 			}
-			c.back(s, vm)
+			c.restore(s, vm)
 			s.awaitEnginesAgree(w)
 			for _, n := range s.nodes {
-				require.Len(t, n.matches(isWhole(first)), whole[n], "%s counted an old generation as whole", n.name)
+				require.Len(t, n.matches(isHealthy(first)), healthyLines[n], "%s counted an old generation as healthy", n.name)
 			}
-			for _, p := range pumps {
+			for _, p := range chatLoops {
 				p.finish()
-				require.Positive(t, p.ok.Load())
+				require.Positive(t, p.answered.Load())
 			}
 			w.check(s, s.nodes...)
 		})
 	}
 }
 
-func notWhole(a assignment) string { return health(a, false) }
+func isUnhealthy(a assignment) string { return health(a, false) }
 
-func isWhole(a assignment) string { return health(a, true) }
+func isHealthy(a assignment) string { return health(a, true) }
 
-func health(a assignment, whole bool) string {
-	return fmt.Sprintf(`msg=replica .*replica=%s generation=%d whole=%t`, regexp.QuoteMeta(string(a.replica)), a.generation, whole)
+func health(a assignment, healthy bool) string {
+	return fmt.Sprintf(`msg=replica .*replica=%s generation=%d whole=%t`, regexp.QuoteMeta(string(a.replica)), a.generation, healthy)
 }
 
-// A switch fails and every machine of one fabric domain is dark at once. Half of
-// the replicas are gone in one moment; fitters must be served by the other half,
-// and the dark ones must not be paired with machines of another domain.
-func TestFabricDomainDark(t *testing.T) {
+// All VMs of one fabric domain fail at once, as when a switch fails: half of the
+// replicas are lost. Callers must be served by the other half, and the failed VMs must
+// not be grouped with VMs of another domain.
+func TestFabricDomainFailure(t *testing.T) {
 	t.Parallel()
-	s, w := groupedSystem(t, fitRules, nil, "rack-1", "rack-1", "rack-1", "rack-1", "rack-2", "rack-2")
+	s, w := groupedSystem(t, baseRules, nil, "rack-1", "rack-1", "rack-1", "rack-1", "rack-2", "rack-2")
 	s.awaitEnginesAgree(w)
 	all := w.assigned()
 	require.Len(t, all, 6)
-	var pumps []*pump
+	var chatLoops []*chatLoop
 	for _, n := range s.nodes {
 		for _, a := range all {
-			n.await(isWhole(a))
+			n.await(isHealthy(a))
 		}
-		pumps = append(pumps, s.startPump(n))
+		chatLoops = append(chatLoops, s.startChats(n))
 	}
-	dark := s.vms[:4]
-	for _, vm := range dark {
+	failed := s.vms[:4]
+	for _, vm := range failed {
 		s.engines[vm.ID].signal(syscall.SIGKILL)
 	}
 	for _, n := range s.nodes {
-		for _, vm := range dark {
-			n.await(notWhole(all[vm.ID]))
+		for _, vm := range failed {
+			n.await(isUnhealthy(all[vm.ID]))
 		}
 	}
-	for _, p := range pumps {
-		before := p.ok.Load()
-		require.Eventually(t, func() bool { return p.ok.Load() > before }, waitTimeout, pollEvery)
+	for _, p := range chatLoops {
+		before := p.answered.Load()
+		require.Eventually(t, func() bool { return p.answered.Load() > before }, waitTimeout, pollEvery)
 	}
-	for _, vm := range dark {
+	for _, vm := range failed {
 		<-s.engines[vm.ID].done
 		s.restart(vm.ID, "--checks-fence")
 	}
@@ -278,8 +278,8 @@
 	})
 	s.awaitEnginesAgree(w)
 	now := w.assigned()
-	require.NotEqual(t, now[s.vms[4].ID], now[s.vms[0].ID], "a replica over two domains")
-	for _, p := range pumps {
+	require.NotEqual(t, now[s.vms[4].ID], now[s.vms[0].ID], "a replica spans two domains")
+	for _, p := range chatLoops {
 		p.finish()
 	}
 	w.check(s, s.nodes...)
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -1,5 +1,5 @@
-// Package e2e runs whole small systems of real processes on loopback addresses
-// and brings failures about in them.
+// Package e2e starts complete small systems of real processes on loopback addresses
+// and tests them under injected failures.
 package e2e
 
 import (
@@ -32,14 +32,15 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb/wirepbconnect"
 )
 
-// waitTimeout bounds every wait for an event; a healthy run stays far below it.
+// waitTimeout bounds every wait for an event; on an idle machine the events come far
+// earlier.
 const waitTimeout = 60 * time.Second
 
-// pollEvery is how often a condition is looked at that no log line announces.
+// pollEvery is the interval for polling conditions that no log line announces.
 const pollEvery = 20 * time.Millisecond
 
-// bins is where TestMain puts the project's commands.
-var bins string
+// binDir is the directory into which TestMain builds the project's commands.
+var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(func() int {
@@ -48,7 +49,7 @@
 			panic(err)
 		}
 		defer os.RemoveAll(dir)
-		bins = dir
+		binDir = dir
 		out, err := exec.Command("go", "build", "-buildvcs=false", "-race", "-o", dir+"/", "../../cmd/...").CombinedOutput()
 		if err != nil {
 			fmt.Fprintln(os.Stderr, string(out))
@@ -58,7 +59,7 @@
 	}())
 }
 
-// proc is one process that the test started.
+// proc is a process that the test started.
 type proc struct {
 	t    *testing.T
 	name string
@@ -71,7 +72,7 @@
 
 func start(t *testing.T, name, bin string, args ...string) *proc {
 	t.Helper()
-	p := &proc{t: t, name: name, cmd: exec.Command(filepath.Join(bins, bin), args...), more: make(chan struct{}), done: make(chan struct{})}
+	p := &proc{t: t, name: name, cmd: exec.Command(filepath.Join(binDir, bin), args...), more: make(chan struct{}), done: make(chan struct{})}
 	out, err := p.cmd.StdoutPipe()
 	require.NoError(t, err)
 	p.cmd.Stderr = p.cmd.Stdout
@@ -105,7 +106,7 @@
 func (p *proc) tail(n int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Callers that wait for capacity are refused many times a second.
+	// Refusals for lack of capacity come many times a second and hide the rest.
 	log := slices.DeleteFunc(slices.Clone(p.log), func(line string) bool { return strings.Contains(line, "code=overloaded") })
 	return strings.Join(log[max(0, len(log)-n):], "\n")
 }
@@ -128,9 +129,9 @@
 		select {
 		case <-more:
 		case <-p.done:
-			require.FailNow(p.t, p.name+" ended before its log said "+pattern)
+			require.FailNow(p.t, p.name+" ended before its log matched "+pattern)
 		case <-deadline:
-			require.FailNow(p.t, p.name+": the log never said "+pattern)
+			require.FailNow(p.t, p.name+": the log never matched "+pattern)
 		}
 	}
 }
@@ -142,29 +143,29 @@
 	<-p.done
 }
 
-// node is one fenneld.
+// node is one fenneld process and its listen addresses.
 type node struct {
 	*proc
 	callers, control, datagrams string
 }
 
-// system is a platform, engines, services and nodes.
+// system is one test system: a platform, engines, services and nodes.
 type system struct {
-	t        *testing.T
-	dir      string
-	platform string
-	platProc *proc
-	vms      []cluster.VM
-	engines  map[cluster.VMID]*proc
-	nodes    []*node
-	// neighbors is added to the control settings of nodes started from now on.
+	t            *testing.T
+	dir          string
+	platform     string
+	platformProc *proc
+	vms          []cluster.VM
+	engines      map[cluster.VMID]*proc
+	nodes        []*node
+	// neighbors is added to the control settings of nodes that are started after it is set.
 	neighbors string
-	// tls is the nodes' setting, ctlTLS fennelctl's flags to match; without
-	// them the control addresses are plain.
+	// tls is the nodes' TLS setting, ctlTLS the matching flags of fennelctl. By
+	// default the control addresses speak plain HTTP.
 	tls    string
 	ctlTLS []string
-	// name and secret are the system's own: the nodes of systems that run side by
-	// side have the same names, and ports are given out anew.
+	// name and secret differ for each system: systems that run in parallel use the
+	// same node names, and the kernel reuses ports.
 	name, secret string
 }
 
@@ -172,8 +173,8 @@
 	t.Helper()
 	s := &system{t: t, dir: t.TempDir(), tls: "{off: true}", engines: map[cluster.VMID]*proc{},
 		name: "system-" + rand.Text(), secret: newSecret()}
-	s.platProc = start(t, "platform", "fennel-standin", "platform", "--listen", "127.0.0.1:0")
-	s.platform = "http://" + s.platProc.await(listening)
+	s.platformProc = start(t, "platform", "fennel-standin", "platform", "--listen", "127.0.0.1:0")
+	s.platform = "http://" + s.platformProc.await(listening)
 	return s
 }
 
@@ -183,10 +184,10 @@
 	return hex.EncodeToString(secret[:])
 }
 
-// listening matches the address in the log of a stand-in.
+// listening matches the listen address in a stand-in's log.
 const listening = `addr=(\S+)`
 
-// engine starts one engine VM and returns its id; it is listed by publish.
+// engine starts one engine VM and returns its id; publish adds it to the VM list.
 func (s *system) engine(zone cluster.ZoneID, domain cluster.DomainID, args ...string) cluster.VMID {
 	s.t.Helper()
 	id := cluster.VMID(fmt.Sprintf("%s-vm-%d", zone, len(s.vms)))
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// publish puts the VMs into the platform's VM list.
+// publish writes the VMs to the platform's VM list.
 func (s *system) publish() {
 	s.t.Helper()
 	s.put(s.platform+"/vms", s.vms)
@@ -251,8 +252,8 @@
 // shortNotice is the drain setting of nodes whose extra settings name none.
 const shortNotice = "drain: {notice: 100ms}\n"
 
-// startNode starts a fenneld that knows the nodes running now as seeds. platform
-// is where it looks for the platform; empty means the system's.
+// startNode starts a fenneld whose seeds are the nodes running now. platform is the
+// address at which it looks for the platform; empty means the system's.
 func (s *system) startNode(name cluster.NodeID, zone cluster.ZoneID, platform, extra string) *node {
 	s.t.Helper()
 	if platform == "" {
@@ -290,7 +291,7 @@
 	args = append(slices.Clone(s.ctlTLS), args...)
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	cmd := exec.CommandContext(ctx, filepath.Join(bins, "fennelctl"), append([]string{"--server", strings.Join(servers, ",")}, args...)...)
+	cmd := exec.CommandContext(ctx, filepath.Join(binDir, "fennelctl"), append([]string{"--server", strings.Join(servers, ",")}, args...)...)
 	out, err := cmd.CombinedOutput()
 	if _, exited := err.(*exec.ExitError); err != nil && !exited {
 		require.NoError(s.t, err)
@@ -298,7 +299,7 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// apply has a rules text accepted and in force everywhere.
+// apply applies a rules text and waits until it is in force on all nodes.
 func (s *system) apply(text string) {
 	s.t.Helper()
 	path := filepath.Join(s.dir, "rules")
@@ -309,8 +310,8 @@
 
 const (
 	token = "example-token-school-a"
-	// fitRules forms replicas of two VMs within one fabric domain.
-	fitRules = `
+	// baseRules forms replicas of two VMs within one fabric domain.
+	baseRules = `
 team    name=school-a token=sha256:c62eee5b624ffb8b269b63845683ca2cfc685b1918dafaed73079844c5cecc0a # asked for by: Ana
 service name=caixa                                                # asked for by: Ana
 group   name=fit model=assistente-fit vms=2 domain=same           # asked for by: Ana
@@ -319,7 +320,7 @@
 `
 )
 
-// reply is what a caller saw; err is how reading the body ended.
+// reply is what a caller received; err is the error of the call or of reading the body.
 type reply struct {
 	status int
 	header http.Header
@@ -353,12 +354,12 @@
 	return reply{resp.StatusCode, resp.Header, string(text), err}
 }
 
-// chatBody asks for an answer of that many tokens.
+// chatBody is a chat request for an answer of that many tokens.
 func chatBody(tokens int, stream bool) string {
 	return fmt.Sprintf(`{"model":"assistente-fit","stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"cold toes"}]}`, stream, tokens)
 }
 
-// streamText is the text of a stream and whether it ended whole.
+// streamText returns the text of a stream and whether the stream is complete.
 func streamText(body string) (string, bool) {
 	var text strings.Builder
 	for line := range strings.Lines(body) {
@@ -393,25 +394,25 @@
 	}, waitTimeout, pollEvery, "%s never answered: %+v", n.name, &last)
 }
 
-// awaitWhole waits until the node holds that many replicas for whole.
-func (s *system) awaitWhole(n *node, replicas int) {
+// awaitHealthy waits until the node reports that many healthy replicas.
+func (s *system) awaitHealthy(n *node, replicas int) {
 	s.t.Helper()
-	require.Eventually(s.t, func() bool { return s.wholeAt(n) == replicas }, waitTimeout, pollEvery,
-		"%s never held %d replicas for whole", n.name, replicas)
+	require.Eventually(s.t, func() bool { return s.healthyAt(n) == replicas }, waitTimeout, pollEvery,
+		"%s never reported %d healthy replicas", n.name, replicas)
 }
 
-// wholeAt counts the replicas that the node holds for whole; -1 if it does not answer.
-func (s *system) wholeAt(n *node) int {
+// healthyAt counts the replicas that the node reports as healthy; -1 if it does not answer.
+func (s *system) healthyAt(n *node) int {
 	client := wirepbconnect.NewOperatorServiceClient(http.DefaultClient, "http://"+n.control)
 	resp, err := client.Status(s.t.Context(), connect.NewRequest(&wirepb.StatusRequest{}))
 	if err != nil {
 		return -1
 	}
-	whole := 0
+	healthy := 0
 	for _, r := range resp.Msg.Replicas {
 		if r.Whole {
-			whole++
+			healthy++
 		}
 	}
-	return whole
+	return healthy
 }
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -17,30 +17,30 @@
 	standinengine "github.com/fennelcourse/fennelcourse/internal/standin/engine"
 )
 
-// flight is a chat on its way, sent aside.
-type flight struct {
-	body  string
-	begun chan struct{} // closed with the first byte of a stream
-	got   chan reply
+// pendingChat is a chat that was sent without waiting for its answer.
+type pendingChat struct {
+	body      string
+	firstByte chan struct{} // closed with the first byte of a stream
+	answer    chan reply
 }
 
-// chatAside sends a chat without waiting for its answer. Each number makes
-// another prompt.
-func (s *system) chatAside(n *node, number, tokens int, stream bool) *flight {
-	f := &flight{begun: make(chan struct{}), got: make(chan reply, 1)}
+// chatAsync sends a chat without waiting for its answer. Each number makes another
+// prompt.
+func (s *system) chatAsync(n *node, number, tokens int, stream bool) *pendingChat {
+	f := &pendingChat{firstByte: make(chan struct{}), answer: make(chan reply, 1)}
 	f.body = strings.Replace(chatBody(tokens, stream), "cold toes", fmt.Sprintf("fitting %d", number), 1)
 	var event func()
 	if stream {
-		event = func() { close(f.begun) }
+		event = func() { close(f.firstByte) }
 	}
-	go func() { f.got <- s.call(n, http.MethodPost, engine.ChatPath, f.body, event) }()
+	go func() { f.answer <- s.call(n, http.MethodPost, engine.ChatPath, f.body, event) }()
 	return f
 }
 
-// requireWhole waits for the answer and compares it with what engines generate.
-func (f *flight) requireWhole(t *testing.T) {
+// requireComplete waits for the answer and compares it with what engines generate.
+func (f *pendingChat) requireComplete(t *testing.T) {
 	t.Helper()
-	r := <-f.got
+	r := <-f.answer
 	require.NoError(t, r.err)
 	require.Equal(t, http.StatusOK, r.status, r.body)
 	want := standinengine.Text([]byte(f.body))
@@ -48,8 +48,8 @@
 		require.Contains(t, r.body, fmt.Sprintf(`"content":%q`, want))
 		return
 	}
-	text, whole := streamText(r.body)
-	require.True(t, whole, r.body)
+	text, complete := streamText(r.body)
+	require.True(t, complete, r.body)
 	require.Equal(t, want, text)
 }
 
@@ -64,48 +64,48 @@
 	return state.Assignment.Serving
 }
 
-// The platform is about to take a machine away and says so in its VM list.
-// Fitters who are sent to its replica from then on would lose their answers with
-// it; those whose answers already run there must get them to the end.
+// The platform announces in its VM list that it will remove a VM. Requests that are
+// routed to the VM's replica from then on would be lost with it; requests that already
+// run there must finish.
 func TestLeavingVMGetsNoNewWorkAndFinishesItsStreams(t *testing.T) {
 	s, _ := smallSystem(t)
 	member := cluster.VMID("serra-a-vm-1")
 	serving := s.servingOf(member)
 	s.engineFaults(slow)
-	var running []*flight
+	var running []*pendingChat
 	for i := range 8 {
-		f := s.chatAside(s.nodes[i%len(s.nodes)], i, 200, true)
+		f := s.chatAsync(s.nodes[i%len(s.nodes)], i, 200, true)
 		running = append(running, f)
-		<-f.begun
+		<-f.firstByte
 	}
 	s.engineFaults(standinengine.Faults{}, serving)
 	require.NotZero(t, s.running(serving))
 
 	s.vm(member).State = cluster.VMLeaving
-	told := time.Now()
+	announced := time.Now()
 	s.publish()
-	lastWork := s.workUntil(serving, func() bool {
-		return !slices.ContainsFunc(s.nodes, func(n *node) bool { return s.wholeAt(n) != 1 })
+	lastWork := s.sendUntil(serving, func() bool {
+		return !slices.ContainsFunc(s.nodes, func(n *node) bool { return s.healthyAt(n) != 1 })
 	})
 	before := s.runsOn(serving)
 	for i := range 40 {
-		f := s.chatAside(s.nodes[i%len(s.nodes)], 1000+i, 1, false)
-		f.requireWhole(t)
+		f := s.chatAsync(s.nodes[i%len(s.nodes)], 1000+i, 1, false)
+		f.requireComplete(t)
 	}
-	require.Equal(t, before, s.runsOn(serving), "new work came to the leaving replica")
-	require.NotZero(t, s.running(serving), "its streams still ran while it was left")
+	require.Equal(t, before, s.runsOn(serving), "the leaving replica got new requests")
+	require.NotZero(t, s.running(serving), "its streams still ran while new requests went elsewhere")
 	s.engineFaults(standinengine.Faults{})
 	for _, f := range running {
-		f.requireWhole(t)
+		f.requireComplete(t)
 	}
-	t.Logf("last new work %v after the VM list said leaving (read every 200ms)", lastWork.Sub(told))
-	require.Less(t, lastWork.Sub(told), 5*time.Second)
+	t.Logf("last new request %v after the VM list said leaving (read every 200ms)", lastWork.Sub(announced))
+	require.Less(t, lastWork.Sub(announced), 5*time.Second)
 }
 
-// slow makes answers of a few hundred tokens last until a test speeds them up again.
+// slow makes an answer of a few hundred tokens last until the test resets the faults.
 var slow = standinengine.Faults{SlowBy: 200}
 
-// running counts the requests that the engine generates for now.
+// running returns how many requests the engine is generating for now.
 func (s *system) running(id cluster.VMID) int {
 	s.t.Helper()
 	client := engine.NewProber(0)
@@ -115,16 +115,16 @@
 	return state.Load.Running
 }
 
-// workUntil sends chats through all nodes until done, and returns when the last
-// run began on the VM.
-func (s *system) workUntil(id cluster.VMID, done func() bool) (last time.Time) {
+// sendUntil sends chats through all nodes until done returns true, and returns when the
+// last run began on the VM.
+func (s *system) sendUntil(id cluster.VMID, done func() bool) (last time.Time) {
 	s.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	last = time.Now()
 	seen := s.runsOn(id)
 	for i := 0; !done(); i++ {
-		require.True(s.t, time.Now().Before(deadline), "still not left")
-		s.chatAside(s.nodes[i%len(s.nodes)], 2000+i, 1, false).requireWhole(s.t)
+		require.True(s.t, time.Now().Before(deadline), "requests are still sent to the VM")
+		s.chatAsync(s.nodes[i%len(s.nodes)], 2000+i, 1, false).requireComplete(s.t)
 		if now := s.runsOn(id); now != seen {
 			seen, last = now, time.Now()
 		}
@@ -132,11 +132,11 @@
 	return last
 }
 
-// The platform replaces an entry VM and sends SIGTERM while fitters read long
-// answers, others wait for theirs in one piece, and a deposit is at the service.
-// Its balancer goes on sending requests until it sees the node unready. A node
-// that stops at once cuts all of them, and the deposit's fate is lost.
-func TestPlannedStopFinishesEverything(t *testing.T) {
+// The platform replaces an entry VM and sends SIGTERM while callers read streams, others
+// wait for answers in one piece, and a deposit is running at the service. The balancer
+// goes on sending requests until it sees that the node is not ready. A node that stopped
+// at once would abort all of them and lose the outcome of the deposit.
+func TestPlannedStopFinishesAllRequests(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
 		s.engine("serra-a", "rack-1")
@@ -147,24 +147,24 @@
 	s.publish()
 	n := s.startNode("serra-a-1", "serra-a", "", "drain: {notice: 2s}\n")
 	other := s.startNode("serra-a-2", "serra-a", "", "")
-	s.apply(fitRules)
+	s.apply(baseRules)
 	s.awaitServing(n)
 	s.awaitServing(other)
 
 	s.engineFaults(slow)
-	var running []*flight
+	var running []*pendingChat
 	for i := range 6 {
-		f := s.chatAside(n, i, 200, i%2 == 0)
+		f := s.chatAsync(n, i, 200, i%2 == 0)
 		running = append(running, f)
 		if i%2 == 0 {
-			<-f.begun
+			<-f.firstByte
 		}
 	}
 	require.Eventually(t, func() bool { return s.engineRuns() >= len(running) }, waitTimeout, pollEvery)
 	l.hold(toCaller)
 	deposit := make(chan reply, 1)
 	go func() {
-		deposit <- s.call(n, http.MethodPost, "/deposits/42", booking, nil, gateway.HeaderIdempotencyKey, "k")
+		deposit <- s.call(n, http.MethodPost, "/deposits/42", depositBody, nil, gateway.HeaderIdempotencyKey, "k")
 	}()
 	l.awaitHeld(t)
 
@@ -172,39 +172,39 @@
 	n.await(`msg=stopping .*step=unready`)
 	require.Equal(t, http.StatusServiceUnavailable, s.call(n, http.MethodGet, "/readyz", "", nil).status)
 	require.Equal(t, http.StatusOK, s.call(n, http.MethodGet, "/livez", "", nil).status)
-	s.chatAside(n, 100, 1, false).requireWhole(t) // the balancer has not noticed yet
+	s.chatAsync(n, 100, 1, false).requireComplete(t) // the balancer has not yet seen the node as unready
 	n.await(`msg=stopping .*step="finish requests"`)
 	for _, f := range running {
-		require.Empty(t, f.got, "all answers still ran when the node stopped accepting")
+		require.Empty(t, f.answer, "an answer had ended before the node stopped accepting requests")
 	}
 	s.engineFaults(standinengine.Faults{})
 	for _, f := range running {
-		f.requireWhole(t)
+		f.requireComplete(t)
 	}
-	l.hold(nothing)
+	l.hold(holdNothing)
 	first := <-deposit
 	require.Equal(t, http.StatusCreated, first.status, first.body)
 	<-n.done
 	require.Zero(t, n.cmd.ProcessState.ExitCode())
 
-	again := s.call(other, http.MethodPost, "/deposits/42", booking, nil, gateway.HeaderIdempotencyKey, "k")
-	require.Equal(t, first.body, again.body, "the outcome was recorded before the end")
+	again := s.call(other, http.MethodPost, "/deposits/42", depositBody, nil, gateway.HeaderIdempotencyKey, "k")
+	require.Equal(t, first.body, again.body, "the outcome was not recorded before the node ended")
 	require.Equal(t, 1, depositRuns(t, svc, "k"))
 }
 
-// An operator is in a hurry: one answer would take for hours. A second signal
-// ends the node now; the reader must see that the answer is not whole.
-func TestSecondSignalCutsShort(t *testing.T) {
+// A planned stop waits for an answer that would take hours. A second signal ends the
+// node at once; the caller must see that the answer is incomplete.
+func TestSecondSignalAbortsRequests(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
 		s.engine("serra-a", "rack-1", "--token-interval", "10ms")
 	}
 	s.publish()
 	n := s.startNode("serra-a-1", "serra-a", "", "")
-	s.apply(fitRules)
+	s.apply(baseRules)
 	s.awaitServing(n)
-	f := s.chatAside(n, 1, 1_000_000, true)
-	<-f.begun
+	f := s.chatAsync(n, 1, 1_000_000, true)
+	<-f.firstByte
 	n.signal(syscall.SIGTERM)
 	n.await(`msg=stopping .*step="finish requests"`)
 	n.signal(syscall.SIGTERM)
@@ -213,55 +213,55 @@
 	case <-time.After(waitTimeout):
 		require.FailNow(t, "still running")
 	}
-	require.Equal(t, 1, n.cmd.ProcessState.ExitCode(), "a cut stop is not a clean one")
-	r := <-f.got
+	require.Equal(t, 1, n.cmd.ProcessState.ExitCode(), "a stop that aborts requests must not exit with 0")
+	r := <-f.answer
 	require.Error(t, r.err)
-	_, whole := streamText(r.body)
-	require.False(t, whole)
+	_, complete := streamText(r.body)
+	require.False(t, complete)
 }
 
-// A machine of the front desk's service is about to go. Deposits sent to it from
-// then on would be lost with it; the one that it works on must come back whole.
+// A backend server of a service is about to be removed. Deposits sent to it from then on
+// would be lost with it; the one that it is running must be answered.
 func TestLeavingServiceGetsNoNewCalls(t *testing.T) {
-	d := newDesk(t)
+	d := newDepositSystem(t)
 	spare := start(t, "caixa-2", "fennel-standin", "service", "--listen", "127.0.0.1:0").await(listening)
 	d.vms = append(d.vms, cluster.VM{ID: "svc-caixa-2", Zone: "serra-a", Addr: spare, Service: "caixa", State: cluster.VMLive})
 	d.publish()
 	require.Equal(t, http.StatusCreated, d.deposit(d.nodes[0], "first").status)
-	require.Equal(t, 1, d.runs("first"), "the first machine of the list takes the calls")
+	require.Equal(t, 1, d.runs("first"), "the first server of the list gets the calls")
 	d.link.hold(toCaller)
-	held := d.depositAside(d.nodes[0], "held")
+	held := d.depositAsync(d.nodes[0], "held")
 	d.link.awaitHeld(t)
 
 	d.vms[0].State = cluster.VMLeaving
-	told := time.Now()
+	announced := time.Now()
 	d.publish()
 	for i, n := range d.nodes {
-		for k := 0; ; k++ { // calls that still go to the leaving machine stay held there
-			require.Less(t, time.Since(told), waitTimeout/4, "still sent to the leaving machine")
+		for k := 0; ; k++ { // calls that still go to the leaving server are held back on the link
+			require.Less(t, time.Since(announced), waitTimeout/4, "calls are still sent to the leaving server")
 			key := fmt.Sprintf("probe-%d-%d", i, k)
-			d.depositAside(n, key)
+			d.depositAsync(n, key)
 			if d.eventuallyRan(key, spare) {
 				break
 			}
 		}
 	}
-	t.Logf("both nodes left the machine within %v (list read every 200ms)", time.Since(told))
+	t.Logf("both nodes stopped using the server within %v (list read every 200ms)", time.Since(announced))
 	for i := range 20 {
 		r := d.deposit(d.nodes[i%2], keyName(i))
 		require.Equal(t, http.StatusCreated, r.status, r.body)
 		require.Equal(t, 1, depositRuns(t, spare, keyName(i)))
 		require.Zero(t, d.runs(keyName(i)))
 	}
-	d.link.hold(nothing)
+	d.link.hold(holdNothing)
 	r := <-held
 	require.Equal(t, http.StatusCreated, r.status, r.body)
 	require.Equal(t, 1, d.runs("held"))
 }
 
-// eventuallyRan waits until the call ran at either machine, and reports whether
-// it was the other one.
-func (d *desk) eventuallyRan(key, other string) bool {
+// eventuallyRan waits until the call has run at either backend server, and reports
+// whether it was the other one.
+func (d *depositSystem) eventuallyRan(key, other string) bool {
 	d.t.Helper()
 	there := false
 	require.Eventually(d.t, func() bool {
--- a/internal/e2e/ledger_test.go
+++ b/internal/e2e/ledger_test.go
@@ -14,8 +14,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// ledgerExact is how near the ledger's times must be: it prints whole seconds.
-const ledgerExact = 3 * time.Second
+// ledgerTolerance is the tolerance for the ledger's times, which are printed in whole seconds.
+const ledgerTolerance = 3 * time.Second
 
 // outage is one interval as fennelctl prints it.
 type outage struct {
@@ -32,12 +32,12 @@
 	return doc.Intervals
 }
 
-// A machine of a replica dies while the store is down, and comes back. One of the
-// two nodes that saw it is stopped as planned once the store is back, the other
-// dies with its memory. The outage must be in the ledger once, with its cause and
-// who saw it; the time before there were nodes, and after the last observer was
-// gone, must show as unobserved. A ledger that counted these as up would have the
-// company tell its shareholders something that nobody knows.
+// A VM of a replica dies while the store is down, and restarts. Of the two nodes that
+// observed it, one is stopped as planned once the store is back; the other is killed and
+// loses its memory. The outage must be in the ledger exactly once, with its cause and
+// observer. The time before the first node started and after the last observer ended
+// must be shown as unobserved: counting it as up would report availability that nobody
+// measured.
 func TestOutageLedger(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t)
@@ -50,7 +50,7 @@
 	s.publish()
 	s.startNode("serra-a-1", zone, "", "")
 	s.startNode("serra-a-2", zone, "", "")
-	s.apply(fitRules)
+	s.apply(baseRules)
 	for _, n := range s.nodes {
 		n.await(`msg="outage observer role" .*held=true`)
 		s.awaitServing(n)
@@ -59,17 +59,17 @@
 	vm := s.vms[0].ID
 	lost := w.assigned()[vm]
 	stopped, killed := s.nodes[0], s.nodes[1]
-	whole := len(stopped.matches(isWhole(lost)))
+	healthyLines := len(stopped.matches(isHealthy(lost)))
 	s.faults(platform.Faults{Store: memstore.Faults{Down: true}})
 	s.engines[vm].kill()
 	killedAt := time.Now()
-	stopped.await(notWhole(lost))
-	downAt := time.Now() // an outage counts from when it is noticed
+	stopped.await(isUnhealthy(lost))
+	downAt := time.Now() // an outage counts from its detection
 	s.restart(vm, "--checks-fence")
 	s.faults(platform.Faults{})
 	s.awaitNoProblem(func() string {
-		if len(stopped.matches(isWhole(lost))) == whole {
-			return "not whole again"
+		if len(stopped.matches(isHealthy(lost))) == healthyLines {
+			return "the replica is not healthy again"
 		}
 		return ""
 	})
@@ -87,7 +87,7 @@
 	var found []outage
 	ids := map[string]bool{}
 	for _, o := range list {
-		require.False(t, ids[o.ID], "twice: %+v", o)
+		require.False(t, ids[o.ID], "reported twice: %+v", o)
 		ids[o.ID] = true
 		switch {
 		case o.Measure == string(ledger.Unobserved):
@@ -101,10 +101,10 @@
 	require.Equal(t, "not-whole", o.Cause)
 	require.Equal(t, "serra-a-1", o.Observer)
 	require.NotEmpty(t, o.Evidence)
-	require.WithinDuration(t, downAt, o.From, ledgerExact)
-	require.WithinDuration(t, upAt, o.To, ledgerExact)
+	require.WithinDuration(t, downAt, o.From, ledgerTolerance)
+	require.WithinDuration(t, upAt, o.To, ledgerTolerance)
 	require.Equal(t, string(ledger.Unobserved), list[0].Measure, "%+v", list)
 	require.GreaterOrEqual(t, unobserved, 59*time.Second)
-	t.Logf("noticed after %v, down %v by the test's clock, %v in the ledger, unobserved %v",
+	t.Logf("detected after %v, down %v by the test's clock, %v in the ledger, unobserved %v",
 		downAt.Sub(killedAt).Round(time.Millisecond), upAt.Sub(downAt).Round(time.Millisecond), o.To.Sub(o.From), unobserved)
 }
--- a/internal/e2e/link_test.go
+++ b/internal/e2e/link_test.go
@@ -9,42 +9,42 @@
 	"github.com/stretchr/testify/require"
 )
 
-// direction says which way a link holds bytes back.
+// direction is the direction in which a link holds bytes back.
 type direction int
 
 const (
-	nothing direction = iota
+	holdNothing direction = iota
 	toService
 	toCaller
 )
 
-// link passes bytes between nodes and a backend server. It can hold back what
-// goes one way on all connections, and shows when it does; and it can lose track
-// of the connections that are open.
+// link forwards bytes between nodes and a backend server. It can hold back the bytes of
+// one direction on all connections and report that it does, and it can stop forwarding
+// on the connections that are open.
 type link struct {
 	ln     net.Listener
 	target string
 
-	mu     sync.Mutex
-	held   direction
-	free   chan struct{} // closed while nothing is held
-	caught chan struct{} // gets one for each piece held back
-	conns  []net.Conn
-	silent *atomic.Bool // of the connections opened since the last mute
+	mu         sync.Mutex
+	held       direction
+	released   chan struct{} // closed while nothing is held back
+	heldPieces chan struct{} // receives one value for each piece held back
+	conns      []net.Conn
+	silent     *atomic.Bool // belongs to the connections opened since the last mute
 }
 
 func newLink(t *testing.T, target string) *link {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := &link{ln: ln, target: target, free: make(chan struct{}), caught: make(chan struct{}, 1024), silent: &atomic.Bool{}}
-	close(l.free)
+	l := &link{ln: ln, target: target, released: make(chan struct{}), heldPieces: make(chan struct{}, 1024), silent: &atomic.Bool{}}
+	close(l.released)
 	var wg sync.WaitGroup
 	wg.Go(func() { l.accept(&wg) })
 	t.Cleanup(func() {
 		ln.Close()
 		l.cut()
-		l.hold(nothing)
+		l.hold(holdNothing)
 		wg.Wait()
 	})
 	return l
@@ -55,16 +55,16 @@
 func (l *link) hold(d direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held != nothing {
-		close(l.free)
+	if l.held != holdNothing {
+		close(l.released)
 	}
-	if d != nothing {
-		l.free = make(chan struct{})
+	if d != holdNothing {
+		l.released = make(chan struct{})
 	}
 	l.held = d
 }
 
-// cut breaks all connections; what is held back on them is lost.
+// cut closes all connections; bytes held back on them are lost.
 func (l *link) cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,8 +74,8 @@
 	l.conns = nil
 }
 
-// mute makes all connections open now pass nothing any more, while they stay open
-// and new ones work.
+// mute makes all connections that are open now pass nothing any more. They stay open, and
+// new ones work.
 func (l *link) mute() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,8 +86,8 @@
 // awaitHeld waits until a piece is held back.
 func (l *link) awaitHeld(t *testing.T) {
 	t.Helper()
-	require.Eventually(t, func() bool { return len(l.caught) > 0 }, waitTimeout, pollEvery)
-	<-l.caught
+	require.Eventually(t, func() bool { return len(l.heldPieces) > 0 }, waitTimeout, pollEvery)
+	<-l.heldPieces
 }
 
 func (l *link) accept(wg *sync.WaitGroup) {
@@ -105,18 +105,18 @@
 		l.conns = append(l.conns, in, out)
 		silent := l.silent
 		l.mu.Unlock()
-		wg.Go(func() { l.pump(out, in, toService, silent) })
-		wg.Go(func() { l.pump(in, out, toCaller, silent) })
+		wg.Go(func() { l.copyBytes(out, in, toService, silent) })
+		wg.Go(func() { l.copyBytes(in, out, toCaller, silent) })
 	}
 }
 
-func (l *link) pump(to, from net.Conn, way direction, silent *atomic.Bool) {
+func (l *link) copyBytes(to, from net.Conn, way direction, silent *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if silent.Load() {
 			if err != nil {
-				return // the other end never learns of it
+				return // the close is not passed on
 			}
 			continue
 		}
@@ -125,11 +125,11 @@
 			return
 		}
 		l.mu.Lock()
-		held, free := l.held == way, l.free
+		held, released := l.held == way, l.released
 		l.mu.Unlock()
 		if held {
-			l.caught <- struct{}{}
-			<-free
+			l.heldPieces <- struct{}{}
+			<-released
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
 			from.Close()
--- a/internal/e2e/openai_test.go
+++ b/internal/e2e/openai_test.go
@@ -22,8 +22,8 @@
 	response *http.Response
 }
 
-// openaiClient is the library that callers use, unchanged; attempts gets each of
-// its exchanges, and onAnswer, which may be nil, runs after each.
+// openaiClient is OpenAI's library, unchanged. Each of its exchanges is appended to
+// attempts; onAnswer, which may be nil, runs after each.
 func openaiClient(n *node, attempts *[]attempt, onAnswer func(*http.Response)) openai.Client {
 	return openai.NewClient(option.WithBaseURL("http://"+n.callers+"/v1/"), option.WithAPIKey(token), option.WithMaxRetries(4),
 		option.WithMiddleware(func(req *http.Request, next option.MiddlewareNext) (*http.Response, error) {
@@ -45,12 +45,12 @@
 	}
 }
 
-// wantChat is the text that engines answer to chatParams with.
+// wantChat is the text that engines generate for chatParams.
 func wantChat(prompt string, tokens string) string {
 	return standinengine.Text([]byte(`{"model":"assistente-fit","max_tokens":` + tokens + `,"messages":[{"role":"user","content":"` + prompt + `"}]}`))
 }
 
-// Callers have programs that use OpenAI's library and will not change them.
+// Callers use OpenAI's library, which must work unchanged.
 func TestOpenAIClient(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
@@ -58,7 +58,7 @@
 	}
 	s.publish()
 	n := s.startNode("serra-a-1", "serra-a", "", "")
-	s.apply(fitRules)
+	s.apply(baseRules)
 	s.awaitServing(n)
 	ctx := t.Context()
 	var attempts []attempt
@@ -100,12 +100,11 @@
 	require.Equal(t, string(fennelerr.ModelNotFound), apiErr.Code)
 	require.Equal(t, "model", apiErr.Param)
 	require.Contains(t, apiErr.Message, "no-such-model")
-	require.Len(t, attempts, 1, "a final answer is not asked again")
+	require.Len(t, attempts, 1, "a final error is not retried")
 }
 
-// All replicas refuse for a moment. The library must be told when to come back,
-// come back then, and get its answer; and it must notice by itself that a stream
-// whose replica died is not a whole answer.
+// All replicas refuse for a moment. The library must be told when to retry, retry then
+// and get its answer. It must also detect that a stream whose replica died is incomplete.
 func TestOpenAIClientUnderFaults(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
@@ -113,7 +112,7 @@
 	}
 	s.publish()
 	n := s.startNode("serra-a-1", "serra-a", "", "")
-	s.apply(fitRules)
+	s.apply(baseRules)
 	s.awaitServing(n)
 
 	s.engineFaults(standinengine.Faults{Refuse: true})
@@ -131,7 +130,7 @@
 		require.Equal(t, string(fennelerr.NotRun), a.response.Header.Get(gateway.HeaderRun))
 		seconds, err := strconv.Atoi(a.response.Header.Get("Retry-After"))
 		require.NoError(t, err)
-		require.GreaterOrEqual(t, attempts[i+1].at.Sub(a.at), time.Duration(seconds)*time.Second, "the library came back early")
+		require.GreaterOrEqual(t, attempts[i+1].at.Sub(a.at), time.Duration(seconds)*time.Second, "the library retried early")
 	}
 
 	s.engineFaults(slow)
@@ -140,5 +139,5 @@
 	s.engines[s.vms[1].ID].kill()
 	for stream.Next() {
 	}
-	require.Error(t, stream.Err(), "half an answer must not look whole")
+	require.Error(t, stream.Err(), "an incomplete answer must not look complete")
 }
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -14,7 +14,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// calls returns how many calls the platform has had.
+// calls returns how many calls the platform has received.
 func (s *system) calls() int64 {
 	s.t.Helper()
 	resp, err := http.Get(s.platform + platform.PathCalls)
@@ -29,24 +29,24 @@
 	return sum
 }
 
-// rate measures the platform's calls a second over d.
+// rate measures the platform's calls per second over d.
 func (s *system) rate(d time.Duration) float64 {
 	s.t.Helper()
 	before := s.calls()
-	<-time.After(d) // a measurement, not a wait for an event
+	<-time.After(d) // the length of the measurement, not a wait for an event
 	return float64(s.calls()-before) / d.Seconds()
 }
 
-const measured = 6 * time.Second
+const rateWindow = 6 * time.Second
 
-// outageRates are the platform's calls a second around an outage.
+// outageRates holds the platform's calls per second before, during and after an outage.
 type outageRates struct{ before, during, after float64 }
 
-// The platform's services go down or fall silent for all nodes, and later all
-// nodes find them again at once. Fitters must be answered throughout; a deposit,
-// which needs a claim in the store, must be refused at once as not run. When the
-// platform is back, nodes that all rush at it would bring it down again: its calls
-// must grow with the zones and not with the nodes.
+// The platform's services fail or stop answering for all nodes, and later recover for
+// all at once. Chats must be answered throughout; a deposit, which needs a claim in the
+// store, must be refused at once as not run. If all nodes called the recovered platform
+// at once, they could overload it again: its calls must grow with the number of zones
+// and not with the number of nodes.
 func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
 	kinds := map[string]platform.Faults{
@@ -60,7 +60,7 @@
 			rates := map[int]outageRates{}
 			for _, nodes := range sizes[kind] {
 				rates[nodes] = platformOutage(t, nodes, faults)
-				t.Logf("%s, %d nodes: %+v calls/s", kind, nodes, rates[nodes])
+				t.Logf("%s, %d nodes: %+v calls per second", kind, nodes, rates[nodes])
 			}
 			if few, many := rates[2], rates[8]; kind == "down" {
 				require.Less(t, many.before, 2*few.before+1, "calls grow with the nodes")
@@ -80,32 +80,32 @@
 	for i := range nodes {
 		s.startNode(cluster.NodeID(fmt.Sprintf("serra-a-%d", i+1)), zone, "", "")
 	}
-	s.apply(fitRules)
-	var pumps []*pump
+	s.apply(baseRules)
+	var chatLoops []*chatLoop
 	for _, n := range s.nodes {
 		s.awaitServing(n)
 	}
 	var r outageRates
-	r.before = s.rate(measured)
+	r.before = s.rate(rateWindow)
 	for _, n := range s.nodes[:2] {
-		pumps = append(pumps, s.startPump(n))
+		chatLoops = append(chatLoops, s.startChats(n))
 	}
 	s.faults(faults)
-	r.during = s.rate(measured)
+	r.during = s.rate(rateWindow)
 	for _, n := range s.nodes[:2] {
 		reply := s.call(n, http.MethodPost, "/deposits/42", `{"amount":40}`, nil, "Idempotency-Key", "outage-"+n.name)
 		require.Equal(t, http.StatusServiceUnavailable, reply.status, "%+v", reply)
 		require.Equal(t, "not-run", reply.header.Get("Fennel-Run"))
 		require.NotEmpty(t, reply.header.Get("Retry-After"))
 	}
-	for _, p := range pumps {
+	for _, p := range chatLoops {
 		p.end()
 		require.Zero(t, p.refused.Load(), "refused during the outage")
-		require.Positive(t, p.ok.Load())
+		require.Positive(t, p.answered.Load())
 		p.finish()
 	}
 	s.faults(platform.Faults{})
-	r.after = s.rate(measured)
+	r.after = s.rate(rateWindow)
 	for _, n := range s.nodes[:2] {
 		s.awaitNoProblem(func() string {
 			reply := s.call(n, http.MethodPost, "/deposits/42", `{"amount":40}`, nil, "Idempotency-Key", "after-"+n.name)
@@ -118,10 +118,10 @@
 	return r
 }
 
-// An entry VM is replaced while the platform is down. The new node knows nothing
-// and can't ask the platform. It must take rules, grouping and VM list from its
-// peers and then serve as they do, or a long outage would wear the system down
-// node by node.
+// An entry VM is replaced while the platform is down. The new node has no state and
+// can't ask the platform. It must fetch rules, grouping and VM list from its peers and
+// then serve as they do; otherwise each replacement during a long outage would reduce
+// the number of serving nodes.
 func TestNodeReplacedWhilePlatformIsDown(t *testing.T) {
 	t.Parallel()
 	s, _ := smallSystem(t)
@@ -133,11 +133,11 @@
 	s.awaitServing(n)
 }
 
-// One availability zone loses the platform while the other keeps it. Its nodes
-// still hear the other zone's. Fitters of both zones are served, a rule accepted
-// through the other zone comes into force in both, and the zone that is cut off
-// regroups nothing, since it can't prove that it holds the lease.
-func TestZoneCutFromThePlatform(t *testing.T) {
+// One availability zone loses its connection to the platform while the other keeps it,
+// and the nodes of the two zones still hear each other. Callers of both zones must be
+// served, a rule applied through the other zone must come into force in both, and the
+// disconnected zone must regroup nothing, since it can't prove that it holds the lease.
+func TestZoneDisconnectedFromPlatform(t *testing.T) {
 	t.Parallel()
 	const far = cluster.ZoneID("serra-b")
 	s := newSystem(t)
@@ -153,46 +153,46 @@
 	s.startNode("serra-a-1", zone, "", "")
 	s.startNode("serra-b-1", far, toPlatform.url, "")
 	s.startNode("serra-b-2", far, toPlatform.url, "")
-	s.apply(fitRules)
+	s.apply(baseRules)
 	for _, n := range s.nodes {
 		s.awaitServing(n)
 	}
 	s.awaitNoProblem(func() string {
 		if n := len(w.assigned()); n != 4 {
-			return fmt.Sprintf("%d VMs of the far zone are in replicas", n)
+			return fmt.Sprintf("%d VMs of the disconnected zone are in replicas", n)
 		}
 		return ""
 	})
 	before := w.assigned()
 	for _, n := range s.nodes[1:] {
 		for _, a := range before {
-			n.await(isWhole(a))
+			n.await(isHealthy(a))
 		}
 	}
 	toPlatform.muted.Store(true)
-	pumps := []*pump{s.startPump(s.nodes[0]), s.startPump(s.nodes[1]), s.startPump(s.nodes[2])}
+	chatLoops := []*chatLoop{s.startChats(s.nodes[0]), s.startChats(s.nodes[1]), s.startChats(s.nodes[2])}
 	for _, n := range s.nodes[1:] {
 		n.await(`msg="placement lease (acquisition failed|not extended)"|msg="vm list unavailable"|event=rules_check_failed`)
 	}
 	lost := s.vms[5].ID
 	s.engines[lost].kill()
 	for _, n := range s.nodes[1:] {
-		n.await(notWhole(before[lost]))
+		n.await(isUnhealthy(before[lost]))
 	}
-	through := *s
-	through.nodes = s.nodes[:1]
-	out, code := through.ctl("rules", "apply", "--author", "Ana", s.rulesFile("cut", limitLine(50, "Ana")))
+	viaOne := *s
+	viaOne.nodes = s.nodes[:1]
+	out, code := viaOne.ctl("rules", "apply", "--author", "Ana", s.rulesFile("cut", limitLine(50, "Ana")))
 	require.Zero(t, code, out)
 	revision := s.revision()
 	for _, n := range s.nodes {
 		n.awaitRevision(revision)
 	}
-	for _, p := range pumps {
-		answered := p.ok.Load()
-		require.Eventually(t, func() bool { return p.ok.Load() > answered }, waitTimeout, pollEvery)
+	for _, p := range chatLoops {
+		answered := p.answered.Load()
+		require.Eventually(t, func() bool { return p.answered.Load() > answered }, waitTimeout, pollEvery)
 		p.finish()
 	}
-	require.Equal(t, before, w.assigned(), "regrouped without the lease")
+	require.Equal(t, before, w.assigned(), "the zone regrouped without the lease")
 	toPlatform.muted.Store(false)
 	s.awaitCommitted(w, lost, false)
 	for _, n := range s.nodes {
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -14,7 +14,7 @@
 	standinservice "github.com/fennelcourse/fennelcourse/internal/standin/service"
 )
 
-// smallSystem is two nodes before two replicas of two VMs and one plain service.
+// smallSystem is a system of two nodes, two replicas of two VMs and one service.
 func smallSystem(t *testing.T, engineArgs ...string) (*system, string) {
 	t.Helper()
 	s := newSystem(t)
@@ -25,21 +25,21 @@
 	s.publish()
 	s.startNode("serra-a-1", "serra-a", "", "")
 	s.startNode("serra-a-2", "serra-a", "", "")
-	s.apply(fitRules)
+	s.apply(baseRules)
 	for _, n := range s.nodes {
-		s.awaitWhole(n, 2)
+		s.awaitHealthy(n, 2)
 		s.awaitServing(n)
 	}
 	return s, svc
 }
 
-func TestWholePath(t *testing.T) {
+func TestChatAndDepositEndToEnd(t *testing.T) {
 	s, svc := smallSystem(t)
 	for _, n := range s.nodes {
 		r := s.call(n, http.MethodPost, engine.ChatPath, chatBody(8, true), nil)
 		require.NoError(t, r.err)
-		text, whole := streamText(r.body)
-		require.True(t, whole, r.body)
+		text, complete := streamText(r.body)
+		require.True(t, complete, r.body)
 		require.Equal(t, standinengine.Text([]byte(chatBody(8, true))), text)
 	}
 	first := s.call(s.nodes[0], http.MethodPost, "/deposits/42", `{"amount":40}`, nil, "Idempotency-Key", "booking-42")
@@ -64,9 +64,9 @@
 	return runs.ByKey[key]
 }
 
-// A node is replaced while fitters read long answers through it. The platform
-// sends SIGTERM; a node that stops at once would cut every one of them.
-func TestPlannedStopCutsNoStream(t *testing.T) {
+// A node is stopped with SIGTERM, as when the platform replaces it, while callers read
+// long streams through it. A node that stopped at once would abort all of them.
+func TestPlannedStopFinishesStreams(t *testing.T) {
 	s, _ := smallSystem(t, "--token-interval", "5ms")
 	n := s.nodes[0]
 	body := chatBody(300, true)
@@ -75,32 +75,32 @@
 		n.await(`msg=stopping .*step="finish requests"`)
 	})
 	require.NoError(t, r.err)
-	text, whole := streamText(r.body)
-	require.True(t, whole)
+	text, complete := streamText(r.body)
+	require.True(t, complete)
 	require.Equal(t, standinengine.Text([]byte(body)), text)
 	<-n.done
 	require.Zero(t, n.cmd.ProcessState.ExitCode())
 	s.awaitServing(s.nodes[1])
 }
 
-// A machine of a replica dies in the middle of an answer: its whole replica is
-// gone. The fitter's answer must come whole from the other replica.
-func TestKilledVMIsTakenOver(t *testing.T) {
+// A VM is killed in the middle of an answer, and its replica with it. The caller must
+// get the complete answer, continued by the other replica.
+func TestAnswerContinuesAfterVMIsKilled(t *testing.T) {
 	s, _ := smallSystem(t, "--token-interval", "5ms", "--can-continue")
 	body := chatBody(200, true)
 	r := s.call(s.nodes[0], http.MethodPost, engine.ChatPath, body, func() {
 		s.engines[s.runningOn()].kill()
 	})
 	require.NoError(t, r.err)
-	text, whole := streamText(r.body)
-	require.True(t, whole, r.body)
+	text, complete := streamText(r.body)
+	require.True(t, complete, r.body)
 	require.Equal(t, standinengine.Text([]byte(body)), text)
 	for _, n := range s.nodes {
 		s.awaitServing(n)
 	}
 }
 
-// runningOn returns a VM of the replica that runs a request now.
+// runningOn returns a VM of a replica that is running a request.
 func (s *system) runningOn() cluster.VMID {
 	s.t.Helper()
 	client := engine.NewProber(0)
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -23,8 +23,9 @@
 
 const inForce = `msg="rules in force" .*event=rules_in_force revision=(\d+)`
 
-// nodesOnly is that many nodes of one zone with no engines, with fitRules in force.
-func nodesOnly(t *testing.T, count int) *system {
+// nodesWithoutEngines is a system of that many nodes in one zone, without engines and with baseRules
+// in force.
+func nodesWithoutEngines(t *testing.T, count int) *system {
 	t.Helper()
 	s := newSystem(t)
 	s.service(zone, "caixa")
@@ -32,15 +33,15 @@
 	for i := range count {
 		s.startNode(cluster.NodeID(fmt.Sprintf("serra-a-%d", i+1)), zone, "", "")
 	}
-	s.apply(fitRules)
+	s.apply(baseRules)
 	return s
 }
 
-// rulesFile writes fitRules with one more line.
+// rulesFile writes a file of baseRules and one more line.
 func (s *system) rulesFile(name, line string) string {
 	s.t.Helper()
 	path := filepath.Join(s.dir, name)
-	require.NoError(s.t, os.WriteFile(path, []byte(fitRules+line+"\n"), 0o600))
+	require.NoError(s.t, os.WriteFile(path, []byte(baseRules+line+"\n"), 0o600))
 	return path
 }
 
@@ -61,8 +62,8 @@
 	n.await(fmt.Sprintf(`%s .*`, strings.Replace(inForce, `(\d+)`, fmt.Sprint(revision), 1)))
 }
 
-// requireRising fails if a node ever put a lower revision into force after a higher.
-func (s *system) requireRising(n *node) {
+// requireIncreasingRevisions fails if the node ever put a lower revision into force after a higher one.
+func (s *system) requireIncreasingRevisions(n *node) {
 	s.t.Helper()
 	var seen []int64
 	for _, m := range n.matches(inForce) {
@@ -75,14 +76,14 @@
 	return s.call(n, http.MethodGet, "/readyz", "", nil).status == http.StatusOK
 }
 
-// An operator has a change accepted while one node stands still. Then the store
-// goes down, the node wakes with the rules of before, and other nodes are killed
-// and replaced by ones that know nothing. If a new node took what it hears first,
-// callers would be served by rules that the operators have replaced, through some
-// nodes and not through others. Until it has the newest, it must not be ready.
-func TestNewNodeNeverTakesOldRules(t *testing.T) {
+// A change is accepted while one node is paused. Then the store goes down, the paused
+// node resumes with the old rules, and other nodes are killed and replaced by new ones
+// without state. If a new node adopted the first rules that it hears of, some nodes would
+// serve by rules that have been replaced. A new node must not be ready before it has the
+// newest revision.
+func TestNewNodeNeverAdoptsOldRules(t *testing.T) {
 	t.Parallel()
-	s := nodesOnly(t, 3)
+	s := nodesWithoutEngines(t, 3)
 	first := s.revision()
 	old := s.nodes[2]
 	old.signal(syscall.SIGSTOP)
@@ -101,7 +102,7 @@
 	s.faults(platform.Faults{Store: memstore.Faults{Down: true}, VMsDown: true})
 	s.nodes[1].kill()
 	replaced := s.nodes[1]
-	s.nodes = []*node{old, s.nodes[0]} // the seeds, the old one first
+	s.nodes = []*node{old, s.nodes[0]} // the seeds, the one with old rules first
 	fresh := s.startNode("serra-a-2", zone, "", "")
 	old.signal(syscall.SIGCONT)
 	require.Eventually(t, func() bool { return ready(s, fresh) }, waitTimeout, pollEvery)
@@ -110,7 +111,7 @@
 	require.Equal(t, second, parseInt(s, fresh.matches(inForce)[0][1]))
 	old.awaitRevision(second)
 
-	// Now the only node that was there when the change was accepted goes too.
+	// The last node that received the change directly is replaced too.
 	s.nodes[1].kill()
 	gone := s.nodes[1]
 	s.nodes = []*node{old, fresh}
@@ -120,16 +121,16 @@
 	out, code = s.ctl("rules", "apply", "--author", "Ana", "--wait", s.rulesFile("third", limitLine(9, "Ana")))
 	require.Zero(t, code, out)
 	for _, n := range []*node{old, fresh, third, replaced, gone} {
-		s.requireRising(n)
+		s.requireIncreasingRevisions(n)
 	}
 }
 
-// Two operators edit the same revision and apply through two nodes at once. If
-// both were accepted, one would silently undo the other's change. One must win,
-// and the other must see what changed and lose nothing of his own.
-func TestOperatorsRace(t *testing.T) {
+// Two operators edit the same revision and apply their changes through two nodes at once.
+// If both were accepted, one would silently undo the other. One must be accepted; the
+// other operator must see what changed, and keeps the own file.
+func TestConcurrentApplyByTwoOperators(t *testing.T) {
 	t.Parallel()
-	s := nodesOnly(t, 2)
+	s := nodesWithoutEngines(t, 2)
 	for round := range 3 {
 		base := fmt.Sprint(s.revision())
 		authors := []string{"Ana", "Bruno"}
@@ -137,9 +138,9 @@
 		var both sync.WaitGroup
 		for i, author := range authors {
 			file := s.rulesFile("race-"+author, limitLine(10*round+10+i, author))
-			through := *s
-			through.nodes = []*node{s.nodes[i]}
-			both.Go(func() { outs[i], codes[i] = through.ctl("rules", "apply", "--base", base, "--author", author, file) })
+			viaOne := *s
+			viaOne.nodes = []*node{s.nodes[i]}
+			both.Go(func() { outs[i], codes[i] = viaOne.ctl("rules", "apply", "--base", base, "--author", author, file) })
 		}
 		both.Wait()
 		winner := slices.Index(codes, int(ctl.ExitOK))
@@ -149,9 +150,9 @@
 		require.Contains(t, outs[loser], limitLine(10*round+10+winner, authors[winner]))
 		for i := range s.nodes {
 			s.nodes[i].awaitRevision(s.revision())
-			through := *s
-			through.nodes = []*node{s.nodes[i]}
-			shown, code := through.ctl("rules", "show")
+			viaOne := *s
+			viaOne.nodes = []*node{s.nodes[i]}
+			shown, code := viaOne.ctl("rules", "show")
 			require.Zero(t, code, shown)
 			require.Contains(t, shown, limitLine(10*round+10+winner, authors[winner]))
 			require.NotContains(t, shown, limitLine(10*round+10+loser, authors[loser]))
@@ -159,16 +160,16 @@
 	}
 }
 
-// acceptedEverywhereWithin is what operators are promised.
-const acceptedEverywhereWithin = 16 * time.Second
+// maxPropagationTime is the documented bound from acceptance to force on all nodes.
+const maxPropagationTime = 16 * time.Second
 
-// A change that one node knows and another does not has callers served by both
-// sets of rules at once. The time from acceptance to force on the last node is
-// bounded, and measured here from the nodes' own log lines.
+// While only some nodes have a change, callers are served by old and new rules at once.
+// The time from acceptance until the change is in force on the last node is bounded; it
+// is measured from the log lines of the nodes.
 func TestRulesInForceEverywhere(t *testing.T) {
 	t.Parallel()
 	const nodes, changes = 8, 5
-	s := nodesOnly(t, nodes)
+	s := nodesWithoutEngines(t, nodes)
 	var took []time.Duration
 	for i := range changes {
 		out, code := s.ctl("rules", "apply", "--author", "Ana", s.rulesFile("change", limitLine(20+i, "Ana")))
@@ -181,7 +182,7 @@
 			at := logTime(s, n, fmt.Sprintf(`time=(\S+) .*event=rules_in_force revision=%d `, revision))
 			inForceAt = append(inForceAt, at)
 			if accepted.IsZero() || at.Before(accepted) {
-				accepted = at // the node that wrote it puts it into force with the answer
+				accepted = at // the node that wrote it puts it into force before it answers
 			}
 		}
 		for _, at := range inForceAt {
@@ -190,7 +191,7 @@
 	}
 	slices.Sort(took)
 	t.Logf("%d nodes, %d changes: in force after median %v, worst %v", nodes, changes, took[len(took)/2], took[len(took)-1])
-	require.Less(t, took[len(took)-1], acceptedEverywhereWithin)
+	require.Less(t, took[len(took)-1], maxPropagationTime)
 }
 
 func logTime(s *system, n *node, pattern string) time.Time {
--- a/internal/e2e/silent_test.go
+++ b/internal/e2e/silent_test.go
@@ -13,9 +13,9 @@
 	standinengine "github.com/fennelcourse/fennelcourse/internal/standin/engine"
 )
 
-// noticeBound is the longest that a silent stream may go unnoticed: the engine's
-// promised gap of 1 s, the grace of 0.5 s, the probe, and slack for a busy machine.
-const noticeBound = 10 * time.Second
+// maxDetectionTime bounds how long a silent stream goes undetected: the engine's promised gap
+// of 1 s, the grace of 0.5 s, the probe, and slack for a busy machine.
+const maxDetectionTime = 10 * time.Second
 
 // counter reads one of the node's metrics.
 func (s *system) counter(n *node, name string) int {
@@ -32,12 +32,11 @@
 	return count
 }
 
-const silentStreams = "fennel_gateway_silent_total"
+const silentStreamsMetric = "fennel_gateway_silent_total"
 
-// Something between a node and a machine loses track of the connections that are
-// open: they stay open for good and pass nothing, while new ones work. Fitters in
-// the middle of an answer would look at half a sentence, and whoever is given one
-// of the idle connections would wait for nothing.
+// A device between a node and a VM loses its state of the open connections: they stay
+// open and pass nothing, while new connections work. Streams on them would hang, and so
+// would every request that is given one of the idle connections.
 func TestSilentConnectionsThroughARelay(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
@@ -48,38 +47,39 @@
 	s.vms[0].Addr = l.addr()
 	s.publish()
 	n := s.startNode("serra-a-1", "serra-a", "", "")
-	s.apply(fitRules)
+	s.apply(baseRules)
 	s.awaitServing(n)
 	require.Equal(t, s.vms[0].ID, s.servingOf(s.vms[1].ID))
 
 	s.send(http.MethodPost, "http://"+direct+standinengine.FaultsPath, slow)
-	var running []*flight
+	var running []*pendingChat
 	for i := range 4 {
-		f := s.chatAside(n, i, 200, true)
-		<-f.begun
+		f := s.chatAsync(n, i, 200, true)
+		<-f.firstByte
 		running = append(running, f)
 	}
-	before := s.counter(n, silentStreams)
+	before := s.counter(n, silentStreamsMetric)
 	l.mute()
 	muted := time.Now()
-	require.Eventually(t, func() bool { return s.counter(n, silentStreams) >= before+len(running) }, waitTimeout, pollEvery)
-	noticed := time.Since(muted)
+	require.Eventually(t, func() bool { return s.counter(n, silentStreamsMetric) >= before+len(running) }, waitTimeout, pollEvery)
+	detected := time.Since(muted)
 	s.send(http.MethodPost, "http://"+direct+standinengine.FaultsPath, standinengine.Faults{})
 	for _, f := range running {
-		f.requireWhole(t)
+		f.requireComplete(t)
 	}
-	t.Logf("%d silent streams noticed within %v", len(running), noticed)
-	require.Less(t, noticed, noticeBound)
+	t.Logf("%d silent streams detected within %v", len(running), detected)
+	require.Less(t, detected, maxDetectionTime)
 	s.awaitServing(n)
 	for i := range 20 {
-		s.chatAside(n, 100+i, 2, true).requireWhole(t)
+		s.chatAsync(n, 100+i, 2, true).requireComplete(t)
 	}
-	require.Equal(t, before+len(running), s.counter(n, silentStreams), "a later request joined a dead connection")
+	require.Equal(t, before+len(running), s.counter(n, silentStreamsMetric), "a later request was sent on a dead connection")
 
-	// Now only idle connections go silent: one request finds out for all.
+	// Now only idle connections go silent: the first request that detects it retires all
+	// of them.
 	l.mute()
 	for i := range 20 {
-		s.chatAside(n, 200+i, 2, true).requireWhole(t)
+		s.chatAsync(n, 200+i, 2, true).requireComplete(t)
 	}
-	require.LessOrEqual(t, s.counter(n, silentStreams), before+len(running)+1, "more than one request was given a dead connection")
+	require.LessOrEqual(t, s.counter(n, silentStreamsMetric), before+len(running)+1, "more than one request was sent on a dead connection")
 }
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -19,11 +19,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wiretest"
 )
 
-// nowhere is an address at which no platform answers: what its node knows, it
-// has from its peers.
-const nowhere = "http://127.0.0.1:9"
+// unreachablePlatform is an address without a platform: its node has all its state from peers.
+const unreachablePlatform = "http://127.0.0.1:9"
 
-// credentials issues files for the next node or operator.
+// credentials issues certificate files for a node or an operator.
 func (s *system) credentials(a *wiretest.Authority, name string) wire.TLSFiles {
 	dir := filepath.Join(s.dir, name)
 	require.NoError(s.t, os.MkdirAll(dir, 0o700))
@@ -40,20 +39,19 @@
 	return []string{"--ca", files.CA, "--cert", files.Cert, "--key", files.Key}
 }
 
-// A node whose control address spoke plain HTTP would let anyone on the network
-// read the callers' token hashes and replace the rules, while its settings say
-// that TLS is on. Then all certificates and their authority are exchanged, as
-// once a year: an operator would notice a node that kept the old ones by its
-// peers and fennelctl being refused until a restart.
+// If a control address spoke plain HTTP although the settings turn TLS on, anyone on the
+// network could read the callers' token hashes and replace the rules. The test then
+// replaces all certificates and their authority, as in the yearly rotation: a node that
+// kept the old ones would be refused by its peers and refuse fennelctl until a restart.
 func TestTLSEndToEndAndRotated(t *testing.T) {
 	s := newSystem(t)
 	s.publish()
 	first, second := wiretest.NewAuthority(t), wiretest.NewAuthority(t)
 	a, aFiles := s.startTLSNode(first, "serra-a-1", "")
-	_, bFiles := s.startTLSNode(first, "serra-a-2", nowhere)
+	_, bFiles := s.startTLSNode(first, "serra-a-2", unreachablePlatform)
 	operator := s.credentials(first, "operator")
 	s.ctlTLS = ctlFlags(operator)
-	s.apply(fitRules) // in force on the second node too, which has it from the first
+	s.apply(baseRules) // also waits for the second node, which fetches the rules from the first
 
 	resp, err := http.Get("http://" + a.control + "/metrics")
 	if err == nil { // net/http answers plain requests on a TLS listener with 400
@@ -62,30 +60,30 @@
 	}
 	s.ctlTLS = []string{"--ca", operator.CA}
 	out, code := s.ctl("status")
-	require.NotZero(t, code, "without a certificate: %s", out)
+	require.NotZero(t, code, "accepted without a certificate: %s", out)
 	s.ctlTLS = ctlFlags(s.credentials(second, "stranger"))
 	out, code = s.ctl("status")
-	require.NotZero(t, code, "with a stranger's certificate: %s", out)
+	require.NotZero(t, code, "accepted a certificate of an unknown authority: %s", out)
 
 	for _, f := range []wire.TLSFiles{aFiles, bFiles} {
 		wiretest.WriteFileAtomic(t, f.CA, bytes.Join([][]byte{first.PEM, second.PEM}, nil))
 	}
-	third, _ := s.startTLSNode(second, "serra-a-3", nowhere)
+	third, _ := s.startTLSNode(second, "serra-a-3", unreachablePlatform)
 	s.tls = ""
 	for _, f := range []wire.TLSFiles{aFiles, bFiles} {
 		second.Issue(t, filepath.Dir(f.Cert))
 	}
 	s.ctlTLS = ctlFlags(s.credentials(second, "operator"))
-	s.apply(strings.Replace(fitRules, "Ana", "Rui", 1))
+	s.apply(strings.Replace(baseRules, "Ana", "Rui", 1))
 	require.Equal(t, "peer", third.await(`event=rules_in_force .*source=(\S+)`))
 	s.ctlTLS = ctlFlags(s.credentials(first, "late"))
 	out, code = s.ctl("status")
-	require.NotZero(t, code, "with the old authority's certificate: %s", out)
+	require.NotZero(t, code, "accepted a certificate of the old authority: %s", out)
 }
 
-// Datagram keys are exchanged under running nodes, in three steps on one node
-// after the other. If a step lost datagrams, nodes would take each other for
-// dead, and an operator would see groups re-formed and shares shrink for no reason.
+// Datagram keys are rotated on running nodes, in three steps, one node after the other.
+// If a step lost datagrams, nodes would declare each other dead, regroup replicas and
+// reduce shares without need.
 func TestDatagramKeysRotateUnderHeartbeats(t *testing.T) {
 	s := newSystem(t)
 	s.startNode("serra-a-1", "serra-a", "", "")
@@ -128,17 +126,17 @@
 	wiretest.WriteFileAtomic(s.t, path, []byte(strings.Replace(string(text), from, to, 1)))
 }
 
-// awaitAllHeard waits until each node has received new datagrams of each other
-// one, by two looks at its counter with a status of all heard after them.
+// awaitAllHeard waits until each node has received new datagrams and its status after
+// them reports that it hears all others.
 func (s *system) awaitAllHeard() {
 	s.t.Helper()
 	for _, n := range s.nodes {
-		before := s.received(n)
-		require.Eventually(s.t, func() bool { return s.received(n) > before+2 && s.hears(n) }, waitTimeout, pollEvery, "%s does not hear all", n.name)
+		before := s.datagramsReceived(n)
+		require.Eventually(s.t, func() bool { return s.datagramsReceived(n) > before+2 && s.hearsAll(n) }, waitTimeout, pollEvery, "%s does not hear all", n.name)
 	}
 }
 
-func (s *system) received(n *node) int {
+func (s *system) datagramsReceived(n *node) int {
 	for line := range strings.Lines(s.metrics(n)) {
 		var count int
 		if _, err := fmt.Sscanf(line, "fennel_wire_received_datagrams_total %d", &count); err == nil {
@@ -148,7 +146,7 @@
 	return 0
 }
 
-func (s *system) hears(n *node) bool {
+func (s *system) hearsAll(n *node) bool {
 	s.t.Helper()
 	resp, err := http.Post("http://"+n.control+"/fennel.v1.OperatorService/Status", "application/json", strings.NewReader("{}"))
 	require.NoError(s.t, err)
--- a/internal/e2e/zones_test.go
+++ b/internal/e2e/zones_test.go
@@ -9,10 +9,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// All backend servers of a zone go dark at once, as when its power fails. The
-// balancer still sends callers to the zone's node; they must be served from the
-// next zone, and by their own zone again once it is back.
-func TestDarkZoneIsServedByItsNeighbor(t *testing.T) {
+// All backend servers of a zone fail at once, as in a power failure. The balancer still
+// sends callers to the zone's node; they must be served by the neighbor zone, and by
+// their own zone again once it has recovered.
+func TestNeighborZoneServesCallersOfFailedZone(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
 		s.engine("serra-a", "rack-a")
@@ -25,9 +25,9 @@
 	a := s.startNode("serra-a-1", "serra-a", "", "")
 	s.neighbors = ""
 	b := s.startNode("serra-b-1", "serra-b", "", "")
-	s.apply(fitRules)
-	s.awaitWhole(a, 2)
-	s.awaitWhole(b, 1)
+	s.apply(baseRules)
+	s.awaitHealthy(a, 2)
+	s.awaitHealthy(b, 1)
 	s.awaitServing(a)
 	a.await(`msg=route .*replica=serra-a`)
 	for _, vm := range s.vms {
