--- a/internal/e2e/claims_test.go
+++ b/internal/e2e/claims_test.go
@@ -161,7 +161,7 @@
 		for _, r := range replies[k] {
 			switch r.status {
 			case http.StatusCreated:
-				require.Equal(t, receipt.body, r.body, "all answers hold the same receipt")
+				require.Equal(t, receipt.body, r.body, "all answers must hold the same receipt")
 				if r.header.Get(gateway.HeaderReplayed) == "" {
 					fresh++
 				}
@@ -169,7 +169,7 @@
 				requireRefused(t, r, fennelerr.KeyInProgress, fennelerr.Unknown)
 			}
 		}
-		require.Equal(t, 1, fresh, "exactly one answer is not a replay")
+		require.Equal(t, 1, fresh, "number of answers that are not replays")
 		require.Equal(t, 1, d.runs(keyName(k)))
 	}
 }
@@ -198,8 +198,8 @@
 			d.platformFaults(standinplatform.Faults{Store: down})
 			d.link.hold(holdNothing)
 			got := <-during
-			require.Equal(t, http.StatusCreated, got.status, "the answer does not need the store: %s", got.body)
-			require.Equal(t, got.body, d.deposit(one, "during").body, "the node that ran it replays the answer")
+			require.Equal(t, http.StatusCreated, got.status, "the answer must not depend on the store: %s", got.body)
+			require.Equal(t, got.body, d.deposit(one, "during").body, "the node that ran it must replay the answer")
 			requireRefused(t, d.deposit(two, "during"), fennelerr.StoreUnavailable, fennelerr.NotRun)
 
 			for _, n := range d.nodes {
@@ -316,7 +316,7 @@
 		}, waitTimeout, pollEvery)
 		requireRefused(t, again, fennelerr.OutcomeUnknown, fennelerr.Unknown)
 	}
-	require.Equal(t, survivors, s.engineRuns(), "no other replica ran it")
+	require.Equal(t, survivors, s.engineRuns(), "another replica ran it")
 }
 
 // engineFaults sets the faults of all running engines except the given ones.
--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -232,7 +232,7 @@
 	n    *node
 	stop chan struct{}
 	done chan struct{}
-	// answered and refused count the answers; unexpected holds the unexpected ones.
+	// answered and refused count the answers; unexpected holds all others.
 	answered, refused atomic.Int64
 	unexpected        []string
 }
@@ -285,8 +285,8 @@
 	p.s.t.Logf("%s: %d answered, %d refused", p.n.name, p.answered.Load(), p.refused.Load())
 }
 
-// interposeRelay starts a relay in front of the VM's engine and lists it as the VM's address.
-// The relay holds back the first assign order after holdNext is set, and passes nothing
+// interposeRelay starts a relay in front of the VM's engine and lists it as the VM's
+// address. The relay holds back the first assign order after holdNext is set, and passes nothing
 // while muted is set.
 func (s *system) interposeRelay(id cluster.VMID) *relay {
 	s.t.Helper()
--- a/internal/e2e/crash_test.go
+++ b/internal/e2e/crash_test.go
@@ -62,7 +62,7 @@
 
 // One request crashes every engine that runs it, and its caller repeats it, each time
 // through the next node, while the platform restarts the engines. Unless the nodes
-// share what they know of crashes, the request takes down replica after replica.
+// share their records of crashes, the request takes down replica after replica.
 func TestPoisonRequestThroughThreeNodes(t *testing.T) {
 	s := newSystem(t)
 	for i := range 6 {
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -32,8 +32,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb/wirepbconnect"
 )
 
-// waitTimeout bounds every wait for an event; on an idle machine the events come far
-// earlier.
+// waitTimeout bounds every wait for an event; a passing run needs far less.
 const waitTimeout = 60 * time.Second
 
 // pollEvery is the interval for polling conditions that no log line announces.
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -93,7 +93,7 @@
 		f.requireComplete(t)
 	}
 	require.Equal(t, before, s.runsOn(serving), "the leaving replica got new requests")
-	require.NotZero(t, s.running(serving), "its streams still ran while new requests went elsewhere")
+	require.NotZero(t, s.running(serving), "the streams ended before all new requests had gone elsewhere")
 	s.engineFaults(standinengine.Faults{})
 	for _, f := range running {
 		f.requireComplete(t)
@@ -211,7 +211,7 @@
 	select {
 	case <-n.done:
 	case <-time.After(waitTimeout):
-		require.FailNow(t, "still running")
+		require.FailNow(t, "the node still runs after the second signal")
 	}
 	require.Equal(t, 1, n.cmd.ProcessState.ExitCode(), "a stop that aborts requests must not exit with 0")
 	r := <-f.answer
@@ -228,7 +228,7 @@
 	d.vms = append(d.vms, cluster.VM{ID: "svc-caixa-2", Zone: "serra-a", Addr: spare, Service: "caixa", State: cluster.VMLive})
 	d.publish()
 	require.Equal(t, http.StatusCreated, d.deposit(d.nodes[0], "first").status)
-	require.Equal(t, 1, d.runs("first"), "the first server of the list gets the calls")
+	require.Equal(t, 1, d.runs("first"), "the first server of the list must get the calls")
 	d.link.hold(toCaller)
 	held := d.depositAsync(d.nodes[0], "held")
 	d.link.awaitHeld(t)
--- a/internal/e2e/ledger_test.go
+++ b/internal/e2e/ledger_test.go
@@ -14,7 +14,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// ledgerTolerance is the tolerance for the ledger's times, which are printed in whole seconds.
+// ledgerTolerance is how far the ledger's times may be off: they are printed in seconds.
 const ledgerTolerance = 3 * time.Second
 
 // outage is one interval as fennelctl prints it.
--- a/internal/e2e/logs_test.go
+++ b/internal/e2e/logs_test.go
@@ -13,7 +13,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/engine"
 )
 
-// mark is part of everything that must not get into a log.
+// secretMarker is part of everything that must not get into a log.
 const secretMarker = "xyzzy-mark"
 
 // Logs are kept for months and read by many people. They must not contain a caller's
--- a/internal/e2e/openai_test.go
+++ b/internal/e2e/openai_test.go
@@ -100,7 +100,7 @@
 	require.Equal(t, string(fennelerr.ModelNotFound), apiErr.Code)
 	require.Equal(t, "model", apiErr.Param)
 	require.Contains(t, apiErr.Message, "no-such-model")
-	require.Len(t, attempts, 1, "a final error is not retried")
+	require.Len(t, attempts, 1, "a final error must not be retried")
 }
 
 // All replicas refuse for a moment. The library must be told when to retry, retry then
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -23,8 +23,8 @@
 
 const inForce = `msg="rules in force" .*event=rules_in_force revision=(\d+)`
 
-// nodesWithoutEngines is a system of that many nodes in one zone, without engines and with baseRules
-// in force.
+// nodesWithoutEngines is a system of that many nodes in one zone, without engines and
+// with baseRules in force.
 func nodesWithoutEngines(t *testing.T, count int) *system {
 	t.Helper()
 	s := newSystem(t)
@@ -62,7 +62,8 @@
 	n.await(fmt.Sprintf(`%s .*`, strings.Replace(inForce, `(\d+)`, fmt.Sprint(revision), 1)))
 }
 
-// requireIncreasingRevisions fails if the node ever put a lower revision into force after a higher one.
+// requireIncreasingRevisions fails if the node ever put a lower revision into force after
+// a higher one.
 func (s *system) requireIncreasingRevisions(n *node) {
 	s.t.Helper()
 	var seen []int64
@@ -111,7 +112,7 @@
 	require.Equal(t, second, parseInt(s, fresh.matches(inForce)[0][1]))
 	old.awaitRevision(second)
 
-	// The last node that received the change directly is replaced too.
+	// Replace also the last node that was running when the change was accepted.
 	s.nodes[1].kill()
 	gone := s.nodes[1]
 	s.nodes = []*node{old, fresh}
@@ -127,7 +128,7 @@
 
 // Two operators edit the same revision and apply their changes through two nodes at once.
 // If both were accepted, one would silently undo the other. One must be accepted; the
-// other operator must see what changed, and keeps the own file.
+// other operator must see what changed and lose none of their own edits.
 func TestConcurrentApplyByTwoOperators(t *testing.T) {
 	t.Parallel()
 	s := nodesWithoutEngines(t, 2)
--- a/internal/e2e/silent_test.go
+++ b/internal/e2e/silent_test.go
@@ -13,8 +13,8 @@
 	standinengine "github.com/fennelcourse/fennelcourse/internal/standin/engine"
 )
 
-// maxDetectionTime bounds how long a silent stream goes undetected: the engine's promised gap
-// of 1 s, the grace of 0.5 s, the probe, and slack for a busy machine.
+// maxDetectionTime bounds how long a silent stream goes undetected: the engine's promised
+// gap of 1 s, the grace of 0.5 s, the probe, and slack for a busy machine.
 const maxDetectionTime = 10 * time.Second
 
 // counter reads one of the node's metrics.
@@ -26,7 +26,7 @@
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(s.t, err)
 	m := regexp.MustCompile(`(?m)^` + name + ` (\d+)$`).FindSubmatch(text)
-	require.NotNil(s.t, m, "no metric "+name)
+	require.NotNil(s.t, m, "no metric named "+name)
 	count, err := strconv.Atoi(string(m[1]))
 	require.NoError(s.t, err)
 	return count
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -132,7 +132,7 @@
 	s.t.Helper()
 	for _, n := range s.nodes {
 		before := s.datagramsReceived(n)
-		require.Eventually(s.t, func() bool { return s.datagramsReceived(n) > before+2 && s.hearsAll(n) }, waitTimeout, pollEvery, "%s does not hear all", n.name)
+		require.Eventually(s.t, func() bool { return s.datagramsReceived(n) > before+2 && s.hearsAll(n) }, waitTimeout, pollEvery, "%s does not hear all other nodes", n.name)
 	}
 }
 
