--- a/internal/e2e/claims_test.go
+++ b/internal/e2e/claims_test.go
@@ -31,13 +31,13 @@
 func newDepositSystem(t *testing.T) *depositSystem {
 	t.Helper()
 	s := newSystem(t)
-	svc := s.service("serra-a", "caixa")
+	svc := s.startService("serra-a", "caixa")
 	d := &depositSystem{system: s, svc: svc, link: newLink(t, svc)}
 	s.vms[0].Addr = d.link.addr()
 	s.publish()
 	s.startNode("serra-a-1", "serra-a", "", "")
 	s.startNode("serra-a-2", "serra-a", "", "")
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	for _, n := range s.nodes {
 		s.awaitReady(n)
 	}
@@ -293,7 +293,7 @@
 // this one must not be, nor when the caller repeats it through either node.
 func TestClaimedChatDoesNotMoveToAnotherReplica(t *testing.T) {
 	s, _ := smallSystem(t)
-	s.apply(strings.Replace(baseRules, "to=fit ", "to=fit once=required ", 1))
+	s.applyRules(strings.Replace(baseRules, "to=fit ", "to=fit once=required ", 1))
 	s.engineFaults(standinengine.Faults{SlowBy: 1e9})
 	reserve := func(n *node) reply {
 		return s.call(n, http.MethodPost, engine.ChatPath, chatBody(8, false), nil, gateway.HeaderIdempotencyKey, "fitting-7")
--- a/internal/e2e/crash_test.go
+++ b/internal/e2e/crash_test.go
@@ -66,13 +66,13 @@
 func TestPoisonRequestThroughThreeNodes(t *testing.T) {
 	s := newSystem(t)
 	for i := range 6 {
-		s.engine("serra-a", cluster.DomainID(fmt.Sprintf("rack-%d", i/2)), "--can-continue", "--token-interval", "5ms", "--crash-marker", poisonMarker)
+		s.startEngine("serra-a", cluster.DomainID(fmt.Sprintf("rack-%d", i/2)), "--can-continue", "--token-interval", "5ms", "--crash-marker", poisonMarker)
 	}
 	s.publish()
 	for i := range 3 {
 		s.startNode(cluster.NodeID(fmt.Sprintf("serra-a-%d", i+1)), "serra-a", "", "")
 	}
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	for _, n := range s.nodes {
 		s.awaitHealthy(n, 3)
 		s.awaitServing(n)
--- a/internal/e2e/grouping_test.go
+++ b/internal/e2e/grouping_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	zone     = cluster.ZoneID("serra-a")
-	acquired = `msg="placement lease acquired" .*fence=(\d+)`
+	zone                 = cluster.ZoneID("serra-a")
+	leaseAcquiredLogLine = `msg="placement lease acquired" .*fence=(\d+)`
 )
 
 // groupedSystem is a system of three nodes, one service and one engine for each of the
@@ -24,14 +24,14 @@
 	s := newSystem(t)
 	w := s.watchCommitted(zone)
 	for _, domain := range domains {
-		s.engine(zone, domain, engineArgs...)
+		s.startEngine(zone, domain, engineArgs...)
 	}
-	s.service(zone, "caixa")
+	s.startService(zone, "caixa")
 	s.publish()
 	for i := range 3 {
 		s.startNode(cluster.NodeID(fmt.Sprintf("serra-a-%d", i+1)), zone, "", "")
 	}
-	s.apply(rules)
+	s.applyRules(rules)
 	for _, n := range s.nodes {
 		s.awaitServing(n)
 	}
@@ -46,7 +46,7 @@
 	highest := int64(0)
 	for _, n := range s.nodes {
 		fence := int64(0)
-		for _, m := range n.matches(acquired) {
+		for _, m := range n.matches(leaseAcquiredLogLine) {
 			fence = parseInt(s, m[1])
 		}
 		if fence > highest {
@@ -68,7 +68,7 @@
 	count := func() int {
 		sum := 0
 		for _, n := range nodes {
-			sum += len(n.matches(acquired))
+			sum += len(n.matches(leaseAcquiredLogLine))
 		}
 		return sum
 	}
@@ -116,9 +116,9 @@
 	s := newSystem(t)
 	w := s.watchCommitted(zone)
 	for range 5 {
-		s.engine(zone, "rack-1", args...)
+		s.startEngine(zone, "rack-1", args...)
 	}
-	s.service(zone, "caixa")
+	s.startService(zone, "caixa")
 	// VMs 0 and 1, 2 and 3 form replicas; VM 4 is the spare.
 	spare := s.vms[4].ID
 	late := s.interposeRelay(spare)
@@ -126,7 +126,7 @@
 	for i := range 3 {
 		s.startNode(cluster.NodeID(fmt.Sprintf("serra-a-%d", i+1)), zone, "", "")
 	}
-	s.apply(rules)
+	s.applyRules(rules)
 	for _, n := range s.nodes {
 		s.awaitServing(n)
 	}
@@ -138,7 +138,7 @@
 	}
 	acquisitions := 0
 	for _, n := range others {
-		acquisitions += len(n.matches(acquired))
+		acquisitions += len(n.matches(leaseAcquiredLogLine))
 	}
 
 	late.holdNext.Store(true)
@@ -203,7 +203,7 @@
 			vm := s.vms[0].ID
 			first := w.assigned()[vm]
 			for _, n := range s.nodes {
-				n.await(isHealthy(first))
+				n.await(healthyLogLine(first))
 			}
 			chatLoops := []*chatLoop{s.startChats(s.nodes[0]), s.startChats(s.nodes[1])}
 			c.interrupt(s, vm)
@@ -212,13 +212,13 @@
 			require.NotEqual(t, first, second)
 			healthyLines := map[*node]int{}
 			for _, n := range s.nodes {
-				n.await(isHealthy(second))
-				healthyLines[n] = len(n.matches(isHealthy(first)))
+				n.await(healthyLogLine(second))
+				healthyLines[n] = len(n.matches(healthyLogLine(first)))
 			}
 			c.restore(s, vm)
 			s.awaitEnginesAgree(w)
 			for _, n := range s.nodes {
-				require.Len(t, n.matches(isHealthy(first)), healthyLines[n], "%s counted an old generation as healthy", n.name)
+				require.Len(t, n.matches(healthyLogLine(first)), healthyLines[n], "%s counted an old generation as healthy", n.name)
 			}
 			for _, p := range chatLoops {
 				p.finish()
@@ -229,11 +229,11 @@
 	}
 }
 
-func isUnhealthy(a assignment) string { return health(a, false) }
+func unhealthyLogLine(a assignment) string { return healthLogLine(a, false) }
 
-func isHealthy(a assignment) string { return health(a, true) }
+func healthyLogLine(a assignment) string { return healthLogLine(a, true) }
 
-func health(a assignment, healthy bool) string {
+func healthLogLine(a assignment, healthy bool) string {
 	return fmt.Sprintf(`msg=replica .*replica=%s generation=%d whole=%t`, regexp.QuoteMeta(string(a.replica)), a.generation, healthy)
 }
 
@@ -249,7 +249,7 @@
 	var chatLoops []*chatLoop
 	for _, n := range s.nodes {
 		for _, a := range all {
-			n.await(isHealthy(a))
+			n.await(healthyLogLine(a))
 		}
 		chatLoops = append(chatLoops, s.startChats(n))
 	}
@@ -259,7 +259,7 @@
 	}
 	for _, n := range s.nodes {
 		for _, vm := range failed {
-			n.await(isUnhealthy(all[vm.ID]))
+			n.await(unhealthyLogLine(all[vm.ID]))
 		}
 	}
 	for _, p := range chatLoops {
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -186,8 +186,8 @@
 // listening matches the listen address in a stand-in's log.
 const listening = `addr=(\S+)`
 
-// engine starts one engine VM and returns its id; publish adds it to the VM list.
-func (s *system) engine(zone cluster.ZoneID, domain cluster.DomainID, args ...string) cluster.VMID {
+// startEngine starts one engine VM and returns its id; publish adds it to the VM list.
+func (s *system) startEngine(zone cluster.ZoneID, domain cluster.DomainID, args ...string) cluster.VMID {
 	s.t.Helper()
 	id := cluster.VMID(fmt.Sprintf("%s-vm-%d", zone, len(s.vms)))
 	p := start(s.t, string(id), "fennel-standin", append([]string{"engine", "--vm", string(id), "--listen", "127.0.0.1:0", "--checks-fence"}, args...)...)
@@ -196,7 +196,7 @@
 	return id
 }
 
-func (s *system) service(zone cluster.ZoneID, name cluster.Service) string {
+func (s *system) startService(zone cluster.ZoneID, name cluster.Service) string {
 	s.t.Helper()
 	p := start(s.t, string(name), "fennel-standin", "service", "--listen", "127.0.0.1:0")
 	addr := p.await(listening)
@@ -298,8 +298,8 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// apply applies a rules text and waits until it is in force on all nodes.
-func (s *system) apply(text string) {
+// applyRules applies a rules text and waits until it is in force on all nodes.
+func (s *system) applyRules(text string) {
 	s.t.Helper()
 	path := filepath.Join(s.dir, "rules")
 	require.NoError(s.t, os.WriteFile(path, []byte(text), 0o600))
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -71,7 +71,7 @@
 	s, _ := smallSystem(t)
 	member := cluster.VMID("serra-a-vm-1")
 	serving := s.servingOf(member)
-	s.engineFaults(slow)
+	s.engineFaults(slowFaults)
 	var running []*pendingChat
 	for i := range 8 {
 		f := s.chatAsync(s.nodes[i%len(s.nodes)], i, 200, true)
@@ -79,7 +79,7 @@
 		<-f.firstByte
 	}
 	s.engineFaults(standinengine.Faults{}, serving)
-	require.NotZero(t, s.running(serving))
+	require.NotZero(t, s.runningRequests(serving))
 
 	s.vm(member).State = cluster.VMLeaving
 	announced := time.Now()
@@ -93,7 +93,7 @@
 		f.requireComplete(t)
 	}
 	require.Equal(t, before, s.runsOn(serving), "the leaving replica got new requests")
-	require.NotZero(t, s.running(serving), "the streams ended before all new requests had gone elsewhere")
+	require.NotZero(t, s.runningRequests(serving), "the streams ended before all new requests had gone elsewhere")
 	s.engineFaults(standinengine.Faults{})
 	for _, f := range running {
 		f.requireComplete(t)
@@ -102,11 +102,11 @@
 	require.Less(t, lastWork.Sub(announced), 5*time.Second)
 }
 
-// slow makes an answer of a few hundred tokens last until the test resets the faults.
-var slow = standinengine.Faults{SlowBy: 200}
+// slowFaults makes an answer of a few hundred tokens last until the test resets the faults.
+var slowFaults = standinengine.Faults{SlowBy: 200}
 
-// running returns how many requests the engine is generating for now.
-func (s *system) running(id cluster.VMID) int {
+// runningRequests returns how many requests the engine is generating for now.
+func (s *system) runningRequests(id cluster.VMID) int {
 	s.t.Helper()
 	client := engine.NewProber(0)
 	defer client.Close()
@@ -139,19 +139,19 @@
 func TestPlannedStopFinishesAllRequests(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
-		s.engine("serra-a", "rack-1")
+		s.startEngine("serra-a", "rack-1")
 	}
-	svc := s.service("serra-a", "caixa")
+	svc := s.startService("serra-a", "caixa")
 	l := newLink(t, svc)
 	s.vms[2].Addr = l.addr()
 	s.publish()
 	n := s.startNode("serra-a-1", "serra-a", "", "drain: {notice: 2s}\n")
 	other := s.startNode("serra-a-2", "serra-a", "", "")
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	s.awaitServing(n)
 	s.awaitServing(other)
 
-	s.engineFaults(slow)
+	s.engineFaults(slowFaults)
 	var running []*pendingChat
 	for i := range 6 {
 		f := s.chatAsync(n, i, 200, i%2 == 0)
@@ -197,11 +197,11 @@
 func TestSecondSignalAbortsRequests(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
-		s.engine("serra-a", "rack-1", "--token-interval", "10ms")
+		s.startEngine("serra-a", "rack-1", "--token-interval", "10ms")
 	}
 	s.publish()
 	n := s.startNode("serra-a-1", "serra-a", "", "")
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	s.awaitServing(n)
 	f := s.chatAsync(n, 1, 1_000_000, true)
 	<-f.firstByte
--- a/internal/e2e/ledger_test.go
+++ b/internal/e2e/ledger_test.go
@@ -44,13 +44,13 @@
 	w := s.watchCommitted(zone)
 	begin := time.Now().Add(-time.Minute)
 	for range 2 {
-		s.engine(zone, "rack-1")
+		s.startEngine(zone, "rack-1")
 	}
-	s.service(zone, "caixa")
+	s.startService(zone, "caixa")
 	s.publish()
 	s.startNode("serra-a-1", zone, "", "")
 	s.startNode("serra-a-2", zone, "", "")
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	for _, n := range s.nodes {
 		n.await(`msg="outage observer role" .*held=true`)
 		s.awaitServing(n)
@@ -59,16 +59,16 @@
 	vm := s.vms[0].ID
 	lost := w.assigned()[vm]
 	stopped, killed := s.nodes[0], s.nodes[1]
-	healthyLines := len(stopped.matches(isHealthy(lost)))
+	healthyLines := len(stopped.matches(healthyLogLine(lost)))
 	s.faults(platform.Faults{Store: memstore.Faults{Down: true}})
 	s.engines[vm].kill()
 	killedAt := time.Now()
-	stopped.await(isUnhealthy(lost))
+	stopped.await(unhealthyLogLine(lost))
 	downAt := time.Now() // an outage counts from its detection
 	s.restart(vm, "--checks-fence")
 	s.faults(platform.Faults{})
 	s.awaitNoProblem(func() string {
-		if len(stopped.matches(isHealthy(lost))) == healthyLines {
+		if len(stopped.matches(healthyLogLine(lost))) == healthyLines {
 			return "the replica is not healthy again"
 		}
 		return ""
--- a/internal/e2e/logs_test.go
+++ b/internal/e2e/logs_test.go
@@ -22,15 +22,15 @@
 func TestLogsContainNoSecrets(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
-		s.engine("serra-a", "rack-1", "--token-interval", "5ms", "--can-continue")
-		s.engine("serra-a", "rack-2", "--token-interval", "5ms", "--can-continue")
+		s.startEngine("serra-a", "rack-1", "--token-interval", "5ms", "--can-continue")
+		s.startEngine("serra-a", "rack-2", "--token-interval", "5ms", "--can-continue")
 	}
-	s.service("serra-a", "caixa")
+	s.startService("serra-a", "caixa")
 	s.publish()
 	const debug = "log: {level: debug}\n"
 	n := s.startNode("serra-a-1", "serra-a", "", debug)
 	s.startNode("serra-a-2", "serra-a", "", debug)
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	s.awaitHealthy(n, 2)
 	s.awaitServing(n)
 
--- a/internal/e2e/openai_test.go
+++ b/internal/e2e/openai_test.go
@@ -54,11 +54,11 @@
 func TestOpenAIClient(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
-		s.engine("serra-a", "rack-1")
+		s.startEngine("serra-a", "rack-1")
 	}
 	s.publish()
 	n := s.startNode("serra-a-1", "serra-a", "", "")
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	s.awaitServing(n)
 	ctx := t.Context()
 	var attempts []attempt
@@ -108,11 +108,11 @@
 func TestOpenAIClientUnderFaults(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
-		s.engine("serra-a", "rack-1")
+		s.startEngine("serra-a", "rack-1")
 	}
 	s.publish()
 	n := s.startNode("serra-a-1", "serra-a", "", "")
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	s.awaitServing(n)
 
 	s.engineFaults(standinengine.Faults{Refuse: true})
@@ -133,7 +133,7 @@
 		require.GreaterOrEqual(t, attempts[i+1].at.Sub(a.at), time.Duration(seconds)*time.Second, "the library retried early")
 	}
 
-	s.engineFaults(slow)
+	s.engineFaults(slowFaults)
 	stream := client.Chat.Completions.NewStreaming(t.Context(), chatParams("a long one", 200))
 	require.True(t, stream.Next())
 	s.engines[s.vms[1].ID].kill()
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -14,8 +14,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// calls returns how many calls the platform has received.
-func (s *system) calls() int64 {
+// platformCalls returns how many calls the platform has received.
+func (s *system) platformCalls() int64 {
 	s.t.Helper()
 	resp, err := http.Get(s.platform + platform.PathCalls)
 	require.NoError(s.t, err)
@@ -29,12 +29,12 @@
 	return sum
 }
 
-// rate measures the platform's calls per second over d.
-func (s *system) rate(d time.Duration) float64 {
+// platformCallRate measures the platform's calls per second over d.
+func (s *system) platformCallRate(d time.Duration) float64 {
 	s.t.Helper()
-	before := s.calls()
+	before := s.platformCalls()
 	<-time.After(d) // the length of the measurement, not a wait for an event
-	return float64(s.calls()-before) / d.Seconds()
+	return float64(s.platformCalls()-before) / d.Seconds()
 }
 
 const rateWindow = 6 * time.Second
@@ -73,25 +73,25 @@
 func platformOutage(t *testing.T, nodes int, faults platform.Faults) outageRates {
 	s := newSystem(t)
 	for range 2 {
-		s.engine(zone, "rack-1")
+		s.startEngine(zone, "rack-1")
 	}
-	s.service(zone, "caixa")
+	s.startService(zone, "caixa")
 	s.publish()
 	for i := range nodes {
 		s.startNode(cluster.NodeID(fmt.Sprintf("serra-a-%d", i+1)), zone, "", "")
 	}
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	var chatLoops []*chatLoop
 	for _, n := range s.nodes {
 		s.awaitServing(n)
 	}
 	var r outageRates
-	r.before = s.rate(rateWindow)
+	r.before = s.platformCallRate(rateWindow)
 	for _, n := range s.nodes[:2] {
 		chatLoops = append(chatLoops, s.startChats(n))
 	}
 	s.faults(faults)
-	r.during = s.rate(rateWindow)
+	r.during = s.platformCallRate(rateWindow)
 	for _, n := range s.nodes[:2] {
 		reply := s.call(n, http.MethodPost, "/deposits/42", `{"amount":40}`, nil, "Idempotency-Key", "outage-"+n.name)
 		require.Equal(t, http.StatusServiceUnavailable, reply.status, "%+v", reply)
@@ -105,7 +105,7 @@
 		p.finish()
 	}
 	s.faults(platform.Faults{})
-	r.after = s.rate(rateWindow)
+	r.after = s.platformCallRate(rateWindow)
 	for _, n := range s.nodes[:2] {
 		s.awaitNoProblem(func() string {
 			reply := s.call(n, http.MethodPost, "/deposits/42", `{"amount":40}`, nil, "Idempotency-Key", "after-"+n.name)
@@ -129,7 +129,7 @@
 	s.nodes[1].kill()
 	s.nodes = s.nodes[:1]
 	n := s.startNode("serra-a-2", zone, "", "")
-	require.Eventually(t, func() bool { return ready(s, n) }, waitTimeout, pollEvery)
+	require.Eventually(t, func() bool { return isReady(s, n) }, waitTimeout, pollEvery)
 	s.awaitServing(n)
 }
 
@@ -139,21 +139,21 @@
 // disconnected zone must regroup nothing, since it can't prove that it holds the lease.
 func TestZoneDisconnectedFromPlatform(t *testing.T) {
 	t.Parallel()
-	const far = cluster.ZoneID("serra-b")
+	const disconnected = cluster.ZoneID("serra-b")
 	s := newSystem(t)
-	near, w := s.watchCommitted(zone), s.watchCommitted(far)
-	for _, z := range []cluster.ZoneID{zone, far} {
+	connectedWatch, w := s.watchCommitted(zone), s.watchCommitted(disconnected)
+	for _, z := range []cluster.ZoneID{zone, disconnected} {
 		for range 5 {
-			s.engine(z, cluster.DomainID("rack-"+z))
+			s.startEngine(z, cluster.DomainID("rack-"+z))
 		}
 	}
-	s.service(zone, "caixa")
+	s.startService(zone, "caixa")
 	s.publish()
 	toPlatform := newRelay(s, s.platform)
 	s.startNode("serra-a-1", zone, "", "")
-	s.startNode("serra-b-1", far, toPlatform.url, "")
-	s.startNode("serra-b-2", far, toPlatform.url, "")
-	s.apply(baseRules)
+	s.startNode("serra-b-1", disconnected, toPlatform.url, "")
+	s.startNode("serra-b-2", disconnected, toPlatform.url, "")
+	s.applyRules(baseRules)
 	for _, n := range s.nodes {
 		s.awaitServing(n)
 	}
@@ -166,7 +166,7 @@
 	before := w.assigned()
 	for _, n := range s.nodes[1:] {
 		for _, a := range before {
-			n.await(isHealthy(a))
+			n.await(healthyLogLine(a))
 		}
 	}
 	toPlatform.muted.Store(true)
@@ -177,13 +177,13 @@
 	lost := s.vms[5].ID
 	s.engines[lost].kill()
 	for _, n := range s.nodes[1:] {
-		n.await(isUnhealthy(before[lost]))
+		n.await(unhealthyLogLine(before[lost]))
 	}
 	viaOne := *s
 	viaOne.nodes = s.nodes[:1]
 	out, code := viaOne.ctl("rules", "apply", "--author", "Ana", s.rulesFile("cut", limitLine(50, "Ana")))
 	require.Zero(t, code, out)
-	revision := s.revision()
+	revision := s.rulesRevision()
 	for _, n := range s.nodes {
 		n.awaitRevision(revision)
 	}
@@ -198,6 +198,6 @@
 	for _, n := range s.nodes {
 		s.awaitServing(n)
 	}
-	near.check(s, s.nodes[0])
+	connectedWatch.check(s, s.nodes[0])
 	w.check(s, s.nodes[1:]...)
 }
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -19,13 +19,13 @@
 	t.Helper()
 	s := newSystem(t)
 	for _, domain := range []cluster.DomainID{"rack-1", "rack-1", "rack-2", "rack-2"} {
-		s.engine("serra-a", domain, engineArgs...)
+		s.startEngine("serra-a", domain, engineArgs...)
 	}
-	svc := s.service("serra-a", "caixa")
+	svc := s.startService("serra-a", "caixa")
 	s.publish()
 	s.startNode("serra-a-1", "serra-a", "", "")
 	s.startNode("serra-a-2", "serra-a", "", "")
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	for _, n := range s.nodes {
 		s.awaitHealthy(n, 2)
 		s.awaitServing(n)
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -21,19 +21,19 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-const inForce = `msg="rules in force" .*event=rules_in_force revision=(\d+)`
+const rulesInForceLogLine = `msg="rules in force" .*event=rules_in_force revision=(\d+)`
 
 // nodesWithoutEngines is a system of that many nodes in one zone, without engines and
 // with baseRules in force.
 func nodesWithoutEngines(t *testing.T, count int) *system {
 	t.Helper()
 	s := newSystem(t)
-	s.service(zone, "caixa")
+	s.startService(zone, "caixa")
 	s.publish()
 	for i := range count {
 		s.startNode(cluster.NodeID(fmt.Sprintf("serra-a-%d", i+1)), zone, "", "")
 	}
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	return s
 }
 
@@ -49,8 +49,8 @@
 	return fmt.Sprintf("limit team=school-a share=20 inflight=%d # asked for by: %s", inflight, by)
 }
 
-// revision is the newest rules revision in the store.
-func (s *system) revision() int64 {
+// rulesRevision is the newest rules revision in the store.
+func (s *system) rulesRevision() int64 {
 	s.t.Helper()
 	kv, _, err := s.store().Get(s.t.Context(), store.RulesKey)
 	require.NoError(s.t, err)
@@ -59,7 +59,7 @@
 }
 
 func (n *node) awaitRevision(revision int64) {
-	n.await(fmt.Sprintf(`%s .*`, strings.Replace(inForce, `(\d+)`, fmt.Sprint(revision), 1)))
+	n.await(fmt.Sprintf(`%s .*`, strings.Replace(rulesInForceLogLine, `(\d+)`, fmt.Sprint(revision), 1)))
 }
 
 // requireIncreasingRevisions fails if the node ever put a lower revision into force after
@@ -67,13 +67,13 @@
 func (s *system) requireIncreasingRevisions(n *node) {
 	s.t.Helper()
 	var seen []int64
-	for _, m := range n.matches(inForce) {
+	for _, m := range n.matches(rulesInForceLogLine) {
 		seen = append(seen, parseInt(s, m[1]))
 	}
 	require.True(s.t, slices.IsSorted(seen), "%s: %v", n.name, seen)
 }
 
-func ready(s *system, n *node) bool {
+func isReady(s *system, n *node) bool {
 	return s.call(n, http.MethodGet, "/readyz", "", nil).status == http.StatusOK
 }
 
@@ -85,12 +85,12 @@
 func TestNewNodeNeverAdoptsOldRules(t *testing.T) {
 	t.Parallel()
 	s := nodesWithoutEngines(t, 3)
-	first := s.revision()
+	first := s.rulesRevision()
 	old := s.nodes[2]
 	old.signal(syscall.SIGSTOP)
 	out, code := s.ctl("rules", "apply", "--author", "Ana", s.rulesFile("second", limitLine(8, "Ana")))
 	require.Zero(t, code, out)
-	second := s.revision()
+	second := s.rulesRevision()
 	require.Greater(t, second, first)
 	for _, n := range s.nodes[:2] {
 		n.awaitRevision(second)
@@ -106,10 +106,10 @@
 	s.nodes = []*node{old, s.nodes[0]} // the seeds, the one with old rules first
 	fresh := s.startNode("serra-a-2", zone, "", "")
 	old.signal(syscall.SIGCONT)
-	require.Eventually(t, func() bool { return ready(s, fresh) }, waitTimeout, pollEvery)
+	require.Eventually(t, func() bool { return isReady(s, fresh) }, waitTimeout, pollEvery)
 	fresh.awaitRevision(second)
-	require.Len(t, fresh.matches(inForce), 1)
-	require.Equal(t, second, parseInt(s, fresh.matches(inForce)[0][1]))
+	require.Len(t, fresh.matches(rulesInForceLogLine), 1)
+	require.Equal(t, second, parseInt(s, fresh.matches(rulesInForceLogLine)[0][1]))
 	old.awaitRevision(second)
 
 	// Replace also the last node that was running when the change was accepted.
@@ -133,7 +133,7 @@
 	t.Parallel()
 	s := nodesWithoutEngines(t, 2)
 	for round := range 3 {
-		base := fmt.Sprint(s.revision())
+		base := fmt.Sprint(s.rulesRevision())
 		authors := []string{"Ana", "Bruno"}
 		outs, codes := make([]string, 2), make([]int, 2)
 		var both sync.WaitGroup
@@ -150,7 +150,7 @@
 		require.Contains(t, outs[loser], "conflict: "+authors[winner])
 		require.Contains(t, outs[loser], limitLine(10*round+10+winner, authors[winner]))
 		for i := range s.nodes {
-			s.nodes[i].awaitRevision(s.revision())
+			s.nodes[i].awaitRevision(s.rulesRevision())
 			viaOne := *s
 			viaOne.nodes = []*node{s.nodes[i]}
 			shown, code := viaOne.ctl("rules", "show")
@@ -175,7 +175,7 @@
 	for i := range changes {
 		out, code := s.ctl("rules", "apply", "--author", "Ana", s.rulesFile("change", limitLine(20+i, "Ana")))
 		require.Zero(t, code, out)
-		revision := s.revision()
+		revision := s.rulesRevision()
 		accepted := time.Time{}
 		var inForceAt []time.Time
 		for _, n := range s.nodes {
--- a/internal/e2e/silent_test.go
+++ b/internal/e2e/silent_test.go
@@ -40,18 +40,18 @@
 func TestSilentConnectionsThroughARelay(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
-		s.engine("serra-a", "rack-1")
+		s.startEngine("serra-a", "rack-1")
 	}
 	l := newLink(t, s.vms[0].Addr)
 	direct := s.vms[0].Addr
 	s.vms[0].Addr = l.addr()
 	s.publish()
 	n := s.startNode("serra-a-1", "serra-a", "", "")
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	s.awaitServing(n)
 	require.Equal(t, s.vms[0].ID, s.servingOf(s.vms[1].ID))
 
-	s.send(http.MethodPost, "http://"+direct+standinengine.FaultsPath, slow)
+	s.send(http.MethodPost, "http://"+direct+standinengine.FaultsPath, slowFaults)
 	var running []*pendingChat
 	for i := range 4 {
 		f := s.chatAsync(n, i, 200, true)
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -51,7 +51,7 @@
 	_, bFiles := s.startTLSNode(first, "serra-a-2", unreachablePlatform)
 	operator := s.credentials(first, "operator")
 	s.ctlTLS = ctlFlags(operator)
-	s.apply(baseRules) // also waits for the second node, which fetches the rules from the first
+	s.applyRules(baseRules) // also waits for the second node, which fetches the rules from the first
 
 	resp, err := http.Get("http://" + a.control + "/metrics")
 	if err == nil { // net/http answers plain requests on a TLS listener with 400
@@ -74,7 +74,7 @@
 		second.Issue(t, filepath.Dir(f.Cert))
 	}
 	s.ctlTLS = ctlFlags(s.credentials(second, "operator"))
-	s.apply(strings.Replace(baseRules, "Ana", "Rui", 1))
+	s.applyRules(strings.Replace(baseRules, "Ana", "Rui", 1))
 	require.Equal(t, "peer", third.await(`event=rules_in_force .*source=(\S+)`))
 	s.ctlTLS = ctlFlags(s.credentials(first, "late"))
 	out, code = s.ctl("status")
--- a/internal/e2e/zones_test.go
+++ b/internal/e2e/zones_test.go
@@ -15,17 +15,17 @@
 func TestNeighborZoneServesCallersOfFailedZone(t *testing.T) {
 	s := newSystem(t)
 	for range 2 {
-		s.engine("serra-a", "rack-a")
+		s.startEngine("serra-a", "rack-a")
 	}
 	for range 2 {
-		s.engine("serra-b", "rack-b")
+		s.startEngine("serra-b", "rack-b")
 	}
 	s.publish()
 	s.neighbors = `, neighbor_zones: ["serra-b"]`
 	a := s.startNode("serra-a-1", "serra-a", "", "")
 	s.neighbors = ""
 	b := s.startNode("serra-b-1", "serra-b", "", "")
-	s.apply(baseRules)
+	s.applyRules(baseRules)
 	s.awaitHealthy(a, 2)
 	s.awaitHealthy(b, 1)
 	s.awaitServing(a)
