--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Mode is what a proxy does to the bytes that pass it.
-type Mode int
+// ProxyMode is what a proxy does to the bytes that pass it.
+type ProxyMode int
 
 // Modes of a proxy. Silent swallows what the far side sends, so that connections
 // look alive and bring nothing; Cut resets them and refuses new ones.
 const (
-	Pass Mode = iota
+	Pass ProxyMode = iota
 	Slow
 	Silent
 	Cut
@@ -28,7 +28,7 @@
 	listener net.Listener
 
 	mu    sync.Mutex
-	mode  Mode
+	mode  ProxyMode
 	conns map[net.Conn]struct{}
 	wg    sync.WaitGroup
 }
@@ -48,7 +48,7 @@
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
 // Set changes the mode. Cut resets open connections at once.
-func (p *Proxy) Set(mode Mode) {
+func (p *Proxy) Set(mode ProxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
@@ -80,7 +80,7 @@
 	p.wg.Wait()
 }
 
-func (p *Proxy) now() Mode {
+func (p *Proxy) now() ProxyMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -78,7 +78,7 @@
 // of the list: recorded seeds draw from that.
 var ailment = standin.Faults{Kinds: []standin.Fault{standin.FaultServerError, standin.FaultTruncated, standin.FaultWrongResponse, standin.FaultMissingEvent}, OneIn: ailingOneIn}
 
-func storeMode(mode Mode) func(*World, *rand.Rand) func() {
+func storeMode(mode ProxyMode) func(*World, *rand.Rand) func() {
 	return func(w *World, rnd *rand.Rand) func() {
 		p := w.anyNode(rnd).store
 		p.Set(mode)
@@ -86,7 +86,7 @@
 	}
 }
 
-func serverMode(mode Mode) func(*World, *rand.Rand) func() {
+func serverMode(mode ProxyMode) func(*World, *rand.Rand) func() {
 	return func(w *World, rnd *rand.Rand) func() {
 		p := w.anyProxy(rnd)
 		p.Set(mode)
