--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -13,7 +13,7 @@
 // Modes of a proxy. Silent swallows what the far side sends, so that connections
 // look alive and bring nothing; Cut resets them and refuses new ones.
 const (
-	Pass ProxyMode = iota
+	Forward ProxyMode = iota
 	Slow
 	Silent
 	Cut
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -82,7 +82,7 @@
 	return func(w *World, rnd *rand.Rand) func() {
 		p := w.anyNode(rnd).store
 		p.Set(mode)
-		return func() { p.Set(Pass) }
+		return func() { p.Set(Forward) }
 	}
 }
 
@@ -90,7 +90,7 @@
 	return func(w *World, rnd *rand.Rand) func() {
 		p := w.anyProxy(rnd)
 		p.Set(mode)
-		return func() { p.Set(Pass) }
+		return func() { p.Set(Forward) }
 	}
 }
 
