--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -14,7 +14,7 @@
 // look alive and bring nothing; Cut resets them and refuses new ones.
 const (
 	Forward ProxyMode = iota
-	Slow
+	Delay
 	Silent
 	Cut
 )
@@ -137,7 +137,7 @@
 	for {
 		n, err := from.Read(buf)
 		mode := p.now()
-		if mode == Slow {
+		if mode == Delay {
 			time.Sleep(slowBy)
 		}
 		if n > 0 && (mode != Silent || !back) {
