--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -10,12 +10,12 @@
 // ProxyMode is what a proxy does to the bytes that pass it.
 type ProxyMode int
 
-// Modes of a proxy. Silent swallows what the far side sends, so that connections
+// Modes of a proxy. DropResponses swallows what the far side sends, so that connections
 // look alive and bring nothing; Cut resets them and refuses new ones.
 const (
 	Forward ProxyMode = iota
 	Delay
-	Silent
+	DropResponses
 	Cut
 )
 
@@ -140,7 +140,7 @@
 		if mode == Delay {
 			time.Sleep(slowBy)
 		}
-		if n > 0 && (mode != Silent || !back) {
+		if n > 0 && (mode != DropResponses || !back) {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
 			}
