--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -11,12 +11,12 @@
 type ProxyMode int
 
 // Modes of a proxy. DropResponses swallows what the far side sends, so that connections
-// look alive and bring nothing; Cut resets them and refuses new ones.
+// look alive and bring nothing; Disconnect resets them and refuses new ones.
 const (
 	Forward ProxyMode = iota
 	Delay
 	DropResponses
-	Cut
+	Disconnect
 )
 
 // slowBy is what Slow holds each portion of bytes back.
@@ -52,7 +52,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
-	if mode == Cut {
+	if mode == Disconnect {
 		p.resetLocked()
 	}
 }
@@ -92,7 +92,7 @@
 		if err != nil {
 			return
 		}
-		if p.now() == Cut {
+		if p.now() == Disconnect {
 			_ = near.Close()
 			continue
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -42,11 +42,11 @@
 		return func() { n.signal(syscall.SIGCONT) }
 	}},
 	{"reload a node", func(w *World, rnd *rand.Rand) func() { w.anyNode(rnd).signal(syscall.SIGHUP); return nothing }},
-	{"cut a node off the store", storeMode(Cut)},
+	{"cut a node off the store", storeMode(Disconnect)},
 	{"silence a node's store", storeMode(DropResponses)},
 	{"slow a node's store", storeMode(Delay)},
 	{"reset a node's connections to the store", func(w *World, rnd *rand.Rand) func() { w.anyNode(rnd).store.Reset(); return nothing }},
-	{"cut a server off", serverMode(Cut)},
+	{"cut a server off", serverMode(Disconnect)},
 	{"silence a server", serverMode(DropResponses)},
 	{"slow a server", serverMode(Delay)},
 	{"reset a server's connections", func(w *World, rnd *rand.Rand) func() { w.anyProxy(rnd).Reset(); return nothing }},
