--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -47,8 +47,8 @@
 // Addr is where the proxy takes connections.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Set changes the mode. Cut resets open connections at once.
-func (p *Proxy) Set(mode ProxyMode) {
+// SetMode changes the mode. Cut resets open connections at once.
+func (p *Proxy) SetMode(mode ProxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -81,16 +81,16 @@
 func storeMode(mode ProxyMode) func(*World, *rand.Rand) func() {
 	return func(w *World, rnd *rand.Rand) func() {
 		p := w.anyNode(rnd).store
-		p.Set(mode)
-		return func() { p.Set(Forward) }
+		p.SetMode(mode)
+		return func() { p.SetMode(Forward) }
 	}
 }
 
 func serverMode(mode ProxyMode) func(*World, *rand.Rand) func() {
 	return func(w *World, rnd *rand.Rand) func() {
 		p := w.anyProxy(rnd)
-		p.Set(mode)
-		return func() { p.Set(Forward) }
+		p.SetMode(mode)
+		return func() { p.SetMode(Forward) }
 	}
 }
 
