--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -24,7 +24,7 @@
 // callers send requests to the nodes until they are stopped. Each keeps its
 // connections open until the node is gone.
 type callers struct {
-	world *World
+	world *Environment
 	stop  context.CancelFunc
 	wg    sync.WaitGroup
 
@@ -35,7 +35,7 @@
 // callTimeout is longer than any answer of the stand-ins takes.
 const callTimeout = 6 * time.Second
 
-func startCallers(w *World, count int, seed uint64) *callers {
+func startCallers(w *Environment, count int, seed uint64) *callers {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &callers{world: w, stop: cancel}
 	for i := range count {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -24,35 +24,35 @@
 // fault breaks something; the func that it returns heals it.
 type fault struct {
 	name string
-	do   func(w *World, rnd *rand.Rand) (heal func())
+	do   func(w *Environment, rnd *rand.Rand) (heal func())
 }
 
 var nothing = func() {}
 
 // faults are what may happen at any moment, together or twice.
 var faults = []fault{
-	{"kill a node", func(w *World, rnd *rand.Rand) func() {
+	{"kill a node", func(w *Environment, rnd *rand.Rand) func() {
 		n := w.anyNode(rnd)
 		n.kill()
 		return func() { w.restart(n) }
 	}},
-	{"pause a node", func(w *World, rnd *rand.Rand) func() {
+	{"pause a node", func(w *Environment, rnd *rand.Rand) func() {
 		n := w.anyNode(rnd)
 		n.signal(syscall.SIGSTOP)
 		return func() { n.signal(syscall.SIGCONT) }
 	}},
-	{"reload a node", func(w *World, rnd *rand.Rand) func() { w.anyNode(rnd).signal(syscall.SIGHUP); return nothing }},
+	{"reload a node", func(w *Environment, rnd *rand.Rand) func() { w.anyNode(rnd).signal(syscall.SIGHUP); return nothing }},
 	{"cut a node off the store", storeMode(Disconnect)},
 	{"silence a node's store", storeMode(DropResponses)},
 	{"slow a node's store", storeMode(Delay)},
-	{"reset a node's connections to the store", func(w *World, rnd *rand.Rand) func() { w.anyNode(rnd).store.Reset(); return nothing }},
+	{"reset a node's connections to the store", func(w *Environment, rnd *rand.Rand) func() { w.anyNode(rnd).store.Reset(); return nothing }},
 	{"cut a server off", serverMode(Disconnect)},
 	{"silence a server", serverMode(DropResponses)},
 	{"slow a server", serverMode(Delay)},
-	{"reset a server's connections", func(w *World, rnd *rand.Rand) func() { w.anyProxy(rnd).Reset(); return nothing }},
+	{"reset a server's connections", func(w *Environment, rnd *rand.Rand) func() { w.anyProxy(rnd).Reset(); return nothing }},
 	{"kill a VM that serves", killMember(0)},
 	{"kill another member", killMember(1)},
-	{"drain a VM", func(w *World, rnd *rand.Rand) func() {
+	{"drain a VM", func(w *Environment, rnd *rand.Rand) func() {
 		if heads := w.fleet.OpenHeads("m3"); len(heads) > 0 {
 			heads[0].Drain()
 		}
@@ -64,9 +64,9 @@
 	{"the store is slow", storeFaults(memstore.Faults{Delay: 200 * time.Millisecond})},
 	{"the store loses answers", storeFaults(memstore.Faults{LoseAnswers: 3})},
 	{"the store drops writes", storeFaults(memstore.Faults{DropWrites: 2})},
-	{"the store forgets its history", func(w *World, _ *rand.Rand) func() { w.mem.Compact(w.mem.Revision()); return nothing }},
-	{"leases end", func(w *World, _ *rand.Rand) func() { w.mem.ExpireLeases(); return nothing }},
-	{"the configuration changes", func(w *World, _ *rand.Rand) func() { _ = w.configure(""); return nothing }},
+	{"the store forgets its history", func(w *Environment, _ *rand.Rand) func() { w.mem.Compact(w.mem.Revision()); return nothing }},
+	{"leases end", func(w *Environment, _ *rand.Rand) func() { w.mem.ExpireLeases(); return nothing }},
+	{"the configuration changes", func(w *Environment, _ *rand.Rand) func() { _ = w.configure(""); return nothing }},
 }
 
 // ailingOneIn is how many calls there are to one that an ailing server treats badly. Every
@@ -78,32 +78,32 @@
 // of the list: recorded seeds draw from that.
 var ailment = standin.Faults{Kinds: []standin.Fault{standin.FaultServerError, standin.FaultTruncated, standin.FaultWrongResponse, standin.FaultMissingEvent}, OneIn: ailingOneIn}
 
-func storeMode(mode ProxyMode) func(*World, *rand.Rand) func() {
-	return func(w *World, rnd *rand.Rand) func() {
+func storeMode(mode ProxyMode) func(*Environment, *rand.Rand) func() {
+	return func(w *Environment, rnd *rand.Rand) func() {
 		p := w.anyNode(rnd).store
 		p.SetMode(mode)
 		return func() { p.SetMode(Forward) }
 	}
 }
 
-func serverMode(mode ProxyMode) func(*World, *rand.Rand) func() {
-	return func(w *World, rnd *rand.Rand) func() {
+func serverMode(mode ProxyMode) func(*Environment, *rand.Rand) func() {
+	return func(w *Environment, rnd *rand.Rand) func() {
 		p := w.anyProxy(rnd)
 		p.SetMode(mode)
 		return func() { p.SetMode(Forward) }
 	}
 }
 
-func storeFaults(f memstore.Faults) func(*World, *rand.Rand) func() {
-	return func(w *World, _ *rand.Rand) func() {
+func storeFaults(f memstore.Faults) func(*Environment, *rand.Rand) func() {
+	return func(w *Environment, _ *rand.Rand) func() {
 		w.mem.SetFaults(f)
 		return func() { w.mem.SetFaults(memstore.Faults{}) }
 	}
 }
 
 // killMember kills the member of that rank of some replica, and a new VM comes.
-func killMember(rank int) func(*World, *rand.Rand) func() {
-	return func(w *World, rnd *rand.Rand) func() {
+func killMember(rank int) func(*Environment, *rand.Rand) func() {
+	return func(w *Environment, rnd *rand.Rand) func() {
 		model := []string{"m3", "m2"}[rnd.IntN(2)]
 		if heads := w.fleet.OpenHeads(model); len(heads) > 0 {
 			if members := heads[0].Members(); rank < len(members) && members[rank] != nil {
@@ -114,21 +114,21 @@
 	}
 }
 
-func (w *World) anyNode(rnd *rand.Rand) *node { return w.nodes[rnd.IntN(len(w.nodes))] }
+func (w *Environment) anyNode(rnd *rand.Rand) *node { return w.nodes[rnd.IntN(len(w.nodes))] }
 
-func (w *World) anyProxy(rnd *rand.Rand) *Proxy {
+func (w *Environment) anyProxy(rnd *rand.Rand) *Proxy {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.proxies[rnd.IntN(len(w.proxies))]
 }
 
-func (w *World) replaceVM(rnd *rand.Rand) {
+func (w *Environment) replaceVM(rnd *rand.Rand) {
 	if err := w.addVM(rnd.IntN(domains)); err != nil {
 		w.opts.Log("no new VM: %v", err)
 	}
 }
 
-func (w *World) restart(n *node) {
+func (w *Environment) restart(n *node) {
 	if err := n.start(); err != nil {
 		w.opts.Log("%s not started again: %v", n.name, err)
 	}
@@ -172,7 +172,7 @@
 }
 
 // breakThings runs faults that overlap, and heals them all in the end.
-func (w *World) breakThings(rnd *rand.Rand) (names []string) {
+func (w *Environment) breakThings(rnd *rand.Rand) (names []string) {
 	type healing struct {
 		at   time.Time
 		heal func()
@@ -208,7 +208,7 @@
 }
 
 // check compares what callers got with what backend servers did.
-func (w *World) check(calls []Call, result *Result) {
+func (w *Environment) check(calls []Call, result *Result) {
 	find := func(format string, args ...any) {
 		result.Findings = append(result.Findings, fmt.Sprintf(format, args...))
 	}
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -32,8 +32,8 @@
 	Log    func(format string, args ...any)
 }
 
-// World is a platform with nodes.
-type World struct {
+// Environment is a platform with nodes.
+type Environment struct {
 	opts  Options
 	mem   *memstore.Store
 	http  *http.Server
@@ -54,8 +54,8 @@
 	daemonTimeout = 20 * time.Second
 )
 
-func newWorld(opts Options) (*World, error) {
-	w := &World{opts: opts, mem: memstore.New(memstore.Options{})}
+func newWorld(opts Options) (*Environment, error) {
+	w := &Environment{opts: opts, mem: memstore.New(memstore.Options{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i%domains) }
 
 // proxied puts a proxy before a backend server.
-func (w *World) proxied(addr string) string {
+func (w *Environment) proxied(addr string) string {
 	p, err := NewProxy(addr)
 	if err != nil {
 		return addr // without a proxy: it can't be cut off, and serves
@@ -107,7 +107,7 @@
 	return p.Addr()
 }
 
-func (w *World) addVM(domain int) error {
+func (w *Environment) addVM(domain int) error {
 	w.mu.Lock()
 	w.servers++
 	id := fmt.Sprintf("vm-%d", w.servers)
@@ -117,7 +117,7 @@
 }
 
 // configure writes the next version of the configuration with more routes, as JSON.
-func (w *World) configure(routes string) error {
+func (w *Environment) configure(routes string) error {
 	w.mu.Lock()
 	w.version += 3
 	text := fmt.Sprintf(configuration, w.version, routes)
@@ -126,7 +126,7 @@
 	return err
 }
 
-func (w *World) close() {
+func (w *Environment) close() {
 	for _, n := range w.nodes {
 		n.kill()
 		n.store.Close()
@@ -143,7 +143,7 @@
 }
 
 // served reports whether the node answers both models and the plain service.
-func (w *World) served(n *node, id string) error {
+func (w *Environment) served(n *node, id string) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
 	for _, model := range []string{"m3", "m2", ""} {
 		call := Call{ID: id + "-" + model, Unsafe: model == ""}
@@ -159,7 +159,7 @@
 }
 
 // allServed waits until every node serves everything.
-func (w *World) allServed(what string) error {
+func (w *Environment) allServed(what string) error {
 	deadline := time.Now().Add(daemonTimeout)
 	for i, n := range w.nodes {
 		for try := 0; ; try++ {
