--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -14,8 +14,8 @@
 // Result of one run.
 type Result struct {
 	Seed uint64
-	// Whole, Refused and Broken count calls by what came of them.
-	Whole, Refused, Broken int
+	// Completed, Refused and Broken count calls by what came of them.
+	Completed, Refused, Broken int
 	// Faults lists what was broken; Findings which promises were not kept.
 	Faults   []string
 	Findings []string
@@ -218,7 +218,7 @@
 		case c.Err != nil:
 			result.Broken++
 		case c.Status == http.StatusOK:
-			result.Whole++
+			result.Completed++
 			if c.Body != wholeAnswer(c) {
 				find("%s got an answer that looks whole and is not: %q", c.ID, c.Body)
 			}
@@ -241,7 +241,7 @@
 			find("%s: the log shows a crash of the program", n.name)
 		}
 	}
-	if result.Whole == 0 {
+	if result.Completed == 0 {
 		find("nobody was served")
 	}
 }
