--- a/cmd/fennel-soak/main.go
+++ b/cmd/fennel-soak/main.go
@@ -70,7 +70,7 @@
 		fmt.Printf("seed %d: not played: %v (logs in %s)\n", opts.Seed, err, dir)
 		return false
 	}
-	fmt.Printf("seed %d: %d faults, %d whole, %d refused, %d broken, %d findings\n", result.Seed, len(result.Faults), result.Completed, result.Refused, result.Broken, len(result.Findings))
+	fmt.Printf("seed %d: %d faults, %d whole, %d refused, %d broken, %d findings\n", result.Seed, len(result.Faults), result.Completed, result.Refused, result.Failed, len(result.Findings))
 	if len(result.Findings) == 0 {
 		_ = os.RemoveAll(dir) // logs of a run without a finding
 		return true
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -14,8 +14,8 @@
 // Result of one run.
 type Result struct {
 	Seed uint64
-	// Completed, Refused and Broken count calls by what came of them.
-	Completed, Refused, Broken int
+	// Completed, Refused and Failed count calls by what came of them.
+	Completed, Refused, Failed int
 	// Faults lists what was broken; Findings which promises were not kept.
 	Faults   []string
 	Findings []string
@@ -216,7 +216,7 @@
 		runs := w.fleet.Runs(c.ID)
 		switch {
 		case c.Err != nil:
-			result.Broken++
+			result.Failed++
 		case c.Status == http.StatusOK:
 			result.Completed++
 			if c.Body != wholeAnswer(c) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -42,7 +42,7 @@
 	for _, seed := range []uint64{1, 2} {
 		result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: seed, Nodes: 3, Callers: 8, Faults: 5 * time.Second, Log: t.Logf})
 		require.NoError(t, err)
-		t.Logf("seed %d: %d whole, %d refused, %d broken; %v", seed, result.Completed, result.Refused, result.Broken, result.Faults)
+		t.Logf("seed %d: %d whole, %d refused, %d broken; %v", seed, result.Completed, result.Refused, result.Failed, result.Faults)
 		require.Empty(t, result.Findings, "seed %d", seed)
 	}
 }
