--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -193,7 +193,7 @@
 		w.fleet.SetFaults(ailment)
 		defer w.fleet.SetFaults(standin.Faults{})
 	}
-	end := time.Now().Add(w.opts.Faults)
+	end := time.Now().Add(w.opts.FaultDuration)
 	for time.Now().Before(end) {
 		f := faults[rnd.IntN(len(faults))]
 		names = append(names, f.name)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -29,7 +29,7 @@
 func TestRecordedSeeds(t *testing.T) {
 	path := binary(t)
 	for _, seed := range recorded {
-		result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: seed, Nodes: 3, Callers: 12, Faults: 8 * time.Second, Log: t.Logf})
+		result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: seed, Nodes: 3, Callers: 12, FaultDuration: 8 * time.Second, Log: t.Logf})
 		require.NoError(t, err)
 		require.Empty(t, result.Findings, "seed %d", seed)
 	}
@@ -40,7 +40,7 @@
 func TestShortSoak(t *testing.T) {
 	path := binary(t)
 	for _, seed := range []uint64{1, 2} {
-		result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: seed, Nodes: 3, Callers: 8, Faults: 5 * time.Second, Log: t.Logf})
+		result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: seed, Nodes: 3, Callers: 8, FaultDuration: 5 * time.Second, Log: t.Logf})
 		require.NoError(t, err)
 		t.Logf("seed %d: %d whole, %d refused, %d broken; %v", seed, result.Completed, result.Refused, result.Failed, result.Faults)
 		require.Empty(t, result.Findings, "seed %d", seed)
@@ -51,7 +51,7 @@
 // answer for another call. Callers must see none of it in an answer that looks whole.
 func TestShortSoakBeforeAilingServers(t *testing.T) {
 	path := binary(t)
-	result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: 3, Nodes: 3, Callers: 8, Faults: 5 * time.Second, Ailing: true, Log: t.Logf})
+	result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: 3, Nodes: 3, Callers: 8, FaultDuration: 5 * time.Second, Ailing: true, Log: t.Logf})
 	require.NoError(t, err)
 	require.Empty(t, result.Findings)
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -25,8 +25,8 @@
 	Seed        uint64
 	Nodes       int
 	Callers     int
-	// Faults is how long things are broken.
-	Faults time.Duration
+	// FaultDuration is how long things are broken.
+	FaultDuration time.Duration
 	// Ailing lets backend servers misbehave, too.
 	Ailing bool
 	Log    func(format string, args ...any)
