--- a/cmd/fennel-soak/main.go
+++ b/cmd/fennel-soak/main.go
@@ -42,7 +42,7 @@
 	}
 	failed := 0
 	for s := *seed; s < *seed+uint64(*seeds); s++ {
-		opts := soak.Options{Binary: *binary, Seed: s, Nodes: *nodes, Callers: *callers, FaultDuration: *faults, Ailing: *ailing, Log: func(string, ...any) {}}
+		opts := soak.Options{Binary: *binary, Seed: s, Nodes: *nodes, Callers: *callers, FaultDuration: *faults, ServerFaults: *ailing, Log: func(string, ...any) {}}
 		if *verbose {
 			opts.Log = func(format string, args ...any) { fmt.Printf("  "+format+"\n", args...) }
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -189,7 +189,7 @@
 		}
 		pending = kept
 	}
-	if w.opts.Ailing {
+	if w.opts.ServerFaults {
 		w.fleet.SetFaults(ailment)
 		defer w.fleet.SetFaults(standin.Faults{})
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -51,7 +51,7 @@
 // answer for another call. Callers must see none of it in an answer that looks whole.
 func TestShortSoakBeforeAilingServers(t *testing.T) {
 	path := binary(t)
-	result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: 3, Nodes: 3, Callers: 8, FaultDuration: 5 * time.Second, Ailing: true, Log: t.Logf})
+	result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: 3, Nodes: 3, Callers: 8, FaultDuration: 5 * time.Second, ServerFaults: true, Log: t.Logf})
 	require.NoError(t, err)
 	require.Empty(t, result.Findings)
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -27,8 +27,8 @@
 	Callers     int
 	// FaultDuration is how long things are broken.
 	FaultDuration time.Duration
-	// Ailing lets backend servers misbehave, too.
-	Ailing bool
+	// ServerFaults lets backend servers misbehave, too.
+	ServerFaults bool
 	Log    func(format string, args ...any)
 }
 
