--- a/cmd/fennel-soak/main.go
+++ b/cmd/fennel-soak/main.go
@@ -1,5 +1,5 @@
-// Command fennel-soak plays random series of faults against real daemons and says
-// which promises were not kept.
+// Command fennel-soak injects random series of faults into a system of real daemons and
+// reports violated guarantees.
 package main
 
 import (
@@ -22,14 +22,14 @@
 	flags := ff.NewFlagSet("fennel-soak")
 	binary := flags.StringLong("fenneld", "", "the daemon's path (required)")
 	seed := flags.Uint64Long("seed", 1, "the first seed")
-	seeds := flags.IntLong("seeds", 1, "how many seeds to play, one after the other")
+	seeds := flags.IntLong("seeds", 1, "number of seeds to run, one after the other")
 	nodes := flags.IntLong("nodes", 3, "daemons")
-	callers := flags.IntLong("callers", 12, "callers at a time")
-	faults := flags.DurationLong("faults", 10*time.Second, "how long things are broken, for each seed")
-	ailing := flags.BoolLongDefault("ailing", true, "let backend servers fail by themselves, break answers off and mix them up, too")
-	verbose := flags.BoolLong("verbose", "print each fault as it begins")
+	callers := flags.IntLong("callers", 12, "number of concurrent callers")
+	faults := flags.DurationLong("faults", 10*time.Second, "time in which faults are injected, for each seed")
+	serverFaults := flags.BoolLongDefault("ailing", true, "also make backend servers return errors, truncate responses, omit events and swap responses")
+	verbose := flags.BoolLong("verbose", "print each fault when it is injected")
 	cmd := &ff.Command{Name: "fennel-soak", Usage: "fennel-soak --fenneld PATH [--seed N] [--seeds K]", Flags: flags,
-		ShortHelp: "break things around real daemons and check what callers and backend servers see",
+		ShortHelp: "inject faults into a system of real daemons and check the responses",
 		Exec:      func(context.Context, []string) error { return nil }}
 	err := cmd.Parse(args)
 	switch {
@@ -42,11 +42,11 @@
 	}
 	failed := 0
 	for s := *seed; s < *seed+uint64(*seeds); s++ {
-		opts := soak.Options{Binary: *binary, Seed: s, Nodes: *nodes, Callers: *callers, FaultDuration: *faults, ServerFaults: *ailing, Log: func(string, ...any) {}}
+		opts := soak.Options{Binary: *binary, Seed: s, Nodes: *nodes, Callers: *callers, FaultDuration: *faults, ServerFaults: *serverFaults, Log: func(string, ...any) {}}
 		if *verbose {
 			opts.Log = func(format string, args ...any) { fmt.Printf("  "+format+"\n", args...) }
 		}
-		if !play(opts) {
+		if !runSeed(opts) {
 			failed++
 		}
 	}
@@ -57,8 +57,9 @@
 	return 0
 }
 
-// play runs one seed and prints what came of it; logs are kept if it failed.
-func play(opts soak.Options) bool {
+// runSeed runs one seed, prints its result and reports whether it passed. It keeps the
+// logs of a failed run.
+func runSeed(opts soak.Options) bool {
 	dir, err := soak.MakeDir(opts.Seed)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fennel-soak:", err)
@@ -67,12 +68,12 @@
 	opts.Dir = dir
 	result, err := soak.Run(opts)
 	if err != nil {
-		fmt.Printf("seed %d: not played: %v (logs in %s)\n", opts.Seed, err, dir)
+		fmt.Printf("seed %d: run failed: %v (logs in %s)\n", opts.Seed, err, dir)
 		return false
 	}
-	fmt.Printf("seed %d: %d faults, %d whole, %d refused, %d broken, %d findings\n", result.Seed, len(result.Faults), result.Completed, result.Refused, result.Failed, len(result.Findings))
+	fmt.Printf("seed %d: %d faults, %d completed, %d refused, %d failed, %d findings\n", result.Seed, len(result.Faults), result.Completed, result.Refused, result.Failed, len(result.Findings))
 	if len(result.Findings) == 0 {
-		_ = os.RemoveAll(dir) // logs of a run without a finding
+		_ = os.RemoveAll(dir) // only findings need the logs
 		return true
 	}
 	for _, finding := range result.Findings {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// Call is one request of a caller with what came of it.
+// Call is one request of a caller and its outcome.
 type Call struct {
 	ID     string
 	Unsafe bool
 	Status int
 	Body   string
-	// Err is set when no whole answer came.
+	// Err is set if no complete response arrived.
 	Err error
 }
 
-// callers send requests to the nodes until they are stopped. Each keeps its
-// connections open until the node is gone.
+// callers is a set of concurrent callers that send requests to random nodes until
+// they are stopped. Each caller keeps its connections to a node open.
 type callers struct {
-	world *Environment
-	stop  context.CancelFunc
-	wg    sync.WaitGroup
+	env  *Environment
+	stop context.CancelFunc
+	wg   sync.WaitGroup
 
 	mu    sync.Mutex
 	calls []Call
 }
 
-// callTimeout is longer than any answer of the stand-ins takes.
+// callTimeout exceeds the duration of every response of the stand-in servers.
 const callTimeout = 6 * time.Second
 
-func startCallers(w *Environment, count int, seed uint64) *callers {
+func startCallers(env *Environment, count int, seed uint64) *callers {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &callers{world: w, stop: cancel}
+	c := &callers{env: env, stop: cancel}
 	for i := range count {
 		rnd := rand.New(rand.NewPCG(seed, uint64(i)))
 		c.wg.Go(func() { c.run(ctx, fmt.Sprintf("c%d", i), rnd) })
@@ -50,7 +50,7 @@
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: callTimeout}
 	for i := 0; ctx.Err() == nil; i++ {
-		n := c.world.nodes[rnd.IntN(len(c.world.nodes))]
+		n := c.env.nodes[rnd.IntN(len(c.env.nodes))]
 		call := Call{ID: fmt.Sprintf("%s-%d", name, i), Unsafe: rnd.IntN(3) == 0}
 		send(client, n, &call, []string{"m3", "m2"}[rnd.IntN(2)])
 		c.mu.Lock()
@@ -62,27 +62,27 @@
 	}
 }
 
-// end stops the callers and returns their calls.
-func (c *callers) end() []Call {
+// stopAndCollect stops the callers and returns all their calls.
+func (c *callers) stopAndCollect() []Call {
 	c.stop()
 	c.wg.Wait()
 	return c.calls
 }
 
-// send makes one call to a node and notes what came of it.
+// send sends one call to a node and records its outcome in the call.
 func send(client *http.Client, n *node, call *Call, model string) {
 	path := "/advice/1"
 	if call.Unsafe {
 		path, model = "/pay/1", ""
 	}
-	req, err := http.NewRequest(http.MethodPost, "http://"+n.callersAddr()+path, strings.NewReader("body"))
+	req, err := http.NewRequest(http.MethodPost, "http://"+n.listenAddr()+path, strings.NewReader("body"))
 	if err != nil {
 		call.Err = err
 		return
 	}
-	req.GetBody = nil // sent once: the library must not send it again
+	req.GetBody = nil // keeps net/http from sending the request a second time
 	req.Host = "a.example"
-	stampRequest(req.Header, call.ID, model)
+	setRequestHeaders(req.Header, call.ID, model)
 	resp, err := client.Do(req)
 	if err != nil {
 		call.Err = err
--- a/internal/soak/nodes.go
+++ b/internal/soak/nodes.go
@@ -15,36 +15,36 @@
 	"github.com/go-faster/errors"
 )
 
-// node is one real daemon in a process of its own, behind a proxy to the store.
+// node is a daemon that runs as a separate process and reaches the store through a proxy.
 type node struct {
-	name, zone             string
-	binary, settings, logs string
-	store                  *Proxy
+	name, zone                    string
+	binary, settingsPath, logPath string
+	store                         *Proxy
 
 	mu      sync.Mutex
 	callers string
-	process *os.Process // nil while none runs
-	// ended is closed when the process has ended, with err as its status.
-	ended chan struct{}
-	err   error
-	// meant is true while the end of the process is the soak's own doing.
-	meant bool
-	// ownEnds lists the ends of processes that nobody meant.
-	ownEnds []string
+	process *os.Process // nil while no process runs
+	// exited is closed when the process has exited; err is then its exit status.
+	exited chan struct{}
+	err    error
+	// exitExpected is set before the soak itself ends the process.
+	exitExpected bool
+	// unexpectedExits lists the exits that the soak did not cause.
+	unexpectedExits []string
 }
 
-// newNode writes a node's settings; start starts it.
+// newNode creates a node and writes its settings file. It starts no process.
 func newNode(dir, binary, name, zone, storeAddr string) (*node, error) {
 	proxy, err := NewProxy(storeAddr)
 	if err != nil {
 		return nil, err
 	}
-	n := &node{name: name, zone: zone, binary: binary, store: proxy, settings: filepath.Join(dir, name+".yaml"), logs: filepath.Join(dir, name+".log")}
-	return n, n.address()
+	n := &node{name: name, zone: zone, binary: binary, store: proxy, settingsPath: filepath.Join(dir, name+".yaml"), logPath: filepath.Join(dir, name+".log")}
+	return n, n.assignAddresses()
 }
 
-// address gives the node addresses of its own and writes its settings.
-func (n *node) address() error {
+// assignAddresses picks unused addresses for the node and writes its settings file.
+func (n *node) assignAddresses() error {
 	callers, err := freeAddr()
 	if err != nil {
 		return err
@@ -58,17 +58,17 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.callers = callers
-	return os.WriteFile(n.settings, []byte(text), 0o600)
+	return os.WriteFile(n.settingsPath, []byte(text), 0o600)
 }
 
-// callersAddr is where the node takes calls.
-func (n *node) callersAddr() string {
+// listenAddr returns the address on which the node accepts callers' requests.
+func (n *node) listenAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.callers
 }
 
-// freeAddr is an address that nobody listens on now.
+// freeAddr returns a loopback address on which no process listens at present.
 func freeAddr() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,115 +78,119 @@
 	return listener.Addr().String(), nil
 }
 
-// start starts the node's process, unless one runs: two faults may have ended it.
+// start starts the node's process. It does nothing if the process runs already: two
+// overlapping faults may both have ended it, and each starts it again.
 func (n *node) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
 		return nil
 	}
-	log, err := os.OpenFile(n.logs, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(n.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(n.binary, "--settings", n.settings)
+	cmd := exec.Command(n.binary, "--settings", n.settingsPath)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		_ = log.Close()
 		return err
 	}
-	n.process, n.ended, n.meant = cmd.Process, make(chan struct{}), false
-	size, _ := log.Seek(0, io.SeekEnd) // zero for a log that is new
-	go n.await(cmd, log, size)
+	n.process, n.exited, n.exitExpected = cmd.Process, make(chan struct{}), false
+	size, _ := log.Seek(0, io.SeekEnd) // 0 for a new log file
+	go n.awaitExit(cmd, log, size)
 	return nil
 }
 
-// restartAfter is the platform's delay before it starts a process again.
-const restartAfter = 100 * time.Millisecond
+// restartDelay is the time that the platform waits before it restarts a process.
+const restartDelay = 100 * time.Millisecond
 
-// await takes the process's end. One that nobody meant is started again, as the
-// platform does. It is a finding if the process had begun to serve: a signal that
-// meets it before its program runs ends it whatever the program would do.
-func (n *node) await(cmd *exec.Cmd, log *os.File, from int64) {
+// awaitExit waits for the process to exit and restarts it after an unexpected exit,
+// as the platform does. An unexpected exit is a finding only if the process had begun
+// to serve: a signal that arrives before the program runs ends the process regardless
+// of what the program does.
+func (n *node) awaitExit(cmd *exec.Cmd, log *os.File, from int64) {
 	err := cmd.Wait()
 	_ = log.Close()
 	n.mu.Lock()
 	n.process, n.err = nil, err
-	again := !n.meant
-	if again && n.logged(from, "msg=serving") {
-		n.ownEnds = append(n.ownEnds, fmt.Sprintf("%s ended by itself: %v", n.name, err))
+	unexpected := !n.exitExpected
+	if unexpected && n.logContains(from, "msg=serving") {
+		n.unexpectedExits = append(n.unexpectedExits, fmt.Sprintf("%s exited unexpectedly: %v", n.name, err))
 	}
-	close(n.ended)
+	close(n.exited)
 	n.mu.Unlock()
-	if again {
-		if n.logged(from, "address already in use") {
-			_ = n.address() // another program was quicker; without new ones it fails again
+	if unexpected {
+		if n.logContains(from, "address already in use") {
+			_ = n.assignAddresses() // another program took the address; if this fails, so does the next start
 		}
-		time.Sleep(restartAfter)
-		_ = n.start() // a node that can't be started shows as one that does not serve
+		time.Sleep(restartDelay)
+		_ = n.start() // a node that fails to start is reported by awaitServing
 	}
 }
 
-// logged reports whether the log from an offset has the text.
-func (n *node) logged(from int64, what string) bool {
-	text, err := os.ReadFile(n.logs)
-	return err == nil && from <= int64(len(text)) && bytes.Contains(text[from:], []byte(what))
+// logContains reports whether the log contains the text after an offset.
+func (n *node) logContains(offset int64, text string) bool {
+	log, err := os.ReadFile(n.logPath)
+	return err == nil && offset <= int64(len(log)) && bytes.Contains(log[offset:], []byte(text))
 }
 
-// mean marks the coming end of the process as meant.
-func (n *node) mean() {
+// expectExit marks the next exit of the process as expected.
+func (n *node) expectExit() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.meant = true
+	n.exitExpected = true
 }
 
-// signal sends a signal to the node's own process.
+// signal sends a signal to the node's process, if one runs.
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
-		_ = n.process.Signal(s) // it may have ended
+		_ = n.process.Signal(s) // the process may have exited already
 	}
 }
 
-// wait waits for the process's end.
-func (n *node) wait(limit time.Duration) error {
+// wait waits until the process has exited and returns its exit status.
+func (n *node) wait(timeout time.Duration) error {
 	n.mu.Lock()
-	ended := n.ended
+	exited := n.exited
 	n.mu.Unlock()
 	select {
-	case <-ended:
+	case <-exited:
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return n.err
-	case <-time.After(limit):
-		return errors.Errorf("%s is still there after %s", n.name, limit)
+	case <-time.After(timeout):
+		return errors.Errorf("%s still runs after %s", n.name, timeout)
 	}
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL and waits until it has exited.
 func (n *node) kill() {
-	n.mean()
-	n.signal(syscall.SIGCONT) // a paused process is killed too, and its end is seen
+	n.expectExit()
+	n.signal(syscall.SIGCONT) // resumes a paused process, so that its exit is observed
 	n.signal(syscall.SIGKILL)
-	_ = n.wait(killWait) // killed: its status says so
+	_ = n.wait(killTimeout) // the status of a killed process is always an error
 }
 
-// killWait is how long a killed process may take to be gone.
-const killWait = 5 * time.Second
+// killTimeout limits the wait for a killed process to exit.
+const killTimeout = 5 * time.Second
 
-// stop ends the node as planned and says what went wrong with that.
-func (n *node) stop(limit time.Duration) error {
-	n.mean()
+// stop shuts the node down with SIGTERM. It returns an error if the process does not
+// exit in time or exits with an error.
+func (n *node) stop(timeout time.Duration) error {
+	n.expectExit()
 	n.signal(syscall.SIGTERM)
-	if err := n.wait(limit); err != nil {
-		return errors.Wrapf(err, "planned stop of %s", n.name)
+	if err := n.wait(timeout); err != nil {
+		return errors.Wrapf(err, "graceful stop of %s", n.name)
 	}
 	return nil
 }
 
-// panics reports whether the node's log shows a crash of the program.
-func (n *node) panics() bool {
-	text, err := os.ReadFile(n.logs)
+// logShowsCrash reports whether the node's log contains a panic, a fatal error of the
+// Go runtime or a data race.
+func (n *node) logShowsCrash() bool {
+	text, err := os.ReadFile(n.logPath)
 	return err == nil && (bytes.Contains(text, []byte("panic:")) || bytes.Contains(text, []byte("fatal error:")) || bytes.Contains(text, []byte("DATA RACE")))
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// ProxyMode is what a proxy does to the bytes that pass it.
+// ProxyMode determines how a proxy handles the bytes it relays.
 type ProxyMode int
 
-// Modes of a proxy. DropResponses swallows what the far side sends, so that connections
-// look alive and bring nothing; Disconnect resets them and refuses new ones.
+// Modes of a proxy. Delay relays all bytes late. DropResponses discards the bytes that
+// the target sends, so that connections stay open and deliver nothing. Disconnect
+// resets open connections and closes new ones.
 const (
 	Forward ProxyMode = iota
 	Delay
@@ -19,10 +20,10 @@
 	Disconnect
 )
 
-// slowBy is what Slow holds each portion of bytes back.
-const slowBy = 30 * time.Millisecond
+// forwardDelay is the delay that Delay adds to each read.
+const forwardDelay = 30 * time.Millisecond
 
-// Proxy passes TCP connections to one address, and misbehaves on demand.
+// Proxy relays TCP connections to one address and injects network faults on demand.
 type Proxy struct {
 	target   string
 	listener net.Listener
@@ -33,7 +34,7 @@
 	wg    sync.WaitGroup
 }
 
-// NewProxy returns a proxy to the target on an address of its own.
+// NewProxy starts a proxy to the target on an unused loopback address.
 func NewProxy(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,10 +45,10 @@
 	return p, nil
 }
 
-// Addr is where the proxy takes connections.
+// Addr returns the address on which the proxy accepts connections.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetMode changes the mode. Cut resets open connections at once.
+// SetMode changes the mode. Disconnect resets open connections at once.
 func (p *Proxy) SetMode(mode ProxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// Reset resets the open connections, and takes new ones as before.
+// Reset resets the open connections. The proxy still accepts new ones.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,20 +68,20 @@
 func (p *Proxy) resetLocked() {
 	for conn := range p.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a reset in place of an orderly end
+			_ = tcp.SetLinger(0) // Close sends a reset in place of FIN
 		}
 		_ = conn.Close()
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset()
 	p.wg.Wait()
 }
 
-func (p *Proxy) now() ProxyMode {
+func (p *Proxy) currentMode() ProxyMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -88,30 +89,30 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if p.now() == Disconnect {
-			_ = near.Close()
+		if p.currentMode() == Disconnect {
+			_ = client.Close()
 			continue
 		}
-		p.wg.Go(func() { p.pass(near) })
+		p.wg.Go(func() { p.relay(client) })
 	}
 }
 
-func (p *Proxy) pass(near net.Conn) {
-	far, err := net.Dial("tcp", p.target)
+func (p *Proxy) relay(client net.Conn) {
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	p.add(near, far)
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(far, near, false) })
-	both.Go(func() { p.copy(near, far, true) })
-	both.Wait()
-	p.remove(near, far)
+	p.add(client, server)
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copy(server, client, false) })
+	directions.Go(func() { p.copy(client, server, true) })
+	directions.Wait()
+	p.remove(client, server)
 }
 
 func (p *Proxy) add(conns ...net.Conn) {
@@ -131,35 +132,36 @@
 	}
 }
 
-// copy passes one direction on; back is that of answers.
-func (p *Proxy) copy(to, from net.Conn, back bool) {
+// copy relays one direction of a connection. isResponse is true for the direction
+// from the target.
+func (p *Proxy) copy(to, from net.Conn, isResponse bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		mode := p.now()
+		mode := p.currentMode()
 		if mode == Delay {
-			time.Sleep(slowBy)
+			time.Sleep(forwardDelay)
 		}
-		if n > 0 && (mode != DropResponses || !back) {
+		if n > 0 && (mode != DropResponses || !isResponse) {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
 			}
 		}
 		if err == io.EOF {
 			if tcp, ok := to.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // an orderly end stays one
+				_ = tcp.CloseWrite() // passes the FIN on
 			}
 			return
 		}
 		if err != nil {
-			p.breakOff(to)
+			p.resetConn(to)
 			return
 		}
 	}
 }
 
-// breakOff resets a connection whose other half was reset.
-func (p *Proxy) breakOff(conn net.Conn) {
+// resetConn resets a connection whose counterpart was reset.
+func (p *Proxy) resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -11,168 +11,177 @@
 	"github.com/fennelcourse/fennelcourse/platform/standin"
 )
 
-// Result of one run.
+// Result is the outcome of one run.
 type Result struct {
 	Seed uint64
-	// Completed, Refused and Failed count calls by what came of them.
+	// Completed counts calls answered with status 200, Refused those answered with
+	// another status, and Failed those without a complete response.
 	Completed, Refused, Failed int
-	// Faults lists what was broken; Findings which promises were not kept.
+	// Faults lists the injected faults; Findings the violated guarantees.
 	Faults   []string
 	Findings []string
 }
 
-// fault breaks something; the func that it returns heals it.
+// fault is a kind of fault. The function that inject returns reverts the fault.
 type fault struct {
-	name string
-	do   func(w *Environment, rnd *rand.Rand) (heal func())
+	name   string
+	inject func(env *Environment, rnd *rand.Rand) (heal func())
 }
 
-var nothing = func() {}
+var noHeal = func() {}
 
-// faults are what may happen at any moment, together or twice.
+// faults lists the faults that are injected at random. They may overlap, also with
+// themselves.
 var faults = []fault{
-	{"kill a node", func(w *Environment, rnd *rand.Rand) func() {
-		n := w.anyNode(rnd)
+	{"kill a node", func(env *Environment, rnd *rand.Rand) func() {
+		n := env.randomNode(rnd)
 		n.kill()
-		return func() { w.restart(n) }
+		return func() { env.restart(n) }
 	}},
-	{"pause a node", func(w *Environment, rnd *rand.Rand) func() {
-		n := w.anyNode(rnd)
+	{"pause a node", func(env *Environment, rnd *rand.Rand) func() {
+		n := env.randomNode(rnd)
 		n.signal(syscall.SIGSTOP)
 		return func() { n.signal(syscall.SIGCONT) }
 	}},
-	{"reload a node", func(w *Environment, rnd *rand.Rand) func() { w.anyNode(rnd).signal(syscall.SIGHUP); return nothing }},
-	{"cut a node off the store", storeMode(Disconnect)},
-	{"silence a node's store", storeMode(DropResponses)},
-	{"slow a node's store", storeMode(Delay)},
-	{"reset a node's connections to the store", func(w *Environment, rnd *rand.Rand) func() { w.anyNode(rnd).store.Reset(); return nothing }},
-	{"cut a server off", serverMode(Disconnect)},
-	{"silence a server", serverMode(DropResponses)},
-	{"slow a server", serverMode(Delay)},
-	{"reset a server's connections", func(w *Environment, rnd *rand.Rand) func() { w.anyProxy(rnd).Reset(); return nothing }},
-	{"kill a VM that serves", killMember(0)},
-	{"kill another member", killMember(1)},
-	{"drain a VM", func(w *Environment, rnd *rand.Rand) func() {
-		if heads := w.fleet.OpenHeads("m3"); len(heads) > 0 {
+	{"reload a node", func(env *Environment, rnd *rand.Rand) func() {
+		env.randomNode(rnd).signal(syscall.SIGHUP)
+		return noHeal
+	}},
+	{"disconnect a node from the store", storeMode(Disconnect)},
+	{"drop the store's responses to a node", storeMode(DropResponses)},
+	{"delay a node's connections to the store", storeMode(Delay)},
+	{"reset a node's connections to the store", func(env *Environment, rnd *rand.Rand) func() { env.randomNode(rnd).store.Reset(); return noHeal }},
+	{"disconnect a server", serverMode(Disconnect)},
+	{"drop a server's responses", serverMode(DropResponses)},
+	{"delay a server's connections", serverMode(Delay)},
+	{"reset a server's connections", func(env *Environment, rnd *rand.Rand) func() { env.randomProxy(rnd).Reset(); return noHeal }},
+	{"kill a serving VM", killMember(0)},
+	{"kill a member that does not serve", killMember(1)},
+	{"drain a VM", func(env *Environment, rnd *rand.Rand) func() {
+		if heads := env.fleet.OpenHeads("m3"); len(heads) > 0 {
 			heads[0].Drain()
 		}
-		w.replaceVM(rnd)
-		return nothing
+		env.replaceVM(rnd)
+		return noHeal
 	}},
 	{"the store is down", storeFaults(memstore.Faults{Down: true})},
-	{"the store is down, and nobody can tell", storeFaults(memstore.Faults{Down: true, DownUnknown: true})},
+	{"the store is down, and the outcome of calls is unknown", storeFaults(memstore.Faults{Down: true, DownUnknown: true})},
 	{"the store is slow", storeFaults(memstore.Faults{Delay: 200 * time.Millisecond})},
-	{"the store loses answers", storeFaults(memstore.Faults{LoseAnswers: 3})},
+	{"the store loses responses", storeFaults(memstore.Faults{LoseAnswers: 3})},
 	{"the store drops writes", storeFaults(memstore.Faults{DropWrites: 2})},
-	{"the store forgets its history", func(w *Environment, _ *rand.Rand) func() { w.mem.Compact(w.mem.Revision()); return nothing }},
-	{"leases end", func(w *Environment, _ *rand.Rand) func() { w.mem.ExpireLeases(); return nothing }},
-	{"the configuration changes", func(w *Environment, _ *rand.Rand) func() { _ = w.configure(""); return nothing }},
+	{"the store compacts its history", func(env *Environment, _ *rand.Rand) func() { env.mem.Compact(env.mem.Revision()); return noHeal }},
+	{"leases expire", func(env *Environment, _ *rand.Rand) func() { env.mem.ExpireLeases(); return noHeal }},
+	{"the configuration changes", func(env *Environment, _ *rand.Rand) func() { _ = env.writeConfig(""); return noHeal }},
 }
 
-// ailingOneIn is how many calls there are to one that an ailing server treats badly. Every
-// second attempt after a broken one then meets another failure now and then, and the
-// repeats' budget still lasts.
-const ailingOneIn = 4
+// serverFaultOneIn is the number of calls to a backend server of which one fails. At this
+// rate the attempt that follows a failed one sometimes fails too, and the retry budget is
+// still not used up.
+const serverFaultOneIn = 4
 
-// ailment is what the servers suffer from while the faults come and go. It is no fault
-// of the list: recorded seeds draw from that.
-var ailment = standin.Faults{Kinds: []standin.Fault{standin.FaultServerError, standin.FaultTruncated, standin.FaultWrongResponse, standin.FaultMissingEvent}, OneIn: ailingOneIn}
+// serverFaults are the faults of backend servers during the whole fault phase. They are
+// not part of the faults list, since that would change the faults that the seeds in
+// regressionSeeds draw.
+var serverFaults = standin.Faults{Kinds: []standin.Fault{standin.FaultServerError, standin.FaultTruncated, standin.FaultWrongResponse, standin.FaultMissingEvent}, OneIn: serverFaultOneIn}
 
 func storeMode(mode ProxyMode) func(*Environment, *rand.Rand) func() {
-	return func(w *Environment, rnd *rand.Rand) func() {
-		p := w.anyNode(rnd).store
+	return func(env *Environment, rnd *rand.Rand) func() {
+		p := env.randomNode(rnd).store
 		p.SetMode(mode)
 		return func() { p.SetMode(Forward) }
 	}
 }
 
 func serverMode(mode ProxyMode) func(*Environment, *rand.Rand) func() {
-	return func(w *Environment, rnd *rand.Rand) func() {
-		p := w.anyProxy(rnd)
+	return func(env *Environment, rnd *rand.Rand) func() {
+		p := env.randomProxy(rnd)
 		p.SetMode(mode)
 		return func() { p.SetMode(Forward) }
 	}
 }
 
 func storeFaults(f memstore.Faults) func(*Environment, *rand.Rand) func() {
-	return func(w *Environment, _ *rand.Rand) func() {
-		w.mem.SetFaults(f)
-		return func() { w.mem.SetFaults(memstore.Faults{}) }
+	return func(env *Environment, _ *rand.Rand) func() {
+		env.mem.SetFaults(f)
+		return func() { env.mem.SetFaults(memstore.Faults{}) }
 	}
 }
 
-// killMember kills the member of that rank of some replica, and a new VM comes.
+// killMember kills the member with the given rank of a replica of a random model. A new
+// VM replaces it when the fault ends.
 func killMember(rank int) func(*Environment, *rand.Rand) func() {
-	return func(w *Environment, rnd *rand.Rand) func() {
+	return func(env *Environment, rnd *rand.Rand) func() {
 		model := []string{"m3", "m2"}[rnd.IntN(2)]
-		if heads := w.fleet.OpenHeads(model); len(heads) > 0 {
+		if heads := env.fleet.OpenHeads(model); len(heads) > 0 {
 			if members := heads[0].Members(); rank < len(members) && members[rank] != nil {
 				members[rank].Kill()
 			}
 		}
-		return func() { w.replaceVM(rnd) }
+		return func() { env.replaceVM(rnd) }
 	}
 }
 
-func (w *Environment) anyNode(rnd *rand.Rand) *node { return w.nodes[rnd.IntN(len(w.nodes))] }
+func (env *Environment) randomNode(rnd *rand.Rand) *node { return env.nodes[rnd.IntN(len(env.nodes))] }
 
-func (w *Environment) anyProxy(rnd *rand.Rand) *Proxy {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.proxies[rnd.IntN(len(w.proxies))]
+func (env *Environment) randomProxy(rnd *rand.Rand) *Proxy {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.proxies[rnd.IntN(len(env.proxies))]
 }
 
-func (w *Environment) replaceVM(rnd *rand.Rand) {
-	if err := w.addVM(rnd.IntN(domains)); err != nil {
-		w.opts.Log("no new VM: %v", err)
+func (env *Environment) replaceVM(rnd *rand.Rand) {
+	if err := env.addVM(rnd.IntN(domains)); err != nil {
+		env.opts.Log("adding a VM failed: %v", err)
 	}
 }
 
-func (w *Environment) restart(n *node) {
+func (env *Environment) restart(n *node) {
 	if err := n.start(); err != nil {
-		w.opts.Log("%s not started again: %v", n.name, err)
+		env.opts.Log("restarting %s failed: %v", n.name, err)
 	}
 }
 
-// Bounds of the random series.
+// Bounds of the random intervals between faults and of the faults' durations, and the
+// limit for a node's shutdown.
 const (
-	minGap, maxGap   = 100 * time.Millisecond, 700 * time.Millisecond
-	minHold, maxHold = 200 * time.Millisecond, 2500 * time.Millisecond
-	stopLimit        = 12 * time.Second
+	minFaultInterval, maxFaultInterval = 100 * time.Millisecond, 700 * time.Millisecond
+	minFaultDuration, maxFaultDuration = 200 * time.Millisecond, 2500 * time.Millisecond
+	stopTimeout                        = 12 * time.Second
 )
 
-func between(rnd *rand.Rand, low, high time.Duration) time.Duration {
+func randomDuration(rnd *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(rnd.Int64N(int64(high-low)))
 }
 
-// Run plays one seed.
+// Run runs the series of faults of one seed and checks the results.
 func Run(opts Options) (Result, error) {
 	result := Result{Seed: opts.Seed}
-	w, err := newWorld(opts)
+	env, err := newEnvironment(opts)
 	if err != nil {
 		return result, err
 	}
-	defer w.close()
-	if err := w.allServed("start"); err != nil {
+	defer env.close()
+	if err := env.awaitServing("start"); err != nil {
 		return result, err
 	}
 	rnd := rand.New(rand.NewPCG(opts.Seed, 0))
-	callers := startCallers(w, opts.Callers, opts.Seed)
-	result.Faults = w.breakThings(rnd)
-	if err := w.allServed("afterwards"); err != nil {
+	callers := startCallers(env, opts.Callers, opts.Seed)
+	result.Faults = env.injectFaults(rnd)
+	if err := env.awaitServing("afterwards"); err != nil {
 		result.Findings = append(result.Findings, err.Error())
 	}
-	for _, n := range w.nodes {
-		if err := n.stop(stopLimit); err != nil {
+	for _, n := range env.nodes {
+		if err := n.stop(stopTimeout); err != nil {
 			result.Findings = append(result.Findings, err.Error())
 		}
 	}
-	w.check(callers.end(), &result)
+	env.check(callers.stopAndCollect(), &result)
 	return result, nil
 }
 
-// breakThings runs faults that overlap, and heals them all in the end.
-func (w *Environment) breakThings(rnd *rand.Rand) (names []string) {
+// injectFaults injects overlapping faults for opts.FaultDuration, reverts them all and
+// returns their names.
+func (env *Environment) injectFaults(rnd *rand.Rand) (names []string) {
 	type healing struct {
 		at   time.Time
 		heal func()
@@ -189,65 +198,67 @@
 		}
 		pending = kept
 	}
-	if w.opts.ServerFaults {
-		w.fleet.SetFaults(ailment)
-		defer w.fleet.SetFaults(standin.Faults{})
+	if env.opts.ServerFaults {
+		env.fleet.SetFaults(serverFaults)
+		defer env.fleet.SetFaults(standin.Faults{})
 	}
-	end := time.Now().Add(w.opts.FaultDuration)
+	end := time.Now().Add(env.opts.FaultDuration)
 	for time.Now().Before(end) {
 		f := faults[rnd.IntN(len(faults))]
 		names = append(names, f.name)
-		w.opts.Log("%s", f.name)
-		heal := f.do(w, rnd)
-		pending = append(pending, healing{time.Now().Add(between(rnd, minHold, maxHold)), heal})
-		time.Sleep(between(rnd, minGap, maxGap))
+		env.opts.Log("%s", f.name)
+		heal := f.inject(env, rnd)
+		pending = append(pending, healing{time.Now().Add(randomDuration(rnd, minFaultDuration, maxFaultDuration)), heal})
+		time.Sleep(randomDuration(rnd, minFaultInterval, maxFaultInterval))
 		healDue(false)
 	}
 	healDue(true)
 	return names
 }
 
-// check compares what callers got with what backend servers did.
-func (w *Environment) check(calls []Call, result *Result) {
+// check compares the responses that callers received with the calls that backend servers
+// executed.
+func (env *Environment) check(calls []Call, result *Result) {
 	find := func(format string, args ...any) {
 		result.Findings = append(result.Findings, fmt.Sprintf(format, args...))
 	}
 	for _, c := range calls {
-		runs := w.fleet.Runs(c.ID)
+		runs := env.fleet.Runs(c.ID)
 		switch {
 		case c.Err != nil:
 			result.Failed++
 		case c.Status == http.StatusOK:
 			result.Completed++
-			if c.Body != wholeAnswer(c) {
-				find("%s got an answer that looks whole and is not: %q", c.ID, c.Body)
+			if c.Body != expectedAnswer(c) {
+				find("%s got a response with status 200 and a wrong body: %q", c.ID, c.Body)
 			}
 		default:
 			result.Refused++
 		}
 		if c.Unsafe && runs > 1 {
-			find("%s may run once and ran %d times", c.ID, runs)
+			find("%s may be executed once and was executed %d times", c.ID, runs)
 		}
-		if promised(c) && runs > 0 {
-			find("%s was told by %d that it did not run, and ran %d times", c.ID, c.Status, runs)
+		if reportsNotExecuted(c) && runs > 0 {
+			find("%s was refused with status %d as not executed, but was executed %d times", c.ID, c.Status, runs)
 		}
 	}
-	for _, wrong := range w.fleet.Violations() {
-		find("%s", wrong)
+	for _, violation := range env.fleet.Violations() {
+		find("%s", violation)
 	}
-	for _, n := range w.nodes {
-		result.Findings = append(result.Findings, n.ownEnds...)
-		if n.panics() {
-			find("%s: the log shows a crash of the program", n.name)
+	for _, n := range env.nodes {
+		result.Findings = append(result.Findings, n.unexpectedExits...)
+		if n.logShowsCrash() {
+			find("%s: the log shows a panic, a fatal error or a data race", n.name)
 		}
 	}
 	if result.Completed == 0 {
-		find("nobody was served")
+		find("no call was answered with status 200")
 	}
 }
 
-// promised reports whether a call's answer says that it did not run.
-func promised(c Call) bool {
+// reportsNotExecuted reports whether the call's status guarantees that no backend server
+// executed it.
+func reportsNotExecuted(c Call) bool {
 	if c.Err != nil {
 		return false
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,8 +11,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/soak"
 )
 
-// binary builds the daemon, with the race detector.
-func binary(t *testing.T) string {
+// buildDaemon builds the daemon with the race detector and returns its path.
+func buildDaemon(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "fenneld")
 	out, err := exec.Command("go", "build", "-race", "-o", path, "../../cmd/fenneld").CombinedOutput()
@@ -20,37 +20,38 @@
 	return path
 }
 
-// recorded are seeds that once showed a fault, with its cause.
-var recorded = []uint64{
-	100, // a SIGHUP that met a node while it started ended it: the daemon asked for the signal late
+// regressionSeeds are seeds that once revealed a bug, with its cause.
+var regressionSeeds = []uint64{
+	100, // a SIGHUP during a node's start ended the process, since the daemon registered its handler too late
 }
 
-// Seeds that showed a fault are played again, as they were.
-func TestRecordedSeeds(t *testing.T) {
-	path := binary(t)
-	for _, seed := range recorded {
+// Replays the seeds that once revealed a bug with the options of that run.
+func TestRegressionSeeds(t *testing.T) {
+	path := buildDaemon(t)
+	for _, seed := range regressionSeeds {
 		result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: seed, Nodes: 3, Callers: 12, FaultDuration: 8 * time.Second, Log: t.Logf})
 		require.NoError(t, err)
 		require.Empty(t, result.Findings, "seed %d", seed)
 	}
 }
 
-// A short series of faults around real daemons. Longer ones, with fresh seeds, are
-// played by hand with fennel-soak.
+// Runs a short series of faults against real daemons. Longer series with new seeds are
+// run by hand with fennel-soak.
 func TestShortSoak(t *testing.T) {
-	path := binary(t)
+	path := buildDaemon(t)
 	for _, seed := range []uint64{1, 2} {
 		result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: seed, Nodes: 3, Callers: 8, FaultDuration: 5 * time.Second, Log: t.Logf})
 		require.NoError(t, err)
-		t.Logf("seed %d: %d whole, %d refused, %d broken; %v", seed, result.Completed, result.Refused, result.Failed, result.Faults)
+		t.Logf("seed %d: %d completed, %d refused, %d failed; %v", seed, result.Completed, result.Refused, result.Failed, result.Faults)
 		require.Empty(t, result.Findings, "seed %d", seed)
 	}
 }
 
-// Backend servers misbehave meanwhile: they fail by themselves, break answers off and
-// answer for another call. Callers must see none of it in an answer that looks whole.
-func TestShortSoakBeforeAilingServers(t *testing.T) {
-	path := binary(t)
+// Backend servers fail on their own in addition: they return errors, truncate responses,
+// omit events and send the response to another call. No caller may receive such a response with
+// status 200 as a complete one.
+func TestShortSoakWithServerFaults(t *testing.T) {
+	path := buildDaemon(t)
 	result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: 3, Nodes: 3, Callers: 8, FaultDuration: 5 * time.Second, ServerFaults: true, Log: t.Logf})
 	require.NoError(t, err)
 	require.Empty(t, result.Findings)
--- a/internal/soak/wire.go
+++ b/internal/soak/wire.go
@@ -8,21 +8,22 @@
 	"github.com/fennelcourse/fennelcourse/platform/standin"
 )
 
-const configuration = standin.SmallConfig
+const configTemplate = standin.SmallConfig
 
-func stampRequest(h http.Header, id, model string) { standin.SetRequestHeaders(h, id, model) }
+func setRequestHeaders(h http.Header, id, model string) { standin.SetRequestHeaders(h, id, model) }
 
-// wholeAnswer is what a call's answer must be.
-func wholeAnswer(c Call) string {
+// expectedAnswer returns the body of the correct response to a call.
+func expectedAnswer(c Call) string {
 	if c.Unsafe {
 		return "answer to " + c.ID
 	}
 	var b strings.Builder
-	for i := 1; i <= soakPieces; i++ {
+	for i := 1; i <= streamEvents; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d of %s\n\n", i, i, c.ID)
 	}
 	return b.String()
 }
 
-// soakPieces is the length of a stream: some hundred ms, so that faults meet it.
-const soakPieces = 30
+// streamEvents is the number of events in a stream. A stream then takes some hundred
+// milliseconds, long enough for faults to occur during it.
+const streamEvents = 30
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -1,6 +1,6 @@
-// Package soak runs real daemons as separate processes before a stand-in platform,
-// breaks things from outside in series that overlap, and checks what callers and
-// backend servers see.
+// Package soak runs real daemons as separate processes with a stand-in platform, injects
+// random overlapping faults from outside, and checks the responses that callers receive
+// against the calls that backend servers execute.
 package soak
 
 import (
@@ -18,21 +18,21 @@
 	"github.com/fennelcourse/fennelcourse/platform/standin"
 )
 
-// Options of one run.
+// Options configures one run.
 type Options struct {
-	// Binary is the daemon's path; Dir takes settings and logs.
+	// Binary is the daemon's path. Dir is the directory for settings and logs.
 	Binary, Dir string
 	Seed        uint64
 	Nodes       int
 	Callers     int
-	// FaultDuration is how long things are broken.
+	// FaultDuration is the length of the phase in which faults are injected.
 	FaultDuration time.Duration
-	// ServerFaults lets backend servers misbehave, too.
+	// ServerFaults makes backend servers fail on their own in addition.
 	ServerFaults bool
-	Log    func(format string, args ...any)
+	Log          func(format string, args ...any)
 }
 
-// Environment is a platform with nodes.
+// Environment is the system under test: a stand-in platform and its nodes.
 type Environment struct {
 	opts  Options
 	mem   *memstore.Store
@@ -41,42 +41,43 @@
 	nodes []*node
 
 	mu      sync.Mutex
-	proxies []*Proxy // before the backend servers
+	proxies []*Proxy // in front of the backend servers
 	servers int
 	version int
 }
 
-// The layout: domains of so many VMs, one a zone, and servers of the plain service.
+// Layout of the system: the number of failure domains (one per zone), of VMs in each and
+// of servers of the plain service; and the limit for all nodes to serve.
 const (
-	domains       = 2
-	vmsPerDomain  = 8
-	plainServers  = 2
-	daemonTimeout = 20 * time.Second
+	domains      = 2
+	vmsPerDomain = 8
+	plainServers = 2
+	serveTimeout = 20 * time.Second
 )
 
-func newWorld(opts Options) (*Environment, error) {
-	w := &Environment{opts: opts, mem: memstore.New(memstore.Options{})}
+func newEnvironment(opts Options) (*Environment, error) {
+	env := &Environment{opts: opts, mem: memstore.New(memstore.Options{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w.http = &http.Server{Handler: &standin.StoreHandler{Store: w.mem}}
-	go func() { _ = w.http.Serve(listener) }() // ends with close
+	env.http = &http.Server{Handler: &standin.StoreHandler{Store: env.mem}}
+	go func() { _ = env.http.Serve(listener) }() // returns when close closes the server
 	shape := standin.DefaultOptions()
-	shape.Events, shape.LeaseTTL, shape.Advertise = soakPieces, 900*time.Millisecond, w.proxied
-	w.fleet = standin.NewFleet(w.mem, shape)
-	if err := w.configure(""); err != nil {
+	shape.Events, shape.LeaseTTL, shape.Advertise = streamEvents, 900*time.Millisecond, env.addProxy
+	env.fleet = standin.NewFleet(env.mem, shape)
+	if err := env.writeConfig(""); err != nil {
 		return nil, err
 	}
 	for d := range domains {
 		for range vmsPerDomain {
-			if err := w.addVM(d); err != nil {
+			if err := env.addVM(d); err != nil {
 				return nil, err
 			}
 		}
 	}
 	for i := range plainServers {
-		if _, err := w.fleet.Add(fmt.Sprintf("desk-%d", i), "desk", zoneName(i), ""); err != nil {
+		if _, err := env.fleet.Add(fmt.Sprintf("desk-%d", i), "desk", zoneName(i), ""); err != nil {
 			return nil, err
 		}
 	}
@@ -85,65 +86,67 @@
 		if err != nil {
 			return nil, err
 		}
-		w.nodes = append(w.nodes, n)
+		env.nodes = append(env.nodes, n)
 		if err := n.start(); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return env, nil
 }
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i%domains) }
 
-// proxied puts a proxy before a backend server.
-func (w *Environment) proxied(addr string) string {
+// addProxy starts a proxy in front of a backend server and returns the proxy's address.
+func (env *Environment) addProxy(addr string) string {
 	p, err := NewProxy(addr)
 	if err != nil {
-		return addr // without a proxy: it can't be cut off, and serves
+		return addr // serves without a proxy, and can't be disconnected
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.proxies = append(w.proxies, p)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.proxies = append(env.proxies, p)
 	return p.Addr()
 }
 
-func (w *Environment) addVM(domain int) error {
-	w.mu.Lock()
-	w.servers++
-	id := fmt.Sprintf("vm-%d", w.servers)
-	w.mu.Unlock()
-	_, err := w.fleet.Add(id, "models", zoneName(domain), fmt.Sprintf("rack-%d", domain%domains))
+func (env *Environment) addVM(domain int) error {
+	env.mu.Lock()
+	env.servers++
+	id := fmt.Sprintf("vm-%d", env.servers)
+	env.mu.Unlock()
+	_, err := env.fleet.Add(id, "models", zoneName(domain), fmt.Sprintf("rack-%d", domain%domains))
 	return err
 }
 
-// configure writes the next version of the configuration with more routes, as JSON.
-func (w *Environment) configure(routes string) error {
-	w.mu.Lock()
-	w.version += 3
-	text := fmt.Sprintf(configuration, w.version, routes)
-	w.mu.Unlock()
-	_, err := w.mem.Txn(context.Background(), store.Txn{Then: []store.Op{store.Put(platform.ConfigKey, []byte(text), 0)}})
+// writeConfig writes the next version of the configuration with additional routes, given
+// as JSON.
+func (env *Environment) writeConfig(routes string) error {
+	env.mu.Lock()
+	env.version += 3
+	text := fmt.Sprintf(configTemplate, env.version, routes)
+	env.mu.Unlock()
+	_, err := env.mem.Txn(context.Background(), store.Txn{Then: []store.Op{store.Put(platform.ConfigKey, []byte(text), 0)}})
 	return err
 }
 
-func (w *Environment) close() {
-	for _, n := range w.nodes {
+func (env *Environment) close() {
+	for _, n := range env.nodes {
 		n.kill()
 		n.store.Close()
 	}
-	w.fleet.Close()
-	w.mu.Lock()
-	proxies := w.proxies
-	w.mu.Unlock()
+	env.fleet.Close()
+	env.mu.Lock()
+	proxies := env.proxies
+	env.mu.Unlock()
 	for _, p := range proxies {
 		p.Close()
 	}
-	_ = w.http.Close() // the run is over
-	w.mem.Close()
+	_ = env.http.Close() // the error is irrelevant after the run
+	env.mem.Close()
 }
 
-// served reports whether the node answers both models and the plain service.
-func (w *Environment) served(n *node, id string) error {
+// checkServes returns an error unless the node answers a call to both models and to the
+// plain service.
+func (env *Environment) checkServes(n *node, id string) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
 	for _, model := range []string{"m3", "m2", ""} {
 		call := Call{ID: id + "-" + model, Unsafe: model == ""}
@@ -158,17 +161,17 @@
 	return nil
 }
 
-// allServed waits until every node serves everything.
-func (w *Environment) allServed(what string) error {
-	deadline := time.Now().Add(daemonTimeout)
-	for i, n := range w.nodes {
+// awaitServing waits until every node serves both models and the plain service.
+func (env *Environment) awaitServing(what string) error {
+	deadline := time.Now().Add(serveTimeout)
+	for i, n := range env.nodes {
 		for try := 0; ; try++ {
-			err := w.served(n, fmt.Sprintf("%s-%d-%d", what, i, try))
+			err := env.checkServes(n, fmt.Sprintf("%s-%d-%d", what, i, try))
 			if err == nil {
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s: %s does not serve after %s: %w", what, n.name, daemonTimeout, err)
+				return fmt.Errorf("%s: %s does not serve after %s: %w", what, n.name, serveTimeout, err)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -176,7 +179,7 @@
 	return nil
 }
 
-// MakeDir returns a new directory for a run's settings and logs.
+// MakeDir creates a temporary directory for the settings and logs of a run.
 func MakeDir(seed uint64) (string, error) {
 	return os.MkdirTemp("", fmt.Sprintf("fennel-soak-%d-", seed))
 }
