--- a/internal/capacity/role.go
+++ b/internal/capacity/role.go
@@ -16,8 +16,8 @@
 // Role is one of the system's jobs.
 type Role struct {
 	Name string
-	// On says which nodes have it.
-	On string
+	// RunsOn says which nodes have it.
+	RunsOn string
 	// State and Messages say what it keeps and sends.
 	State, Messages string
 	// Mechanism carries it today; Next is the mechanism to come at the plan's
@@ -57,7 +57,7 @@
 }
 
 var gatewayRole = Role{
-	Name: "callers' gateway", On: "each node", Serving: true,
+	Name: "callers' gateway", RunsOn: "each node", Serving: true,
 	State:     "open streams, each with its connections and buffers",
 	Messages:  "requests and answers of callers and engines; no control traffic",
 	Mechanism: "HTTP by net/http on both sides, one pool of connections a VM",
@@ -71,7 +71,7 @@
 }
 
 var rulesRole = Role{
-	Name: "rules holder", On: "each node", Control: true,
+	Name: "rules holder", RunsOn: "each node", Control: true,
 	State:     "the rules in force, 10,000 lines assumed",
 	Messages:  "a change's record to two watching nodes a zone, its edits from peer to peer",
 	Mechanism: "revision on heartbeats, edits by connect-go, one watch on two nodes a zone",
@@ -86,7 +86,7 @@
 }
 
 var membershipRole = Role{
-	Name: "membership", On: "each node", Control: true,
+	Name: "membership", RunsOn: "each node", Control: true,
 	State:     "all nodes: address, incarnation, newest heartbeat, revision",
 	Messages:  "a heartbeat a second to three nodes of the zone; two nodes a zone hold each link to another zone; loads, marks and demands ride along",
 	Mechanism: "authenticated datagrams on gnet within a fixed budget of bytes; news beyond it waits for later heartbeats",
@@ -100,7 +100,7 @@
 }
 
 var healthRole = Role{
-	Name: "health check and polls", On: "each node", Control: true,
+	Name: "health check and polls", RunsOn: "each node", Control: true,
 	State:     "the zone's committed replicas, their newest confirmations and loads",
 	Messages:  "a brief poll of each replica's serving VM every 3 s by one node of its zone, and by each other node that no peer has told for 5.3 s: beyond 8 nodes a zone that is nearly all",
 	Mechanism: "HTTP polls answered by a digest of all members; confirmations on ordinary answers and on heartbeats",
@@ -123,7 +123,7 @@
 }
 
 var watcherRole = Role{
-	Name: "grouping table and its watchers", On: "each node; two nodes a zone watch the store", Control: true,
+	Name: "grouping table and its watchers", RunsOn: "each node; two nodes a zone watch the store", Control: true,
 	State:     "the zone's committed replicas",
 	Messages:  "a node that does not watch asks one peer each second, is asked as often, and gets the whole table after a change",
 	Mechanism: "two watches of the store a zone; connect-go for the others, by revision",
@@ -145,7 +145,7 @@
 }
 
 var placementRole = Role{
-	Name: "placement lease holder", On: "one node a zone", Control: true,
+	Name: "placement lease holder", RunsOn: "one node a zone", Control: true,
 	State:     "the zone's VMs and engines as last seen, the committed table",
 	Messages:  "lease kept alive; for each regrouping one transaction and an order to each VM",
 	Mechanism: "the store's lease, its key's create revision as fencing number; orders by HTTP",
@@ -163,7 +163,7 @@
 const listNext = "each node reads a page of its zone's part of the list and passes changes to peers; needs a list that can be asked by zone and page, or by changes"
 
 var listRole = Role{
-	Name: "VM list, a reader", On: "two nodes a zone", Control: true,
+	Name: "VM list, a reader", RunsOn: "two nodes a zone", Control: true,
 	State:     "all VMs of all zones",
 	Messages:  "the whole list from the platform every 5 s",
 	Mechanism: "HTTP read of the whole list",
@@ -179,7 +179,7 @@
 
 // listOthersRole is not added to the sum: a node is a reader or not.
 var listOthersRole = Role{
-	Name: "VM list, another node", On: "the others",
+	Name: "VM list, another node", RunsOn: "the others",
 	State:     "the same",
 	Messages:  "a question to a peer every 5 s, by the sum of the VMs; the whole list after each change of any VM, as long as it fits a message of 2 MiB, else from the platform every 30 s",
 	Mechanism: "connect-go",
@@ -204,7 +204,7 @@
 }
 
 var routingRole = Role{
-	Name: "routing table", On: "each node", Control: true,
+	Name: "routing table", RunsOn: "each node", Control: true,
 	State:     "the zone's replicas with loads and speeds; 65,536 prefixes",
 	Messages:  "cache events of the zone's replicas, read in turn",
 	Mechanism: "HTTP polls within a fixed budget of bytes; loads on polls and heartbeats",
@@ -219,7 +219,7 @@
 }
 
 var admissionRole = Role{
-	Name: "admission", On: "each node", Control: true,
+	Name: "admission", RunsOn: "each node", Control: true,
 	State:     "queues and demand by team; other nodes' demand",
 	Messages:  "demand by team on heartbeats, within membership's bytes",
 	Mechanism: "datagrams; shares computed by each node alone",
@@ -232,7 +232,7 @@
 }
 
 var claimsRole = Role{
-	Name: "claims", On: "the node that dispatches the call", Serving: true,
+	Name: "claims", RunsOn: "the node that dispatches the call", Serving: true,
 	State:     "claims in progress; in the store about 456 B a claim for its retention",
 	Messages:  "at most two store calls a booking",
 	Mechanism: "create-if-absent in batched transactions, one lease a time bucket",
@@ -241,7 +241,7 @@
 }
 
 var suspectsRole = Role{
-	Name: "suspects", On: "each node", Control: true,
+	Name: "suspects", RunsOn: "each node", Control: true,
 	State:     "fingerprints of requests in flight when a replica crashed; quarantines",
 	Messages:  "marks on heartbeats, within membership's bytes; nudges from a fifth of its budget",
 	Mechanism: "datagrams",
@@ -251,7 +251,7 @@
 }
 
 var ledgerRole = Role{
-	Name: "ledger", On: "two nodes a zone", Control: true,
+	Name: "ledger", RunsOn: "two nodes a zone", Control: true,
 	State:     "open intervals, windows not written yet",
 	Messages:  "a window every minute while anything is down",
 	Mechanism: "windows appended to the store under their own keys",
