--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -20,11 +20,11 @@
 		{"VM list: a list from a peer, bytes as in a read", maxPeerMessage / listMessage.Value, "VMs in all zones", "2 MiB a message", listNext},
 		{"VM list: processor", budget.CoreShare * listEvery / ((listCPU.Value + listSumCPU.Value) * micro), "VMs in all zones", "1.7% of a core", listNext},
 		{"VM list: memory while one list replaces another", budget.MemoryBytes / (2 * listMemory.Value), "VMs in all zones", "256 MB", listNext},
-		{"health check: a peer's turn comes too late for polls to be split", splitUpTo(), "nodes a zone", "5.3 s", healthRole.Next},
-		{"health check: three states in a heartbeat, told to 24 peers in time", Plan().tellable(), "replicas a node", "membership's 2,800 B/s", healthRole.Next},
-		{"health check: each node polls for itself", bytes / (pollsNode.Value * pollBrief.Value), "replicas a zone", "6 KB/s", healthRole.Next},
-		{"health check: processor, asking for each duty four times a second", budget.CoreShare / (healthRounds * dutyTime.Value * micro), "replicas a zone", "1.7% of a core", healthRole.Next},
-		{"claims: 24 h in 1 GB of the store", 1e9 / claimBytes.Value / secondsPerDay, "bookings/s", "1 GB", claimsRole.Next},
+		{"health check: a peer's turn comes too late for polls to be split", splitUpTo(), "nodes a zone", "5.3 s", healthRole.PlannedMechanism},
+		{"health check: three states in a heartbeat, told to 24 peers in time", Plan().tellable(), "replicas a node", "membership's 2,800 B/s", healthRole.PlannedMechanism},
+		{"health check: each node polls for itself", bytes / (pollsNode.Value * pollBrief.Value), "replicas a zone", "6 KB/s", healthRole.PlannedMechanism},
+		{"health check: processor, asking for each duty four times a second", budget.CoreShare / (healthRounds * dutyTime.Value * micro), "replicas a zone", "1.7% of a core", healthRole.PlannedMechanism},
+		{"claims: 24 h in 1 GB of the store", 1e9 / claimBytes.Value / secondsPerDay, "bookings/s", "1 GB", claimsRole.PlannedMechanism},
 	}
 }
 
--- a/internal/capacity/print.go
+++ b/internal/capacity/print.go
@@ -139,7 +139,7 @@
 func mechanismTable() table {
 	t := table{head: []string{"role", "on", "state", "messages", "carried by", "to come"}}
 	for _, r := range Roles() {
-		t.add(r.Name, r.RunsOn, r.State, r.Messages, r.Mechanism, orDash(r.Next))
+		t.add(r.Name, r.RunsOn, r.State, r.Messages, r.Mechanism, orDash(r.PlannedMechanism))
 	}
 	return t
 }
--- a/internal/capacity/role.go
+++ b/internal/capacity/role.go
@@ -20,9 +20,9 @@
 	RunsOn string
 	// State and Messages say what it keeps and sends.
 	State, Messages string
-	// Mechanism carries it today; Next is the mechanism to come at the plan's
+	// Mechanism carries it today; PlannedMechanism is the mechanism to come at the plan's
 	// size, empty where today's does.
-	Mechanism, Next string
+	Mechanism, PlannedMechanism string
 	// Serving roles are not bound by the control budget; Control roles are summed.
 	Serving, Control bool
 	Cost             func(Size) Cost
@@ -104,7 +104,7 @@
 	State:     "the zone's committed replicas, their newest confirmations and loads",
 	Messages:  "a brief poll of each replica's serving VM every 3 s by one node of its zone, and by each other node that no peer has told for 5.3 s: beyond 8 nodes a zone that is nearly all",
 	Mechanism: "HTTP polls answered by a digest of all members; confirmations on ordinary answers and on heartbeats",
-	Next:      "heartbeats pass confirmations on, as they do heartbeats, and code them as lists of numbers; a duty looked up once a change of members",
+	PlannedMechanism:      "heartbeats pass confirmations on, as they do heartbeats, and code them as lists of numbers; a duty looked up once a change of members",
 	Cost: func(s Size) Cost {
 		polls := s.ReplicasPerZone() * pollsNode.Value
 		return Cost{
@@ -127,7 +127,7 @@
 	State:     "the zone's committed replicas",
 	Messages:  "a node that does not watch asks one peer each second, is asked as often, and gets the whole table after a change",
 	Mechanism: "two watches of the store a zone; connect-go for the others, by revision",
-	Next:      "the table's revision on heartbeats; a question only when it rises, answered by the replicas changed since",
+	PlannedMechanism:      "the table's revision on heartbeats; a question only when it rises, answered by the replicas changed since",
 	Cost: func(s Size) Cost {
 		asks := 1 / tableAskEvery
 		return Cost{
@@ -149,7 +149,7 @@
 	State:     "the zone's VMs and engines as last seen, the committed table",
 	Messages:  "lease kept alive; for each regrouping one transaction and an order to each VM",
 	Mechanism: "the store's lease, its key's create revision as fencing number; orders by HTTP",
-	Next:      "after a takeover the holder reads the engines' states at the budget's rate",
+	PlannedMechanism:      "after a takeover the holder reads the engines' states at the budget's rate",
 	Cost: func(s Size) Cost {
 		vms := float64(s.VMsPerReplica)
 		return Cost{
@@ -167,7 +167,7 @@
 	State:     "all VMs of all zones",
 	Messages:  "the whole list from the platform every 5 s",
 	Mechanism: "HTTP read of the whole list",
-	Next:      listNext,
+	PlannedMechanism:      listNext,
 	Cost: func(s Size) Cost {
 		return Cost{
 			BytesPerSec: s.VMs() * listBytes.Value / listEvery,
@@ -183,7 +183,7 @@
 	State:     "the same",
 	Messages:  "a question to a peer every 5 s, by the sum of the VMs; the whole list after each change of any VM, as long as it fits a message of 2 MiB, else from the platform every 30 s",
 	Mechanism: "connect-go",
-	Next:      listNext,
+	PlannedMechanism:      listNext,
 	Cost: func(s Size) Cost {
 		perSecond := 2 * (listNoNews.Value/listEvery + s.listChanges()*s.VMs()*listPeer.Value)
 		if s.VMs()*listMessage.Value > maxPeerMessage {
@@ -208,7 +208,7 @@
 	State:     "the zone's replicas with loads and speeds; 65,536 prefixes",
 	Messages:  "cache events of the zone's replicas, read in turn",
 	Mechanism: "HTTP polls within a fixed budget of bytes; loads on polls and heartbeats",
-	Next:      "each node reads its share of the replicas and passes new prefixes on, within 500 B/s",
+	PlannedMechanism:      "each node reads its share of the replicas and passes new prefixes on, within 500 B/s",
 	Cost: func(s Size) Cost {
 		return Cost{
 			BytesPerSec: cachePollBudget,
@@ -236,7 +236,7 @@
 	State:     "claims in progress; in the store about 456 B a claim for its retention",
 	Messages:  "at most two store calls a booking",
 	Mechanism: "create-if-absent in batched transactions, one lease a time bucket",
-	Next:      "beyond 20 bookings a second for a day: fingerprints appended by a fenced owner (docs/claims.md)",
+	PlannedMechanism:      "beyond 20 bookings a second for a day: fingerprints appended by a fenced owner (docs/claims.md)",
 	Cost:      func(Size) Cost { return Cost{notMeasured, notMeasured, notMeasured} }, // the letter names no bookings
 }
 
