--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -3,7 +3,7 @@
 // Limit is the size at which one part breaks its bound, with everything else
 // left out.
 type Limit struct {
-	What string
+	Condition string
 	// Value is the size, in Unit.
 	Value float64
 	Unit  string
@@ -35,7 +35,7 @@
 func limitTable() table {
 	t := table{head: []string{"what breaks", "at", "bound", "today", "B", "A", "mechanism to come"}}
 	for _, l := range Limits() {
-		t.add(l.What, number(l.Value)+" "+l.Unit, l.Bound, sizeFor(l.Unit, Today()), sizeFor(l.Unit, ReadingB()), sizeFor(l.Unit, Plan()), l.Next)
+		t.add(l.Condition, number(l.Value)+" "+l.Unit, l.Bound, sizeFor(l.Unit, Today()), sizeFor(l.Unit, ReadingB()), sizeFor(l.Unit, Plan()), l.Next)
 	}
 	return t
 }
