--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -8,7 +8,7 @@
 	Value float64
 	Unit  string
 	Bound string
-	Next  string
+	PlannedMechanism  string
 }
 
 // Limits lists what breaks, the smallest sizes first where they compare.
@@ -35,7 +35,7 @@
 func limitTable() table {
 	t := table{head: []string{"what breaks", "at", "bound", "today", "B", "A", "mechanism to come"}}
 	for _, l := range Limits() {
-		t.add(l.Condition, number(l.Value)+" "+l.Unit, l.Bound, sizeFor(l.Unit, Today()), sizeFor(l.Unit, ReadingB()), sizeFor(l.Unit, Plan()), l.Next)
+		t.add(l.Condition, number(l.Value)+" "+l.Unit, l.Bound, sizeFor(l.Unit, Today()), sizeFor(l.Unit, ReadingB()), sizeFor(l.Unit, Plan()), l.PlannedMechanism)
 	}
 	return t
 }
