--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -27,9 +27,9 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// countingListener counts the bytes that its connections carry, both ways,
-// without the headers of TCP and IP. Written bytes are counted before the peer
-// can have them, so that whoever holds a whole answer reads a complete count.
+// countingListener counts the bytes of its connections in both directions, without TCP
+// and IP headers. It counts written bytes before the peer can receive them, so that the
+// count is complete once the peer has received the whole response.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -58,7 +58,7 @@
 	return n, err
 }
 
-// serve runs the handler on a loopback address and counts its bytes.
+// serve runs the handler on a loopback address behind a countingListener.
 func serve(b *testing.B, h http.Handler) (addr string, l *countingListener) {
 	b.Helper()
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,7 +74,7 @@
 	return cluster.VMID(fmt.Sprintf("praha-a-vm-%04d-%02d", replica, rank))
 }
 
-// replicas returns the committed replicas of one zone.
+// replicas returns a zone's committed replicas: count replicas of the given number of VMs.
 func replicas(count, vms int) []cluster.Replica {
 	out := make([]cluster.Replica, count)
 	for i := range out {
@@ -87,8 +87,8 @@
 	return out
 }
 
-// state is what the serving VM of a whole replica answers.
-func state(r cluster.Replica) engine.State {
+// healthyState returns the state that the serving VM of a healthy replica reports.
+func healthyState(r cluster.Replica) engine.State {
 	s := engine.State{VM: r.Serving, Boot: "0123456789abcdef", Loaded: true, Fence: r.Fence, ChecksFence: true, MaxGapMs: 1000,
 		Load: engine.Load{AsOf: time.Now(), Running: 7, KVUsed: 0.41, TokensPerSecond: 164.4, MaxRunning: 8},
 		Assignment: engine.Assignment{Replica: r.ID, Generation: r.Generation, Members: r.Members, Serving: r.Serving,
@@ -100,13 +100,13 @@
 	return s
 }
 
-// BenchmarkHealthPoll is one poll of a replica's serving VM over a kept
-// connection, whole or in brief: bytes both ways without TCP/IP headers, and both
-// ends' time.
+// BenchmarkHealthPoll measures one poll of a replica's serving VM over an open connection,
+// with the full or the brief state: the bytes in both directions without TCP/IP headers,
+// and the processor time of both ends.
 func BenchmarkHealthPoll(b *testing.B) {
 	for _, vms := range []int{4, 32} {
 		for _, brief := range []bool{false, true} {
-			b.Run(fmt.Sprintf("vms=%d/brief=%t", vms, brief), func(b *testing.B) { healthPoll(b, state(replicas(1, vms)[0]), brief) })
+			b.Run(fmt.Sprintf("vms=%d/brief=%t", vms, brief), func(b *testing.B) { healthPoll(b, healthyState(replicas(1, vms)[0]), brief) })
 		}
 	}
 }
@@ -122,22 +122,22 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(answer)
 	}))
-	before := processorTime(b)
+	before := cpuTime(b)
 	for b.Loop() {
 		_, err := ask(context.Background(), addr)
 		require.NoError(b, err)
 	}
-	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N)/1e3, "cpu-µs/poll")
+	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N)/1e3, "cpu-µs/poll")
 	b.ReportMetric(float64(l.bytes.Load())/float64(b.N), "wire-bytes/poll")
 }
 
-// BenchmarkHealthMemory is the heap of the health check for one zone's replicas.
+// BenchmarkHealthMemory measures the heap that the health check uses for one zone's replicas.
 func BenchmarkHealthMemory(b *testing.B) {
 	const count = 265
 	for _, vms := range []int{4, 32} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
 			for b.Loop() {
-				used := heapOf(func() any {
+				used := retainedHeap(func() any {
 					c := health.New(health.Options{Log: slog.New(slog.DiscardHandler)})
 					c.SetGrouping(cluster.Grouping{Zone: "praha-a", Revision: 1, Replicas: replicas(count, vms)})
 					return c
@@ -148,13 +148,13 @@
 	}
 }
 
-// BenchmarkGroupingMemory is the heap of a zone's committed table.
+// BenchmarkGroupingMemory measures the heap and the stored size of a zone's committed table.
 func BenchmarkGroupingMemory(b *testing.B) {
 	const count = 265
 	for _, vms := range []int{4, 32} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
 			for b.Loop() {
-				used := heapOf(func() any { return replicas(count, vms) })
+				used := retainedHeap(func() any { return replicas(count, vms) })
 				b.ReportMetric(used/count, "heap-bytes/replica")
 				value, err := json.Marshal(replicas(count, vms)[count-1])
 				require.NoError(b, err)
@@ -164,8 +164,8 @@
 	}
 }
 
-// heapOf is the heap that the result of build keeps, in bytes.
-func heapOf(build func() any) float64 {
+// retainedHeap returns the number of heap bytes that the result of build retains.
+func retainedHeap(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -178,7 +178,7 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// peerSource answers with one table and one VM list, to those who have none.
+// peerSource serves one grouping table and one VM list to peers that do not have them yet.
 type peerSource struct{ grouping, vms []byte }
 
 const revision, sum = 5, 7
@@ -202,8 +202,8 @@
 	return resp, nil
 }
 
-// peerFetch is one call of fetch over a kept connection: bytes both ways without
-// TLS, TCP and IP, and both ends' processor time.
+// peerFetch measures one call of fetch over an open connection: the bytes in both
+// directions without TLS, TCP and IP, and the processor time of both ends.
 func peerFetch(b *testing.B, source peerSource, fetch func(*peer.Client, string) error) {
 	mux := http.NewServeMux()
 	mux.Handle(peer.NewHandler(source, source, source))
@@ -211,15 +211,15 @@
 	client, err := peer.NewClient(peer.ClientOptions{Plaintext: true, Timeout: time.Minute})
 	require.NoError(b, err)
 	defer client.Close()
-	before := processorTime(b)
+	before := cpuTime(b)
 	for b.Loop() {
 		require.NoError(b, fetch(client, addr))
 	}
-	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N)/1e3, "cpu-µs/fetch")
+	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N)/1e3, "cpu-µs/fetch")
 	b.ReportMetric(float64(l.bytes.Load())/float64(b.N), "wire-bytes/fetch")
 }
 
-// BenchmarkGroupingFetch is one question to a peer for a zone's table.
+// BenchmarkGroupingFetch measures one request to a peer for a zone's table.
 func BenchmarkGroupingFetch(b *testing.B) {
 	for _, c := range []struct {
 		replicas, vms int
@@ -236,8 +236,8 @@
 	}
 }
 
-// BenchmarkVMListFetch is one question to a peer for the VM list. 19,000 VMs are
-// about the most that one answer between nodes may hold.
+// BenchmarkVMListFetch measures one request to a peer for the VM list. A response between
+// nodes holds at most about 19,000 VMs.
 func BenchmarkVMListFetch(b *testing.B) {
 	for _, c := range []struct {
 		vms  int
@@ -254,7 +254,7 @@
 	}
 }
 
-// vmList is a list of so many VMs.
+// vmList returns a list of count VMs.
 func vmList(count int) []cluster.VM {
 	vms := make([]cluster.VM, count)
 	for i := range vms {
@@ -264,8 +264,8 @@
 	return vms
 }
 
-// BenchmarkVMList is one read of the platform's VM list and its comparison with
-// the list before, as a node does it every 5 s.
+// BenchmarkVMList measures one read of the platform's VM list and its comparison with the
+// previous list, as a node performs it every 5 s.
 func BenchmarkVMList(b *testing.B) {
 	for _, count := range []int{212, 4500, 144000} {
 		b.Run(fmt.Sprintf("vms=%d", count), func(b *testing.B) {
@@ -282,15 +282,15 @@
 			require.NoError(b, err)
 			w.Update(first)
 			l.bytes.Store(0)
-			before := processorTime(b)
+			before := cpuTime(b)
 			for b.Loop() {
 				list, err := client.Fetch(context.Background())
 				require.NoError(b, err)
 				require.True(b, w.Update(list))
 			}
-			b.ReportMetric(float64(processorTime(b)-before)/float64(b.N)/1e6, "cpu-ms/read")
+			b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N)/1e6, "cpu-ms/read")
 			b.ReportMetric(float64(l.bytes.Load())/float64(b.N*count), "wire-bytes/vm")
-			used := heapOf(func() any {
+			used := retainedHeap(func() any {
 				list, err := client.Fetch(context.Background())
 				require.NoError(b, err)
 				return list
@@ -300,14 +300,14 @@
 	}
 }
 
-// BenchmarkOrder is one order of a whole assignment to an engine: bytes both ways
-// without TCP/IP headers.
+// BenchmarkOrder measures one order with a complete assignment to an engine: the bytes in
+// both directions without TCP/IP headers.
 func BenchmarkOrder(b *testing.B) {
 	for _, vms := range []int{4, 32} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
-			answer := engine.OrderResult{Accepted: true, State: state(replicas(1, vms)[0])}
+			answer := engine.OrderResult{Accepted: true, State: healthyState(replicas(1, vms)[0])}
 			order := engine.Order{ID: "praha-a-99000-order-17", Kind: engine.OrderAssign, VM: answer.State.VM, Fence: 99000, Assignment: answer.State.Assignment}
-			answer.State.Members = nil // a worker's answer
+			answer.State.Members = nil
 			addr, l := serve(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				w.Header().Set("Content-Type", "application/json")
@@ -324,7 +324,7 @@
 	}
 }
 
-// BenchmarkReplicaStatus is the size of what a heartbeat says of one replica.
+// BenchmarkReplicaStatus measures the size of one replica's status in a heartbeat.
 func BenchmarkReplicaStatus(b *testing.B) {
 	s := &wirepb.ReplicaStatus{Replica: "poradce-praha-a-0104", Generation: 100104, ConfirmedAgoMs: 1250, Running: 7, KvUsed: 0.41,
 		Outstanding: 3, LoadAgoMs: 1350, MaxRunning: 8}
@@ -335,28 +335,29 @@
 	b.ReportMetric(float64(membership.SectionSize(section)), "bytes/status")
 }
 
-// BenchmarkVMListSum is the sum that asker and asked work out for each question.
+// BenchmarkVMListSum measures the checksum of the VM list, which both peers compute for
+// each fetch.
 func BenchmarkVMListSum(b *testing.B) {
 	vms := vmList(144000)
-	before := processorTime(b)
+	before := cpuTime(b)
 	for b.Loop() {
 		_, _, err := vmlist.Checksum(vms)
 		require.NoError(b, err)
 	}
-	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N)/1e6, "cpu-ms/sum")
+	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N)/1e6, "cpu-ms/sum")
 }
 
-// BenchmarkHeartbeat reports the targets of a heartbeat and the room that
-// membership's own news leave in it for what other packages have to tell, in a
-// system whose nodes are all heard.
+// BenchmarkHeartbeat reports the number of targets of a heartbeat and the bytes that
+// membership's own data leave free in it for other packages, in a system whose nodes all
+// receive each other's heartbeats.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, zones := range []int{1, 17} {
 		b.Run(fmt.Sprintf("zones=%d/nodes=%d", zones, zones*25), func(b *testing.B) {
-			const settled = 60 // heartbeats, so that the start's bursts are over
+			const settled = 60
 			now := time.Unix(1_800_000_000, 0)
 			s := membership.NewState(membership.Self{Node: "praha-00-00", Zone: "praha-00", Incarnation: 1, DatagramAddr: "10.0.0.0:7000"},
 				nil, membership.Timing{}, 0, rand.New(rand.NewPCG(1, 1)), now)
-			var room, targets, counted float64
+			var freeBytes, targets, counted float64
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time.Second)
 				for z := range zones {
@@ -368,12 +369,12 @@
 				}
 				send := s.Tick(now, 1)
 				if i >= settled {
-					room += float64(send.Limit - proto.Size(send.Datagram))
+					freeBytes += float64(send.Limit - proto.Size(send.Datagram))
 					targets += float64(len(send.Addrs))
 					counted++
 				}
 			}
-			b.ReportMetric(room/counted, "room-bytes")
+			b.ReportMetric(freeBytes/counted, "room-bytes")
 			b.ReportMetric(targets/counted, "targets")
 		})
 	}
--- a/internal/capacity/cputime_test.go
+++ b/internal/capacity/cputime_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// processorTime is what this process has used so far, in all its threads.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the user and system time that this process has used so far.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
--- a/internal/capacity/nodes_test.go
+++ b/internal/capacity/nodes_test.go
@@ -24,31 +24,31 @@
 )
 
 const (
-	// observeFor is how long an idle system is watched.
-	observeFor  = 30 * time.Second
-	waitTimeout = time.Minute
+	// observeFor is the duration of the measurement of an idle system.
+	observationTime = 30 * time.Second
+	waitTimeout     = time.Minute
 )
 
-// shape is the size of a small real system.
+// shape is the size of a small system of real nodes.
 type shape struct {
-	zones, nodes  int // nodes of each zone
-	replicas, vms int // replicas of each zone, VMs of each replica
-	// tokens is the time between two tokens of one stream.
-	tokens time.Duration
+	zones, nodes  int
+	replicas, vms int
+
+	tokenInterval time.Duration
 }
 
-// String names a shape as a sub-benchmark.
+// String returns the shape as the name of a sub-benchmark.
 func (s shape) String() string {
 	return fmt.Sprintf("zones=%d/nodes=%d/replicas=%d/vms=%d", s.zones, s.nodes, s.replicas, s.vms)
 }
 
-// BenchmarkNodes watches idle systems of real nodes with default intervals and
-// reports, a second: the store calls a zone, and for each node its datagram
-// bytes sent, the bytes between it and the platform and all that it read and wrote
-// other than datagrams (each without TCP/IP headers), its health polls, processor
-// time in milliseconds, and its memory in MB.
+// BenchmarkNodes measures idle systems of real nodes with default intervals. It reports,
+// per second, the store calls of a zone and for each node the datagram bytes sent, the bytes
+// exchanged with the platform, all bytes read and written other than datagrams (each
+// without TCP/IP headers), the health polls and the processor time in milliseconds; and
+// the memory of a node in MB.
 func BenchmarkNodes(b *testing.B) {
-	bins := build(b)
+	binDir := build(b)
 	for _, s := range []shape{
 		{zones: 1, nodes: 2, replicas: 2, vms: 2},
 		{zones: 1, nodes: 4, replicas: 2, vms: 2},
@@ -59,8 +59,8 @@
 	} {
 		b.Run(s.String(), func(b *testing.B) {
 			for b.Loop() {
-				f := newFleet(b, bins, s)
-				f.settle()
+				f := newFleet(b, binDir, s)
+				f.awaitHealthy()
 				f.observe()
 			}
 		})
@@ -75,29 +75,29 @@
 	return dir
 }
 
-// fleet is a platform with engines in this process, and nodes as processes.
+// fleet is a platform and engines in this process, with nodes as separate processes.
 type fleet struct {
-	b        *testing.B
-	bins     string
-	shape    shape
-	plat     *platform.Server
-	platAddr string
-	platIO   *countingListener
-	controls []string
-	callers  []string
+	b              *testing.B
+	binDir         string
+	shape          shape
+	platformServer *platform.Server
+	platformAddr   string
+	platformConns  *countingListener
+	controls       []string
+	callers        []string
 }
 
-func newFleet(b *testing.B, bins string, s shape) *fleet {
+func newFleet(b *testing.B, binDir string, s shape) *fleet {
 	b.Helper()
-	f := &fleet{b: b, bins: bins, shape: s, plat: platform.New(platform.Options{})}
-	f.platAddr, f.platIO = serve(b, f.plat.Handler())
+	f := &fleet{b: b, binDir: binDir, shape: s, platformServer: platform.New(platform.Options{})}
+	f.platformAddr, f.platformConns = serve(b, f.platformServer.Handler())
 	var vms []cluster.VM
 	for z := range s.zones {
 		for i := range s.replicas * s.vms {
 			vms = append(vms, f.engine(cluster.ZoneID(fmt.Sprintf("zone-%d", z)), i))
 		}
 	}
-	f.plat.SetVMs(vms)
+	f.platformServer.SetVMs(vms)
 	var seeds []string
 	for z := range s.zones {
 		for i := range s.nodes {
@@ -111,7 +111,7 @@
 func (f *fleet) engine(zone cluster.ZoneID, i int) cluster.VM {
 	f.b.Helper()
 	id := cluster.VMID(fmt.Sprintf("%s-vm-%d", zone, i))
-	e := standinengine.New(standinengine.Options{VM: id, ChecksFence: true, MaxRunning: 1024, TokenInterval: f.shape.tokens})
+	e := standinengine.New(standinengine.Options{VM: id, ChecksFence: true, MaxRunning: 1024, TokenInterval: f.shape.tokenInterval})
 	f.b.Cleanup(e.Close)
 	addr, _ := serve(f.b, e.Handler())
 	return cluster.VM{ID: id, Zone: zone, Domain: cluster.DomainID(fmt.Sprintf("%s-rack-%d", zone, i/f.shape.vms)), Addr: addr, State: cluster.VMLive}
@@ -126,14 +126,14 @@
 control: {loads_per_minute: 60000}
 `
 
-// node starts one fenneld and returns its address for datagrams.
+// node starts one fenneld and returns its datagram address.
 func (f *fleet) node(zone, i int, seeds []string) (datagrams string) {
 	f.b.Helper()
 	name := fmt.Sprintf("zone-%d-node-%d", zone, i)
 	path := filepath.Join(f.b.TempDir(), name+".yaml")
-	text := fmt.Sprintf(nodeSettings, name, zone, f.platAddr, strings.Join(seeds, ", "))
+	text := fmt.Sprintf(nodeSettings, name, zone, f.platformAddr, strings.Join(seeds, ", "))
 	require.NoError(f.b, os.WriteFile(path, []byte(text), 0o600))
-	cmd := exec.Command(filepath.Join(f.bins, "fenneld"), "--settings", path)
+	cmd := exec.Command(filepath.Join(f.binDir, "fenneld"), "--settings", path)
 	out, err := cmd.StderrPipe()
 	require.NoError(f.b, err)
 	cmd.Stdout = cmd.Stderr
@@ -154,7 +154,7 @@
 			return m[3]
 		}
 	}
-	require.FailNow(f.b, "node never served")
+	require.FailNow(f.b, "the node exited before it served")
 	return ""
 }
 
@@ -164,13 +164,14 @@
 route path=/v1/* model=assistente-fit to=assistente-fit # asked for by: Ana
 `
 
-// settle has rules accepted and waits until every node knows its zone's replicas as whole.
-func (f *fleet) settle() {
+// awaitHealthy applies the rules and waits until every node has seen all replicas of its
+// zone become healthy.
+func (f *fleet) awaitHealthy() {
 	f.b.Helper()
 	path := filepath.Join(f.b.TempDir(), "rules")
 	require.NoError(f.b, os.WriteFile(path, fmt.Appendf(nil, nodeRules, f.shape.vms), 0o600))
 	require.Eventually(f.b, func() bool {
-		cmd := exec.Command(filepath.Join(f.bins, "fennelctl"), "--server", "http://"+f.controls[0], "rules", "apply", "--author", "bench", "--wait", path)
+		cmd := exec.Command(filepath.Join(f.binDir, "fennelctl"), "--server", "http://"+f.controls[0], "rules", "apply", "--author", "bench", "--wait", path)
 		return cmd.Run() == nil
 	}, waitTimeout, time.Second)
 	for _, control := range f.controls {
@@ -198,14 +199,14 @@
 	return out
 }
 
-// sample is the sums over all nodes.
+// sample holds counters summed over all nodes.
 type sample struct {
 	calls                               map[string]int64
 	sent, platform, io, polls, cpu, mem float64
 }
 
 func (f *fleet) sample() sample {
-	s := sample{calls: f.plat.Calls(), platform: float64(f.platIO.bytes.Load())}
+	s := sample{calls: f.platformServer.Calls(), platform: float64(f.platformConns.bytes.Load())}
 	for _, control := range f.controls {
 		m := f.metrics(control)
 		s.sent += m["fennel_wire_sent_bytes_total"]
@@ -219,16 +220,16 @@
 
 func (f *fleet) observe() {
 	before := f.sample()
-	time.Sleep(observeFor)
+	time.Sleep(observationTime)
 	after := f.sample()
 	calls := 0.0
 	for kind, n := range after.calls {
 		if kind != platform.KindVMs {
 			calls += float64(n - before.calls[kind])
 		}
-		f.b.Logf("%s: %.2f a second", kind, float64(n-before.calls[kind])/observeFor.Seconds())
+		f.b.Logf("%s: %.2f a second", kind, float64(n-before.calls[kind])/observationTime.Seconds())
 	}
-	seconds, nodes := observeFor.Seconds(), float64(len(f.controls))
+	seconds, nodes := observationTime.Seconds(), float64(len(f.controls))
 	f.b.ReportMetric(calls/seconds/float64(f.shape.zones), "store-calls/zone/s")
 	f.b.ReportMetric(float64(after.calls[platform.KindVMs]-before.calls[platform.KindVMs])/seconds/nodes, "vm-list-reads/node/s")
 	f.b.ReportMetric((after.sent-before.sent)/seconds/nodes, "datagram-bytes/node/s")
--- a/internal/capacity/print.go
+++ b/internal/capacity/print.go
@@ -29,17 +29,16 @@
 	return nil
 }
 
-// Section is one generated part of the page.
+// Section is one generated section of docs/CAPACITY.md.
 type Section struct {
-	// Name is the part's name in the page's markers.
 	Name string
 	body body
 }
 
-// body is a table or a list of commands.
+// body is the content of a section: a table or the list of commands.
 type body interface{ write(w io.Writer) error }
 
-// Write prints the section as it stands in the page, with its markers.
+// Write writes the section with its markers, exactly as the page contains it.
 func (s Section) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "<!-- begin %s -->\n", s.Name); err != nil {
 		return err
@@ -51,7 +50,7 @@
 	return err
 }
 
-// Sections returns all generated parts of the page.
+// Sections returns all generated sections of the page.
 func Sections() []Section {
 	return []Section{
 		{"sizes", sizeTable()}, {"costs", costTable()}, {"limits", limitTable()}, {"planned", plannedTable()},
@@ -59,12 +58,13 @@
 	}
 }
 
-const unknown = "not measured yet"
+const unmeasuredText = "not measured yet"
 
-// number prints three significant digits, with commas.
-func number(v float64) string {
+// formatNumber formats v with three significant digits and commas between thousands. It formats
+// NaN as the text for a missing measurement.
+func formatNumber(v float64) string {
 	if math.IsNaN(v) {
-		return unknown
+		return unmeasuredText
 	}
 	if v == 0 {
 		return "0"
@@ -81,9 +81,9 @@
 	return whole + "." + fraction
 }
 
-// against prints v and marks it when it is over its bound.
-func against(v, bound float64, scale float64) string {
-	text := number(v / scale)
+// formatAgainst formats v in units of scale, and in bold if v exceeds the bound.
+func formatAgainst(v, bound float64, scale float64) string {
+	text := formatNumber(v / scale)
 	if v > bound {
 		return "**" + text + "**"
 	}
@@ -93,7 +93,7 @@
 func sizeTable() table {
 	t := table{head: []string{"", "reading A: 4,500 replicas of 32 VMs", "reading B: 4,500 VMs in replicas of 32"}}
 	a, b := Plan(), ReadingB()
-	row := func(name string, of func(Size) float64) { t.add(name, number(of(a)), number(of(b))) }
+	row := func(name string, of func(Size) float64) { t.add(name, formatNumber(of(a)), formatNumber(of(b))) }
 	row("replicas", func(s Size) float64 { return float64(s.Replicas) })
 	row("VMs", Size.VMs)
 	row("nodes a zone", Size.NodesPerZone)
@@ -116,8 +116,8 @@
 	row := func(name string, bound Budget, costs ...Cost) {
 		cells := []string{name}
 		for _, c := range costs {
-			cells = append(cells, against(c.BytesPerSec, bound.BytesPerSec, 1), against(c.CoreShare, bound.CoreShare, 0.01),
-				against(c.MemoryBytes, bound.MemoryBytes, 1e6))
+			cells = append(cells, formatAgainst(c.BytesPerSec, bound.BytesPerSec, 1), formatAgainst(c.CoreShare, bound.CoreShare, 0.01),
+				formatAgainst(c.MemoryBytes, bound.MemoryBytes, 1e6))
 		}
 		t.add(cells...)
 	}
@@ -157,9 +157,9 @@
 	for _, p := range plannedTraffic() {
 		a, b := p.bytes(Plan()), p.bytes(ReadingB())
 		sumA, sumB = sumA+a, sumB+b
-		t.add(p.role, number(a), number(b), p.how)
+		t.add(p.role, formatNumber(a), formatNumber(b), p.mechanism)
 	}
-	t.add("sum", number(sumA), number(sumB), "budget: "+number(ControlBudget().BytesPerSec))
+	t.add("sum", formatNumber(sumA), formatNumber(sumB), "budget: "+formatNumber(ControlBudget().BytesPerSec))
 	return t
 }
 
@@ -168,15 +168,15 @@
 	numbers := commandNumbers()
 	for _, s := range Slopes() {
 		if !s.Measured() {
-			t.add(s.Name, unknown, "-")
+			t.add(s.Name, unmeasuredText, "-")
 			continue
 		}
-		t.add(s.Name, number(s.Value)+" "+s.Unit, fmt.Sprintf("%d, %s", numbers[s.Command], s.Date))
+		t.add(s.Name, formatNumber(s.Value)+" "+s.Unit, fmt.Sprintf("%d, %s", numbers[s.Command], s.Date))
 	}
 	return t
 }
 
-// commandNumbers numbers the commands in the order in which slopes name them.
+// commandNumbers numbers the commands in the order in which they first occur in Slopes.
 func commandNumbers() map[string]int {
 	numbers := map[string]int{}
 	for _, s := range Slopes() {
@@ -187,7 +187,8 @@
 	return numbers
 }
 
-// commandList is the numbered commands, outside of a table since they hold bars.
+// commandList writes the numbered commands as a code block: a Markdown table can't hold
+// the bars in them.
 type commandList struct{}
 
 func (commandList) write(w io.Writer) error {
--- a/internal/capacity/role.go
+++ b/internal/capacity/role.go
@@ -2,28 +2,25 @@
 
 import "math"
 
-// Cost is what a role costs the node that it costs most. NaN means that a slope
-// is not measured yet.
+// Cost is the cost of a role on the node with the highest cost. NaN means that a slope
+// has not been measured.
 type Cost struct {
-	// BytesPerSec counts both directions, without TCP, UDP and IP headers
-	// except where a constant of the code counts them.
 	BytesPerSec float64
-	// CoreShare is processor time for a second.
+
 	CoreShare   float64
 	MemoryBytes float64
 }
 
-// Role is one of the system's jobs.
+// Role is one of the functions that the system's nodes perform.
 type Role struct {
 	Name string
-	// RunsOn says which nodes have it.
+
 	RunsOn string
-	// State and Messages say what it keeps and sends.
+
 	State, Messages string
-	// Mechanism carries it today; PlannedMechanism is the mechanism to come at the plan's
-	// size, empty where today's does.
+
 	Mechanism, PlannedMechanism string
-	// Serving roles are not bound by the control budget; Control roles are summed.
+
 	Serving, Control bool
 	Cost             func(Size) Cost
 }
@@ -32,26 +29,26 @@
 
 var notMeasured = math.NaN()
 
-// Intervals and bounds of the code, repeated here for the computation.
+// Intervals and bounds of other packages, copied for the computation.
 const (
-	listEvery        = 5.0  // settings.DefaultVMListEvery, in seconds
-	heartbeatTargets = 4.3  // three of the zone and 2 x 16 links among 25 nodes
-	cachePollBudget  = 1500 // routing.DefaultCacheBytesPerSecond
-	prefixesAtMost   = 65_536
-	tableAskEvery    = 1.0      // grouping.DefaultRetry, in seconds
-	healthRounds     = 4        // health's tick, a second: each asks for each replica's duty
-	ownPollAfter     = 16.0 / 3 // two thirds of health.DefaultMaxAge, in seconds
-	quietPollEvery   = 3.0      // health's PollQuiet, in seconds
-	zoneTargets      = 3        // membership's fanout
-	listReaders      = 2.0      // of a zone
-	directEvery      = 30.0     // vmlist.FallbackInterval, in seconds
-	maxPeerMessage   = 2 << 20
+	listReadInterval     = 5.0  // settings.DefaultVMListEvery, in seconds
+	heartbeatTargets     = 4.3  // three in the zone, and 2 x 16 links to other zones spread over 25 nodes
+	cachePollBudget      = 1500 // routing.DefaultCacheBytesPerSecond
+	maxPrefixes          = 65_536
+	tableFetchInterval   = 1.0      // grouping.DefaultRetry, in seconds
+	healthTicksPerSecond = 4        // ticks of health per second; each looks up the duty node of every replica
+	ownPollDelay         = 16.0 / 3 // two thirds of health.DefaultMaxAge, in seconds
+	quietPollInterval    = 3.0      // health's PollQuiet, in seconds
+	zoneFanout           = 3        // membership's fanout
+	listReaders          = 2.0      // nodes of a zone that read the VM list
+	directReadInterval   = 30.0     // vmlist.FallbackInterval, in seconds
+	maxPeerMessage       = 2 << 20
 )
 
-// Roles lists all roles in the order of the page.
+// Roles returns all roles in the order of the page.
 func Roles() []Role {
 	return []Role{
-		gatewayRole, rulesRole, membershipRole, healthRole, watcherRole, placementRole, listRole, listOthersRole,
+		gatewayRole, rulesRole, membershipRole, healthRole, watcherRole, placementRole, listRole, listFollowerRole,
 		routingRole, admissionRole, claimsRole, suspectsRole, ledgerRole,
 	}
 }
@@ -101,55 +98,56 @@
 
 var healthRole = Role{
 	Name: "health check and polls", RunsOn: "each node", Control: true,
-	State:     "the zone's committed replicas, their newest confirmations and loads",
-	Messages:  "a brief poll of each replica's serving VM every 3 s by one node of its zone, and by each other node that no peer has told for 5.3 s: beyond 8 nodes a zone that is nearly all",
-	Mechanism: "HTTP polls answered by a digest of all members; confirmations on ordinary answers and on heartbeats",
-	PlannedMechanism:      "heartbeats pass confirmations on, as they do heartbeats, and code them as lists of numbers; a duty looked up once a change of members",
+	State:            "the zone's committed replicas, their newest confirmations and loads",
+	Messages:         "a brief poll of each replica's serving VM every 3 s by one node of its zone, and by each other node that no peer has told for 5.3 s: beyond 8 nodes a zone that is nearly all",
+	Mechanism:        "HTTP polls answered by a digest of all members; confirmations on ordinary answers and on heartbeats",
+	PlannedMechanism: "heartbeats pass confirmations on, as they do heartbeats, and code them as lists of numbers; a duty looked up once a change of members",
 	Cost: func(s Size) Cost {
 		polls := s.ReplicasPerZone() * pollsNode.Value
 		return Cost{
 			BytesPerSec: polls * pollBrief.Value,
-			CoreShare:   (polls*pollCPU.Value + healthRounds*s.ReplicasPerZone()*dutyTime.Value) * micro,
+			CoreShare:   (polls*pollCPU.Value + healthTicksPerSecond*s.ReplicasPerZone()*dutyTime.Value) * micro,
 			MemoryBytes: s.ReplicasPerZone() * healthMemory.Value,
 		}
 	},
 }
 
-// tellable is of how many replicas a node can tell all nodes of its zone before
-// they poll for themselves.
-func (s Size) tellable() float64 {
-	statuses := math.Floor(heartbeatRoom.Value / statusBytes.Value)
-	return statuses * zoneTargets * ownPollAfter / (s.NodesPerZone() - 1)
+// maxReportableReplicas returns the number of replicas whose status a node can send to all nodes of
+// its zone before these poll the replicas themselves.
+func (s Size) maxReportableReplicas() float64 {
+	statuses := math.Floor(heartbeatFreeBytes.Value / statusBytes.Value)
+	return statuses * zoneFanout * ownPollDelay / (s.NodesPerZone() - 1)
 }
 
 var watcherRole = Role{
 	Name: "grouping table and its watchers", RunsOn: "each node; two nodes a zone watch the store", Control: true,
-	State:     "the zone's committed replicas",
-	Messages:  "a node that does not watch asks one peer each second, is asked as often, and gets the whole table after a change",
-	Mechanism: "two watches of the store a zone; connect-go for the others, by revision",
-	PlannedMechanism:      "the table's revision on heartbeats; a question only when it rises, answered by the replicas changed since",
+	State:            "the zone's committed replicas",
+	Messages:         "a node that does not watch asks one peer each second, is asked as often, and gets the whole table after a change",
+	Mechanism:        "two watches of the store a zone; connect-go for the others, by revision",
+	PlannedMechanism: "the table's revision on heartbeats; a question only when it rises, answered by the replicas changed since",
 	Cost: func(s Size) Cost {
-		asks := 1 / tableAskEvery
+		fetches := 1 / tableFetchInterval
 		return Cost{
-			BytesPerSec: 2 * (asks*tableNoNews.Value + s.Regroupings()*tableBytes(s)),
-			CoreShare:   asks * tableNoNewsCPU.Value * micro,
+			BytesPerSec: 2 * (fetches*tableUnchangedFetch.Value + s.Regroupings()*tableFetchBytes(s)),
+			CoreShare:   fetches * tableUnchangedCPU.Value * micro,
 			MemoryBytes: s.ReplicasPerZone() * tableMemory.Value,
 		}
 	},
 }
 
-// tableBytes is the line through the tables of 8 and 265 replicas of 32 VMs.
-func tableBytes(s Size) float64 {
+// tableFetchBytes interpolates the size of a zone's table linearly between the measured tables
+// of 8 and 265 replicas of 32 VMs.
+func tableFetchBytes(s Size) float64 {
 	slope := (tableFetch265.Value - tableFetch8.Value) / (265 - 8)
 	return tableFetch8.Value + slope*(s.ReplicasPerZone()-8)
 }
 
 var placementRole = Role{
 	Name: "placement lease holder", RunsOn: "one node a zone", Control: true,
-	State:     "the zone's VMs and engines as last seen, the committed table",
-	Messages:  "lease kept alive; for each regrouping one transaction and an order to each VM",
-	Mechanism: "the store's lease, its key's create revision as fencing number; orders by HTTP",
-	PlannedMechanism:      "after a takeover the holder reads the engines' states at the budget's rate",
+	State:            "the zone's VMs and engines as last seen, the committed table",
+	Messages:         "lease kept alive; for each regrouping one transaction and an order to each VM",
+	Mechanism:        "the store's lease, its key's create revision as fencing number; orders by HTTP",
+	PlannedMechanism: "after a takeover the holder reads the engines' states at the budget's rate",
 	Cost: func(s Size) Cost {
 		vms := float64(s.VMsPerReplica)
 		return Cost{
@@ -164,56 +162,57 @@
 
 var listRole = Role{
 	Name: "VM list, a reader", RunsOn: "two nodes a zone", Control: true,
-	State:     "all VMs of all zones",
-	Messages:  "the whole list from the platform every 5 s",
-	Mechanism: "HTTP read of the whole list",
-	PlannedMechanism:      listNext,
+	State:            "all VMs of all zones",
+	Messages:         "the whole list from the platform every 5 s",
+	Mechanism:        "HTTP read of the whole list",
+	PlannedMechanism: listNext,
 	Cost: func(s Size) Cost {
 		return Cost{
-			BytesPerSec: s.VMs() * listBytes.Value / listEvery,
-			CoreShare:   s.VMs() * (listCPU.Value + listSumCPU.Value) * micro / listEvery,
+			BytesPerSec: s.VMs() * listBytes.Value / listReadInterval,
+			CoreShare:   s.VMs() * (listCPU.Value + listSumCPU.Value) * micro / listReadInterval,
 			MemoryBytes: 2 * s.VMs() * listMemory.Value,
 		}
 	},
 }
 
-// listOthersRole is not added to the sum: a node is a reader or not.
-var listOthersRole = Role{
+// listFollowerRole is not part of the sum, since a node either reads the list itself
+// (listRole) or fetches it from a peer.
+var listFollowerRole = Role{
 	Name: "VM list, another node", RunsOn: "the others",
-	State:     "the same",
-	Messages:  "a question to a peer every 5 s, by the sum of the VMs; the whole list after each change of any VM, as long as it fits a message of 2 MiB, else from the platform every 30 s",
-	Mechanism: "connect-go",
-	PlannedMechanism:      listNext,
+	State:            "the same",
+	Messages:         "a question to a peer every 5 s, by the sum of the VMs; the whole list after each change of any VM, as long as it fits a message of 2 MiB, else from the platform every 30 s",
+	Mechanism:        "connect-go",
+	PlannedMechanism: listNext,
 	Cost: func(s Size) Cost {
-		perSecond := 2 * (listNoNews.Value/listEvery + s.listChanges()*s.VMs()*listPeer.Value)
+		perSecond := 2 * (listUnchangedFetch.Value/listReadInterval + s.listChangesPerSecond()*s.VMs()*listPeerBytes.Value)
 		if s.VMs()*listMessage.Value > maxPeerMessage {
-			perSecond = s.VMs() * listBytes.Value / directEvery
+			perSecond = s.VMs() * listBytes.Value / directReadInterval
 		}
 		return Cost{
 			BytesPerSec: perSecond,
-			CoreShare:   2 * s.VMs() * listSumCPU.Value * micro / listEvery,
+			CoreShare:   2 * s.VMs() * listSumCPU.Value * micro / listReadInterval,
 			MemoryBytes: 2 * s.VMs() * listMemory.Value,
 		}
 	},
 }
 
-// listChanges is how often a second the list's VMs change: each failure or
-// restart takes a VM off the list and brings one back.
-func (s Size) listChanges() float64 {
+// listChangesPerSecond returns the number of changes of the VM list per second: each failure or
+// restart removes a VM from the list and later adds one.
+func (s Size) listChangesPerSecond() float64 {
 	return 2 * (s.VMFailuresPerDay + s.VMRestartsPerDay) / secondsPerDay
 }
 
 var routingRole = Role{
 	Name: "routing table", RunsOn: "each node", Control: true,
-	State:     "the zone's replicas with loads and speeds; 65,536 prefixes",
-	Messages:  "cache events of the zone's replicas, read in turn",
-	Mechanism: "HTTP polls within a fixed budget of bytes; loads on polls and heartbeats",
-	PlannedMechanism:      "each node reads its share of the replicas and passes new prefixes on, within 500 B/s",
+	State:            "the zone's replicas with loads and speeds; 65,536 prefixes",
+	Messages:         "cache events of the zone's replicas, read in turn",
+	Mechanism:        "HTTP polls within a fixed budget of bytes; loads on polls and heartbeats",
+	PlannedMechanism: "each node reads its share of the replicas and passes new prefixes on, within 500 B/s",
 	Cost: func(s Size) Cost {
 		return Cost{
 			BytesPerSec: cachePollBudget,
 			CoreShare:   s.RequestsPerSecond / float64(s.Nodes) * chooseTime.Value * micro,
-			MemoryBytes: s.ReplicasPerZone()*entryMemory.Value + prefixesAtMost*prefixMemory.Value,
+			MemoryBytes: s.ReplicasPerZone()*entryMemory.Value + maxPrefixes*prefixMemory.Value,
 		}
 	},
 }
@@ -233,11 +232,11 @@
 
 var claimsRole = Role{
 	Name: "claims", RunsOn: "the node that dispatches the call", Serving: true,
-	State:     "claims in progress; in the store about 456 B a claim for its retention",
-	Messages:  "at most two store calls a booking",
-	Mechanism: "create-if-absent in batched transactions, one lease a time bucket",
-	PlannedMechanism:      "beyond 20 bookings a second for a day: fingerprints appended by a fenced owner (docs/claims.md)",
-	Cost:      func(Size) Cost { return Cost{notMeasured, notMeasured, notMeasured} }, // the letter names no bookings
+	State:            "claims in progress; in the store about 456 B a claim for its retention",
+	Messages:         "at most two store calls a booking",
+	Mechanism:        "create-if-absent in batched transactions, one lease a time bucket",
+	PlannedMechanism: "beyond 20 bookings a second for a day: fingerprints appended by a fenced owner (docs/claims.md)",
+	Cost:             func(Size) Cost { return Cost{notMeasured, notMeasured, notMeasured} },
 }
 
 var suspectsRole = Role{
@@ -256,16 +255,16 @@
 	Messages:  "a window every minute while anything is down",
 	Mechanism: "windows appended to the store under their own keys",
 	Cost: func(Size) Cost {
-		const windowsMeasured, windowsAtMost = 370, 1440
+		const windowsMeasured, maxWindows = 370, 1440
 		return Cost{
-			BytesPerSec: ledgerBytes.Value * windowsAtMost / windowsMeasured / secondsPerDay,
+			BytesPerSec: ledgerBytes.Value * maxWindows / windowsMeasured / secondsPerDay,
 			CoreShare:   notMeasured, MemoryBytes: notMeasured,
 		}
 	},
 }
 
-// Sum adds the control roles up, as if one node had them all; what is not
-// measured counts as nothing.
+// Sum returns the total cost of the control roles on a node that performs all of them.
+// Costs that have not been measured count as zero.
 func Sum(s Size) Cost {
 	var sum Cost
 	for _, r := range Roles() {
@@ -273,14 +272,14 @@
 			continue
 		}
 		c := r.Cost(s)
-		sum.BytesPerSec += zeroIfUnknown(c.BytesPerSec)
-		sum.CoreShare += zeroIfUnknown(c.CoreShare)
-		sum.MemoryBytes += zeroIfUnknown(c.MemoryBytes)
+		sum.BytesPerSec += zeroIfUnmeasured(c.BytesPerSec)
+		sum.CoreShare += zeroIfUnmeasured(c.CoreShare)
+		sum.MemoryBytes += zeroIfUnmeasured(c.MemoryBytes)
 	}
 	return sum
 }
 
-func zeroIfUnknown(v float64) float64 {
+func zeroIfUnmeasured(v float64) float64 {
 	if math.IsNaN(v) {
 		return 0
 	}
--- a/internal/capacity/serving_test.go
+++ b/internal/capacity/serving_test.go
@@ -20,25 +20,24 @@
 	servingCallers  = 64
 	servingRequests = 640
 	heldStreams     = 1000
-	bearer          = "Bearer test" // the token of nodeRules
+	bearerToken     = "Bearer test" // the token in nodeRules
 )
 
-// servingShape is one node before two replicas of two VMs.
-func servingShape(tokens time.Duration) shape {
-	return shape{zones: 1, nodes: 1, replicas: 2, vms: 2, tokens: tokens}
+// servingShape returns the shape of one node in front of two replicas of two VMs.
+func servingShape(tokenInterval time.Duration) shape {
+	return shape{zones: 1, nodes: 1, replicas: 2, vms: 2, tokenInterval: tokenInterval}
 }
 
-// BenchmarkServing sends streamed requests through one real node and reports the
-// node's own processor time: for each request without its tokens, for each token,
-// and its memory for each open stream.
+// BenchmarkServing sends streamed requests through one real node and reports the processor
+// time of the node process per request, without its tokens, and per token.
 func BenchmarkServing(b *testing.B) {
-	bins := build(b)
+	binDir := build(b)
 	for b.Loop() {
-		f := newFleet(b, bins, servingShape(5*time.Millisecond))
-		f.settle()
-		f.ready(servingCallers)
-		short := f.processor(func() { f.serve(servingRequests, 16) })
-		long := f.processor(func() { f.serve(servingRequests, 240) })
+		f := newFleet(b, binDir, servingShape(5*time.Millisecond))
+		f.awaitHealthy()
+		f.awaitCapacity(servingCallers)
+		short := f.cpuSeconds(func() { f.serve(servingRequests, 16) })
+		long := f.cpuSeconds(func() { f.serve(servingRequests, 240) })
 		perToken := (long - short) / (240 - 16) / servingRequests
 		b.ReportMetric(perToken*1e6, "cpu-µs/token")
 		b.ReportMetric((short/servingRequests-16*perToken)*1e6, "cpu-µs/request")
@@ -46,15 +45,15 @@
 	}
 }
 
-// BenchmarkHeldStreams is by how much a real node's resident memory grows with each
-// open stream of a token in 75 ms.
+// BenchmarkHeldStreams measures the growth of a real node's resident memory per open stream
+// with one token every 75 ms.
 func BenchmarkHeldStreams(b *testing.B) {
-	bins := build(b)
+	binDir := build(b)
 	for b.Loop() {
-		f := newFleet(b, bins, servingShape(75*time.Millisecond))
-		f.settle()
+		f := newFleet(b, binDir, servingShape(75*time.Millisecond))
+		f.awaitHealthy()
 		before := f.metrics(f.controls[0])[residentMemory]
-		f.ready(heldStreams)
+		f.awaitCapacity(heldStreams)
 		f.holdStreams(func() {
 			b.ReportMetric((f.metrics(f.controls[0])[residentMemory]-before)/heldStreams, "rss-bytes/stream")
 		})
@@ -62,11 +61,12 @@
 	}
 }
 
-// ready waits until the node serves so many streams at once: right after the
-// replicas are whole it doesn't know yet how many they batch, and refuses with 429.
-func (f *fleet) ready(streams int) {
+// awaitCapacity waits until the node serves the given number of concurrent streams. Right
+// after the replicas become healthy, the node does not know their batch size yet and
+// refuses requests with 429.
+func (f *fleet) awaitCapacity(streams int) {
 	f.b.Helper()
-	const tokens = 40 // long enough that a short queue doesn't serve all in turn
+	const tokens = 40 // long enough that a short queue can't serve all streams one after the other
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	require.Eventually(f.b, func() bool {
@@ -74,7 +74,7 @@
 		var wg sync.WaitGroup
 		for range streams {
 			wg.Go(func() {
-				if whole, err := f.stream(f.b.Context(), client, tokens, nil); err != nil || !whole {
+				if complete, err := f.stream(f.b.Context(), client, tokens, nil); err != nil || !complete {
 					refused.Add(1)
 				}
 			})
@@ -84,8 +84,8 @@
 	}, waitTimeout, time.Second)
 }
 
-// processor is the node's processor time for work, in seconds.
-func (f *fleet) processor(work func()) float64 {
+// cpuSeconds returns the processor time that the node uses during work, in seconds.
+func (f *fleet) cpuSeconds(work func()) float64 {
 	const name = "process_cpu_seconds_total"
 	before := f.metrics(f.controls[0])[name]
 	work()
@@ -106,25 +106,25 @@
 	for range servingCallers {
 		wg.Go(func() {
 			for range left {
-				if whole, err := f.stream(f.b.Context(), client, tokens, nil); err != nil || !whole {
+				if complete, err := f.stream(f.b.Context(), client, tokens, nil); err != nil || !complete {
 					failed.Add(1)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	require.Zero(f.b, failed.Load(), "streams refused or cut")
+	require.Zero(f.b, failed.Load(), "streams refused or truncated")
 }
 
-// stream reads one answer and reports whether it ended whole; first, if not nil,
-// is called after the first event.
+// stream sends one request, reads its response and reports whether that is complete. It
+// calls first, if not nil, after the first event.
 func (f *fleet) stream(ctx context.Context, client *http.Client, tokens int, first func()) (bool, error) {
 	body := fmt.Sprintf(`{"model":"assistente-fit","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"cold toes in a narrow shell"}]}`, tokens)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.callers[0]+engine.ChatPath, strings.NewReader(body))
 	if err != nil {
 		return false, err
 	}
-	req.Header.Set("Authorization", bearer)
+	req.Header.Set("Authorization", bearerToken)
 	resp, err := client.Do(req)
 	if err != nil {
 		return false, err
@@ -133,21 +133,21 @@
 	if resp.StatusCode != http.StatusOK {
 		return false, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	whole := false
+	complete := false
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		if first != nil && strings.HasPrefix(lines.Text(), "data: ") {
 			first()
 			first = nil
 		}
-		whole = whole || lines.Text() == "data: "+engine.DoneMarker
+		complete = complete || lines.Text() == "data: "+engine.DoneMarker
 	}
-	return whole, lines.Err()
+	return complete, lines.Err()
 }
 
 const residentMemory = "process_resident_memory_bytes"
 
-// holdStreams runs meanwhile with heldStreams open streams.
+// holdStreams calls meanwhile while heldStreams streams are open.
 func (f *fleet) holdStreams(meanwhile func()) {
 	f.b.Helper()
 	ctx, cancel := context.WithTimeout(f.b.Context(), waitTimeout)
@@ -169,7 +169,7 @@
 	select {
 	case <-opened:
 	case <-time.After(waitTimeout):
-		require.FailNow(f.b, "streams did not open", "%d ended at once", failed.Load())
+		require.FailNow(f.b, "streams did not open", "%d failed", failed.Load())
 	}
 	meanwhile()
 	cancel()
