--- a/cmd/controlbench/main.go
+++ b/cmd/controlbench/main.go
@@ -1,6 +1,6 @@
-// Command controlbench measures what the nodes' control traffic costs and how
-// fast news spreads: real membership, suspect tracking and UDP on loopback, all
-// nodes in one process. Its output goes into docs/membership.md.
+// Command controlbench measures the cost of the control traffic between nodes and the time
+// in which events reach all nodes. It runs the real membership service and suspect tracker
+// over UDP on loopback, with all nodes in one process. docs/membership.md holds its results.
 //
 //	controlbench cost --nodes 4,8,16,25,50 --seconds 10
 //	controlbench spread --nodes 25 --trials 12
@@ -35,22 +35,22 @@
 
 func rootCommand() *ff.Command {
 	costFlags := ff.NewFlagSet("cost")
-	costNodes := costFlags.StringLong("nodes", "4,8,16,25,50", "nodes of a zone, one run for each number")
-	zones := costFlags.IntLong("zones", 1, "zones of that many nodes")
-	alone := costFlags.BoolLong("alone", "do not run the naive design beside it")
-	seconds := costFlags.IntLong("seconds", 10, "how long each run is measured")
+	costNodes := costFlags.StringLong("nodes", "4,8,16,25,50", "nodes per zone; a comma-separated list with one run for each number")
+	zones := costFlags.IntLong("zones", 1, "number of zones")
+	skipNaive := costFlags.BoolLong("alone", "do not measure the naive design as well")
+	seconds := costFlags.IntLong("seconds", 10, "duration of each measurement in seconds")
 	spreadFlags := ff.NewFlagSet("spread")
-	spreadNodes := spreadFlags.IntLong("nodes", 25, "nodes of a zone")
-	spreadZones := spreadFlags.IntLong("zones", 1, "zones of that many nodes")
-	trials := spreadFlags.IntLong("trials", 20, "events measured at each loss")
+	spreadNodes := spreadFlags.IntLong("nodes", 25, "nodes per zone")
+	spreadZones := spreadFlags.IntLong("zones", 1, "number of zones")
+	trials := spreadFlags.IntLong("trials", 20, "events measured at each loss rate")
 	cost := &ff.Command{
 		Name: "cost", Usage: "controlbench cost [FLAGS]", ShortHelp: "bytes, datagrams, CPU and memory per node", Flags: costFlags,
 		Exec: func(ctx context.Context, _ []string) error {
-			return runCost(ctx, *costNodes, *zones, *alone, time.Duration(*seconds)*time.Second)
+			return runCost(ctx, *costNodes, *zones, *skipNaive, time.Duration(*seconds)*time.Second)
 		},
 	}
 	spread := &ff.Command{
-		Name: "spread", Usage: "controlbench spread [FLAGS]", ShortHelp: "time for news to reach all nodes", Flags: spreadFlags,
+		Name: "spread", Usage: "controlbench spread [FLAGS]", ShortHelp: "time until an event has reached all nodes", Flags: spreadFlags,
 		Exec: func(ctx context.Context, _ []string) error {
 			return runSpread(ctx, *spreadZones, *spreadNodes, *trials)
 		},
@@ -70,10 +70,10 @@
 	return numbers, nil
 }
 
-// usageError says which flag cannot be used.
+// usageError reports an invalid value of a flag.
 type usageError struct{ flag, value string }
 
-// Error implements error.
+// Error returns the message with the flag and its value.
 func (e *usageError) Error() string {
 	return fmt.Sprintf("flag %s: %q is not a number of at least 1", e.flag, e.value)
 }
--- a/cmd/controlbench/naive.go
+++ b/cmd/controlbench/naive.go
@@ -8,19 +8,19 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// naiveNode is the design to compare with: each node tells all others everything
-// it has each second, and passes each event on to all others at once.
+// naiveNode is a node of the naive design, the baseline of the comparison: each node sends
+// its complete state to all others every second, and at once after each event.
 type naiveNode struct {
 	node       *node
 	name       string
 	peers      []string
 	statuses   []*wirepb.ReplicaStatus
 	quarantine atomic.Int64
-	news       chan int64
+	pending    chan int64
 }
 
-func newNaive(n *node, i int, addrs []string) *naiveNode {
-	naive := &naiveNode{node: n, name: nodeName(i), statuses: statusesOf(i), news: make(chan int64, 64)}
+func newNaiveNode(n *node, i int, addrs []string) *naiveNode {
+	naive := &naiveNode{node: n, name: nodeName(i), statuses: replicaStatuses(i), pending: make(chan int64, 64)}
 	for j, addr := range addrs {
 		if j != i {
 			naive.peers = append(naive.peers, addr)
@@ -39,7 +39,7 @@
 			return
 		case <-ticker.C:
 			n.send()
-		case <-n.news:
+		case <-n.pending:
 			n.send()
 		}
 	}
@@ -57,18 +57,18 @@
 	_ = n.node.transport.SendAll(n.peers, d)
 }
 
-// tell takes in an event and has it passed on to all.
-func (n *naiveNode) tell(event int64) {
+// apply stores an event and triggers a datagram to all other nodes.
+func (n *naiveNode) apply(event int64) {
 	n.node.revision.Store(event)
 	n.quarantine.Store(event)
 	select {
-	case n.news <- event:
+	case n.pending <- event:
 	default:
 	}
 }
 
 func (n *naiveNode) receive(d *wirepb.Datagram) {
 	if d.RulesRevision > n.node.revision.Load() {
-		n.tell(d.RulesRevision)
+		n.apply(d.RulesRevision)
 	}
 }
--- a/cmd/controlbench/nodes.go
+++ b/cmd/controlbench/nodes.go
@@ -17,7 +17,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// node is one node of the system under measurement, in either design.
+// node is one node of the measured system, in either design.
 type node struct {
 	transport *wire.Transport
 	member    *membership.Service // nil in the naive design
@@ -27,15 +27,16 @@
 	loss      *atomic.Uint64 // per mille
 }
 
-// replicasPerNode is what each node polls and reports: 265 replicas of a zone over 25 nodes.
+// replicasPerNode is the number of replicas that each node polls and reports: the 265
+// replicas of a zone divided among its 25 nodes.
 const replicasPerNode = 11
 
-// system is all nodes in this process.
+// system holds all nodes, which run in this process.
 type system struct {
-	nodes []*node
-	loss  atomic.Uint64
-	stop  context.CancelFunc
-	done  sync.WaitGroup
+	nodes   []*node
+	loss    atomic.Uint64
+	stop    context.CancelFunc
+	running sync.WaitGroup
 }
 
 func startSystem(zones, perZone int, naive bool) (*system, error) {
@@ -47,7 +48,7 @@
 	s := &system{stop: cancel}
 	for range zones * perZone {
 		n := &node{loss: &s.loss}
-		n.transport, err = wire.Listen(wire.Options{Addr: "127.0.0.1:0", Keys: keys, Log: slog.New(slog.DiscardHandler), Drop: n.lose})
+		n.transport, err = wire.Listen(wire.Options{Addr: "127.0.0.1:0", Keys: keys, Log: slog.New(slog.DiscardHandler), Drop: n.dropDatagram})
 		if err != nil {
 			cancel()
 			return nil, err
@@ -63,28 +64,28 @@
 	}
 	for i, n := range s.nodes {
 		if naive {
-			n.naive = newNaive(n, i, addrs)
-			s.done.Go(func() { n.naive.run(ctx) })
+			n.naive = newNaiveNode(n, i, addrs)
+			s.running.Go(func() { n.naive.run(ctx) })
 			continue
 		}
-		n.join(i, i/perZone, seeds)
-		s.done.Go(func() { n.member.Run(ctx) })
+		n.setUpMembership(i, i/perZone, seeds)
+		s.running.Go(func() { n.member.Run(ctx) })
 	}
 	return s, nil
 }
 
-func (n *node) lose(string, []byte) bool { return rand.Uint64N(1000) < n.loss.Load() }
+func (n *node) dropDatagram(string, []byte) bool { return rand.Uint64N(1000) < n.loss.Load() }
 
-func (n *node) join(i, zone int, seeds []string) {
+func (n *node) setUpMembership(i, zone int, seeds []string) {
 	name := cluster.NodeID(nodeName(i))
-	quiet := slog.New(slog.DiscardHandler)
+	discard := slog.New(slog.DiscardHandler)
 	n.member = membership.New(membership.Options{
 		Node: name, Zone: cluster.ZoneID(fmt.Sprintf("serra-%d", zone)), Seeds: seeds,
-		PeerAddr: n.transport.Addr(), Transport: n.transport, Log: quiet,
+		PeerAddr: n.transport.Addr(), Transport: n.transport, Log: discard,
 	})
-	n.tracker = suspect.New(suspect.Options{Node: name, TriggerHeartbeat: n.member.TriggerHeartbeat, Rank: n.member.Rank, Log: quiet})
+	n.tracker = suspect.New(suspect.Options{Node: name, TriggerHeartbeat: n.member.TriggerHeartbeat, Rank: n.member.Rank, Log: discard})
 	n.member.AddSource(n.tracker.Section)
-	n.member.AddSource(loads(i))
+	n.member.AddSource(loadSource(i))
 	n.member.SetRulesRevision(n.revision.Load)
 	n.member.OnDatagram(n.tracker.Receive)
 	n.member.OnDatagram(func(_ membership.Member, d *wirepb.Datagram) {
@@ -97,10 +98,11 @@
 
 func nodeName(i int) string { return fmt.Sprintf("entry-serra-%03d", i) }
 
-// loads reports the replicas that a node polls, as many at a time as fit.
-func loads(i int) membership.Source {
+// loadSource returns a source that reports the loads of a node's replicas in turn, as many
+// per heartbeat as the budget permits.
+func loadSource(i int) membership.Source {
 	next := 0
-	statuses := statusesOf(i)
+	statuses := replicaStatuses(i)
 	return func(budget int) membership.Section {
 		var section membership.Section
 		for range statuses {
@@ -116,7 +118,7 @@
 	}
 }
 
-func statusesOf(i int) []*wirepb.ReplicaStatus {
+func replicaStatuses(i int) []*wirepb.ReplicaStatus {
 	var statuses []*wirepb.ReplicaStatus
 	for r := range replicasPerNode {
 		statuses = append(statuses, &wirepb.ReplicaStatus{
@@ -132,11 +134,11 @@
 	return fp
 }
 
-// publish makes one node hold a new rules revision and a new quarantine.
+// publish creates an event at the node: a new rules revision and a new quarantine.
 func (n *node) publish(event int64) {
 	n.revision.Store(event)
 	if n.naive != nil {
-		n.naive.tell(event)
+		n.naive.apply(event)
 		return
 	}
 	fp := fingerprint(uint64(event))
@@ -158,18 +160,18 @@
 
 func (s *system) close() {
 	s.stop()
-	s.done.Wait()
+	s.running.Wait()
 	for _, n := range s.nodes {
 		_ = n.transport.Close()
 	}
 }
 
-// settle waits until every node knows all others of its zone.
-func (s *system) settle(ctx context.Context, perZone int) error {
+// awaitJoined waits until every node knows all others of its zone.
+func (s *system) awaitJoined(ctx context.Context, perZone int) error {
 	for {
 		joined := 0
 		for _, n := range s.nodes {
-			if n.naive != nil || n.knowsZone(perZone) {
+			if n.naive != nil || n.knowsAllOfZone(perZone) {
 				joined++
 			}
 		}
@@ -184,12 +186,12 @@
 	}
 }
 
-func (n *node) knowsZone(total int) bool {
+func (n *node) knowsAllOfZone(nodesPerZone int) bool {
 	alive := 1
 	for _, m := range n.member.Members() {
 		if m.Zone == n.member.Self().Zone && m.Status == membership.Alive {
 			alive++
 		}
 	}
-	return alive == total
+	return alive == nodesPerZone
 }
