--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -48,8 +48,8 @@
 }
 
 // Backend servers fail on their own in addition: they return errors, truncate responses,
-// omit events and send the response to another call. No caller may receive such a response with
-// status 200 as a complete one.
+// omit events and send the response to another call. No caller may receive such a
+// response as a complete one with status 200.
 func TestShortSoakWithServerFaults(t *testing.T) {
 	path := buildDaemon(t)
 	result, err := soak.Run(soak.Options{Binary: path, Dir: t.TempDir(), Seed: 3, Nodes: 3, Callers: 8, FaultDuration: 5 * time.Second, ServerFaults: true, Log: t.Logf})
