--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// maxNodesSharingPolls returns the largest number of nodes in a zone at which each node receives a
-// heartbeat directly from every other node before the newest confirmation in that
-// heartbeat would be too old to replace a poll of its own.
+// maxNodesSharingPolls returns the largest number of nodes in a zone at which each node
+// receives a heartbeat directly from every other node before the newest confirmation in
+// that heartbeat would be too old to replace a poll of its own.
 func maxNodesSharingPolls() float64 { return 1 + zoneFanout*(ownPollDelay-quietPollInterval) }
 
 func limitTable() table {
--- a/internal/capacity/print.go
+++ b/internal/capacity/print.go
@@ -60,8 +60,8 @@
 
 const unmeasuredText = "not measured yet"
 
-// formatNumber formats v with three significant digits and commas between thousands. It formats
-// NaN as the text for a missing measurement.
+// formatNumber formats v with three significant digits and commas between thousands. It
+// formats NaN as the text for a missing measurement.
 func formatNumber(v float64) string {
 	if math.IsNaN(v) {
 		return unmeasuredText
--- a/internal/capacity/role.go
+++ b/internal/capacity/role.go
@@ -112,8 +112,8 @@
 	},
 }
 
-// maxReportableReplicas returns the number of replicas whose status a node can send to all nodes of
-// its zone before these poll the replicas themselves.
+// maxReportableReplicas returns the number of replicas whose status a node can send to all
+// nodes of its zone before these poll the replicas themselves.
 func (s Size) maxReportableReplicas() float64 {
 	statuses := math.Floor(heartbeatFreeBytes.Value / statusBytes.Value)
 	return statuses * zoneFanout * ownPollDelay / (s.NodesPerZone() - 1)
@@ -196,8 +196,8 @@
 	},
 }
 
-// listChangesPerSecond returns the number of changes of the VM list per second: each failure or
-// restart removes a VM from the list and later adds one.
+// listChangesPerSecond returns the number of changes of the VM list per second: each
+// failure or restart removes a VM from the list and later adds one.
 func (s Size) listChangesPerSecond() float64 {
 	return 2 * (s.VMFailuresPerDay + s.VMRestartsPerDay) / secondsPerDay
 }
