--- a/internal/capacity/role.go
+++ b/internal/capacity/role.go
@@ -146,7 +146,7 @@
 	Name: "placement lease holder", RunsOn: "one node a zone", Control: true,
 	State:            "the zone's VMs and engines as last seen, the committed table",
 	Messages:         "lease kept alive; for each regrouping one transaction and an order to each VM",
-	Mechanism:        "the store's lease, its key's create revision as fencing number; orders by HTTP",
+	Mechanism:        "the store's lease, its key's create revision as fencing token; orders by HTTP",
 	PlannedMechanism: "after a takeover the holder reads the engines' states at the budget's rate",
 	Cost: func(s Size) Cost {
 		vms := float64(s.VMsPerReplica)
