--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -15,7 +15,7 @@
 
 // callers send calls and note what they get.
 type callers struct {
-	sys *System
+	sys *Simulation
 	rng *rand.Rand
 
 	mu     sync.Mutex
--- a/internal/player/faults.go
+++ b/internal/player/faults.go
@@ -11,7 +11,7 @@
 const restartTime = time.Second
 
 // schedule has the scenario's faults happen.
-func (sys *System) schedule() {
+func (sys *Simulation) schedule() {
 	for _, f := range sys.scenario.Faults {
 		time.AfterFunc(f.At, func() { sys.begin(f) })
 		if f.For > 0 {
@@ -21,7 +21,7 @@
 }
 
 // begin brings a fault about.
-func (sys *System) begin(f Fault) {
+func (sys *Simulation) begin(f Fault) {
 	w := sys.world
 	switch f.Kind {
 	case Lose:
@@ -49,7 +49,7 @@
 }
 
 // end undoes a fault that lasts.
-func (sys *System) end(f Fault) {
+func (sys *Simulation) end(f Fault) {
 	w := sys.world
 	switch f.Kind {
 	case Dark:
--- a/internal/player/gossip.go
+++ b/internal/player/gossip.go
@@ -18,7 +18,7 @@
 )
 
 // gossip has the nodes send each other load reports in turn, but across a cut.
-func (sys *System) gossip(ctx context.Context) {
+func (sys *Simulation) gossip(ctx context.Context) {
 	turn := 0
 	clock.Every(ctx, gossipEvery, func(time.Time) {
 		turn++
@@ -29,7 +29,7 @@
 }
 
 // peerInTurn is the node that the i-th one sends to at its turn.
-func (sys *System) peerInTurn(i, turn int) *node {
+func (sys *Simulation) peerInTurn(i, turn int) *node {
 	n := len(sys.nodes)
 	if n < 2 {
 		return sys.nodes[i]
@@ -37,7 +37,7 @@
 	return sys.nodes[(i+1+turn%(n-1))%n]
 }
 
-func (sys *System) sendLoadReport(from, to *node) {
+func (sys *Simulation) sendLoadReport(from, to *node) {
 	sender, receiver := from.running(), to.running()
 	if sender == nil || receiver == nil || from == to || !sys.world.reachesNode(from.zone, to.zone) {
 		return
@@ -46,7 +46,7 @@
 }
 
 // announce brings a section from one node to all that it reaches.
-func (sys *System) announce(from *node, section membership.Section) {
+func (sys *Simulation) announce(from *node, section membership.Section) {
 	for _, to := range sys.nodes {
 		if receiver := to.running(); receiver != nil && to != from && sys.world.reachesNode(from.zone, to.zone) {
 			receiver.ReceiveStallReport(from.id, section)
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -32,7 +32,7 @@
 }
 
 // watch tallies the VMs each second until ctx ends.
-func (sys *System) watch(ctx context.Context, res *Result) {
+func (sys *Simulation) watch(ctx context.Context, res *Result) {
 	began := time.Now()
 	clock.Every(ctx, time.Second, func(now time.Time) {
 		res.VMs = append(res.VMs, sys.world.tally(now.Sub(began)))
@@ -70,7 +70,7 @@
 		h.entry.Membership != nil && h.entry.Membership.State == fleet.Open
 }
 
-func (r *Result) take(sys *System) {
+func (r *Result) take(sys *Simulation) {
 	r.Fates = sys.callers.fates
 	slices.SortFunc(r.Fates, func(a, b Fate) int { return int(a.At - b.At) })
 	r.Wrong = sys.world.wrong
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -20,8 +20,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// System is a scenario under way.
-type System struct {
+// Simulation is a scenario under way.
+type Simulation struct {
 	scenario *Scenario
 	world    *world
 	callers  *callers
@@ -45,7 +45,7 @@
 
 // node is one entry VM.
 type node struct {
-	sys  *System
+	sys  *Simulation
 	id   cluster.NodeID
 	zone cluster.ZoneID
 
@@ -59,7 +59,7 @@
 // Play plays a scenario and returns what callers got.
 func Play(s *Scenario, opts Options) *Result {
 	rng := rand.New(rand.NewPCG(opts.Seed, 1))
-	sys := &System{scenario: s, world: newWorld(s, rand.New(rand.NewPCG(opts.Seed, 2))), rng: rng, opts: opts}
+	sys := &Simulation{scenario: s, world: newWorld(s, rand.New(rand.NewPCG(opts.Seed, 2))), rng: rng, opts: opts}
 	sys.callers = &callers{sys: sys, rng: rand.New(rand.NewPCG(opts.Seed, 3)), truth: make(map[string]int), routes: make(map[string]*rules.Route)}
 	sys.set = sys.rules()
 	sys.configure()
@@ -91,7 +91,7 @@
 }
 
 // rules are the operator's configuration of the scenario.
-func (sys *System) rules() *rules.Set {
+func (sys *Simulation) rules() *rules.Set {
 	s := sys.scenario
 	set := rules.Set{Revision: 1, Weights: rules.WeightStore{LoadsPerSecond: s.Engine.LoadsPerSecond, LoadsAtOnce: s.Engine.LoadsAtOnce}}
 	for _, m := range s.Models {
@@ -110,7 +110,7 @@
 	return out
 }
 
-func (sys *System) configure() {
+func (sys *Simulation) configure() {
 	_, err := sys.world.store.Txn(context.Background(), store.Txn{Then: []store.Op{store.Put(configKey, []byte("1"), 0)}})
 	if err != nil {
 		panic(err) // an empty store in memory takes it
@@ -162,7 +162,7 @@
 }
 
 // pickNode is the node that the platform's balancer gives a caller.
-func (sys *System) pickNode(rng *rand.Rand) *node {
+func (sys *Simulation) pickNode(rng *rand.Rand) *node {
 	left := rng.Float64()
 	for i, z := range sys.scenario.Zones {
 		if left -= z.Share; left >= 0 && i < len(sys.scenario.Zones)-1 {
@@ -173,7 +173,7 @@
 	return sys.nodes[0]
 }
 
-func (sys *System) inZone(zone cluster.ZoneID, rng *rand.Rand) *node {
+func (sys *Simulation) inZone(zone cluster.ZoneID, rng *rand.Rand) *node {
 	var there []*node
 	for _, n := range sys.nodes {
 		if n.zone == zone {
@@ -184,7 +184,7 @@
 }
 
 // otherNode is where a caller comes back.
-func (sys *System) otherNode(n *node, rng *rand.Rand) *node {
+func (sys *Simulation) otherNode(n *node, rng *rand.Rand) *node {
 	sys.mu.Lock()
 	defer sys.mu.Unlock()
 	return sys.inZone(n.zone, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 7)))
