--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -56,8 +56,8 @@
 
 const region = "region"
 
-// Play plays a scenario and returns what callers got.
-func Play(s *Scenario, opts Options) *Result {
+// Simulate plays a scenario and returns what callers got.
+func Simulate(s *Scenario, opts Options) *Result {
 	rng := rand.New(rand.NewPCG(opts.Seed, 1))
 	sys := &Simulation{scenario: s, world: newWorld(s, rand.New(rand.NewPCG(opts.Seed, 2))), rng: rng, opts: opts}
 	sys.callers = &callers{sys: sys, rng: rand.New(rand.NewPCG(opts.Seed, 3)), truth: make(map[string]int), routes: make(map[string]*rules.Route)}
