--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -37,8 +37,8 @@
 // Options of a play.
 type Options struct {
 	Seed uint64
-	// Decisions replace those that a node takes by itself; the zero value replaces none.
-	Decisions entry.Policies
+	// Policies replace those that a node takes by itself; the zero value replaces none.
+	Policies entry.Policies
 	// Log gets the nodes' lines; may be nil.
 	Log *slog.Logger
 }
@@ -135,7 +135,7 @@
 		Backend:       func(*conns.Pool) relay.Backend { return &backend{sys.world, n.zone, sys.callers.answerOf} },
 		ServersPrefix: serversPrefix, DecodeServers: func(e map[string]store.KV, r int64) fleet.List { return servers(e, r) },
 		ConfigKey: configKey, DecodeConfig: func(store.KV) (*rules.Set, error) { return sys.set, nil },
-	}, entry.CoreOptions{Policies: sys.opts.Decisions, Log: log, Broadcast: func(section membership.Section) { sys.announce(n, section) }})
+	}, entry.CoreOptions{Policies: sys.opts.Policies, Log: log, Broadcast: func(section membership.Section) { sys.announce(n, section) }})
 	core := n.core
 	n.mu.Unlock()
 	sys.stop.Go(func() {
