--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -21,7 +21,7 @@
 	mu     sync.Mutex
 	next   int
 	truth  map[string]int
-	fates  []Fate
+	fates  []CallResult
 	routes map[string]*rules.Route
 	doing  sync.WaitGroup
 }
@@ -37,8 +37,8 @@
 	Failed  Outcome = "failed"
 )
 
-// Fate is one call and what came of it. Times count from its first sending.
-type Fate struct {
+// CallResult is one call and what came of it. Times count from its first sending.
+type CallResult struct {
 	Kind    string
 	At      time.Duration
 	Outcome Outcome
@@ -115,7 +115,7 @@
 // one takes a call through its tries: a refused caller comes back once.
 func (c *callers) one(n *node, k *Kind, id string, at time.Duration, prompt, answer, hint int) {
 	sent := time.Now()
-	fate := Fate{Kind: k.Name, At: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
+	fate := CallResult{Kind: k.Name, At: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
 	resume := ""
 	for try := range 2 {
 		fate.Tries = try + 1
@@ -140,7 +140,7 @@
 }
 
 // note takes a try's part into the call's fate.
-func (f *Fate) note(s *sink, k *Kind) {
+func (f *CallResult) note(s *sink, k *Kind) {
 	if s.pieces > 0 && f.First == 0 {
 		f.First = s.first.Sub(s.sent)
 	}
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -14,7 +14,7 @@
 // Result is what callers got and what the VMs did.
 type Result struct {
 	Scenario *Scenario
-	Fates    []Fate
+	Fates    []CallResult
 	// VMs is the count of VMs by what they did, each second.
 	VMs []Tally
 	// Wrong are broken promises about replicas: each is a fault of the decisions.
@@ -72,7 +72,7 @@
 
 func (r *Result) take(sys *Simulation) {
 	r.Fates = sys.callers.fates
-	slices.SortFunc(r.Fates, func(a, b Fate) int { return int(a.At - b.At) })
+	slices.SortFunc(r.Fates, func(a, b CallResult) int { return int(a.At - b.At) })
 	r.Wrong = sys.world.wrong
 	r.Loads = sys.world.loads
 }
