--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -14,7 +14,7 @@
 // Result is what callers got and what the VMs did.
 type Result struct {
 	Scenario *Scenario
-	Fates    []CallResult
+	Calls    []CallResult
 	// VMs is the count of VMs by what they did, each second.
 	VMs []Tally
 	// Wrong are broken promises about replicas: each is a fault of the decisions.
@@ -71,8 +71,8 @@
 }
 
 func (r *Result) take(sys *Simulation) {
-	r.Fates = sys.callers.fates
-	slices.SortFunc(r.Fates, func(a, b CallResult) int { return int(a.At - b.At) })
+	r.Calls = sys.callers.fates
+	slices.SortFunc(r.Calls, func(a, b CallResult) int { return int(a.At - b.At) })
 	r.Wrong = sys.world.wrong
 	r.Loads = sys.world.loads
 }
@@ -105,7 +105,7 @@
 	}
 	owed, earned := 0.0, 0.0
 	var firsts []time.Duration
-	for _, f := range r.Fates {
+	for _, f := range r.Calls {
 		if kind != "" && f.Kind != kind || f.At < from || f.At >= until {
 			continue
 		}
