--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -42,9 +42,9 @@
 	Kind    string
 	At      time.Duration
 	Outcome Outcome
-	// First is when the first piece came, Pause the longest time without one after it.
-	First, Pause time.Duration
-	Tries        int
+	// FirstPiece is when the first piece came, Pause the longest time without one after it.
+	FirstPiece, Pause time.Duration
+	Tries             int
 	// Work is the part of a replica's time that the call takes, by the engine's figures.
 	Work time.Duration
 }
@@ -141,14 +141,14 @@
 
 // note takes a try's part into the call's fate.
 func (f *CallResult) note(s *sink, k *Kind) {
-	if s.pieces > 0 && f.First == 0 {
-		f.First = s.first.Sub(s.sent)
+	if s.pieces > 0 && f.FirstPiece == 0 {
+		f.FirstPiece = s.first.Sub(s.sent)
 	}
 	f.Pause = max(f.Pause, s.pause)
 	switch {
 	case !s.ended:
 		f.Outcome = Failed
-	case f.First <= k.Target && f.Pause <= k.Pause:
+	case f.FirstPiece <= k.Target && f.Pause <= k.Pause:
 		f.Outcome = OnTime
 	default:
 		f.Outcome = Late
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -112,8 +112,8 @@
 		k := r.kind(f.Kind)
 		row.Asked++
 		owed += k.Worth
-		if f.First > 0 {
-			firsts = append(firsts, f.First)
+		if f.FirstPiece > 0 {
+			firsts = append(firsts, f.FirstPiece)
 		}
 		switch f.Outcome {
 		case OnTime:
