--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -42,9 +42,9 @@
 	Kind    string
 	At      time.Duration
 	Outcome Outcome
-	// FirstPiece is when the first piece came, Pause the longest time without one after it.
-	FirstPiece, Pause time.Duration
-	Tries             int
+	// FirstPiece is when the first piece came, MaxGap the longest time without one after it.
+	FirstPiece, MaxGap time.Duration
+	Tries              int
 	// Work is the part of a replica's time that the call takes, by the engine's figures.
 	Work time.Duration
 }
@@ -144,11 +144,11 @@
 	if s.pieces > 0 && f.FirstPiece == 0 {
 		f.FirstPiece = s.first.Sub(s.sent)
 	}
-	f.Pause = max(f.Pause, s.pause)
+	f.MaxGap = max(f.MaxGap, s.pause)
 	switch {
 	case !s.ended:
 		f.Outcome = Failed
-	case f.FirstPiece <= k.Target && f.Pause <= k.Pause:
+	case f.FirstPiece <= k.Target && f.MaxGap <= k.Pause:
 		f.Outcome = OnTime
 	default:
 		f.Outcome = Late
