--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -44,7 +44,7 @@
 	Outcome Outcome
 	// FirstPiece is when the first piece came, MaxGap the longest time without one after it.
 	FirstPiece, MaxGap time.Duration
-	Tries              int
+	Attempts           int
 	// Work is the part of a replica's time that the call takes, by the engine's figures.
 	Work time.Duration
 }
@@ -118,7 +118,7 @@
 	fate := CallResult{Kind: k.Name, At: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
 	resume := ""
 	for try := range 2 {
-		fate.Tries = try + 1
+		fate.Attempts = try + 1
 		s := c.try(n, k, fmt.Sprintf("%s-%d", id, try), sent, prompt, answer, hint, resume)
 		fate.note(s, k)
 		if s.ended {
