--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -40,7 +40,7 @@
 // CallResult is one call and what came of it. Times count from its first sending.
 type CallResult struct {
 	Kind    string
-	At      time.Duration
+	SentAt  time.Duration
 	Outcome Outcome
 	// FirstPiece is when the first piece came, MaxGap the longest time without one after it.
 	FirstPiece, MaxGap time.Duration
@@ -115,7 +115,7 @@
 // one takes a call through its tries: a refused caller comes back once.
 func (c *callers) one(n *node, k *Kind, id string, at time.Duration, prompt, answer, hint int) {
 	sent := time.Now()
-	fate := CallResult{Kind: k.Name, At: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
+	fate := CallResult{Kind: k.Name, SentAt: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
 	resume := ""
 	for try := range 2 {
 		fate.Attempts = try + 1
--- a/internal/player/ceiling.go
+++ b/internal/player/ceiling.go
@@ -32,7 +32,7 @@
 	for _, m := range r.Scenario.Models {
 		c := Ceiling{Model: m.Name, Standing: r.standing(m, from, until)}
 		for _, f := range r.Calls {
-			if f.At < from || f.At >= until || r.kind(f.Kind).Model != m.Name {
+			if f.SentAt < from || f.SentAt >= until || r.kind(f.Kind).Model != m.Name {
 				continue
 			}
 			work := f.Work.Seconds() / (until - from).Seconds()
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -72,7 +72,7 @@
 
 func (r *Result) take(sys *Simulation) {
 	r.Calls = sys.callers.fates
-	slices.SortFunc(r.Calls, func(a, b CallResult) int { return int(a.At - b.At) })
+	slices.SortFunc(r.Calls, func(a, b CallResult) int { return int(a.SentAt - b.SentAt) })
 	r.Wrong = sys.world.wrong
 	r.Loads = sys.world.loads
 }
@@ -106,7 +106,7 @@
 	owed, earned := 0.0, 0.0
 	var firsts []time.Duration
 	for _, f := range r.Calls {
-		if kind != "" && f.Kind != kind || f.At < from || f.At >= until {
+		if kind != "" && f.Kind != kind || f.SentAt < from || f.SentAt >= until {
 			continue
 		}
 		k := r.kind(f.Kind)
