--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -16,14 +16,14 @@
 	Scenario *Scenario
 	Calls    []CallResult
 	// VMs is the count of VMs by what they did, each second.
-	VMs []Tally
+	VMs []VMSample
 	// Wrong are broken promises about replicas: each is a fault of the decisions.
 	Wrong []string
 	Loads int
 }
 
-// Tally counts VMs at a moment.
-type Tally struct {
+// VMSample counts VMs at a moment.
+type VMSample struct {
 	At time.Duration
 	// Serving counts VMs of open replicas by model.
 	Serving map[string]int
@@ -39,10 +39,10 @@
 	})
 }
 
-func (w *world) tally(at time.Duration) Tally {
+func (w *world) tally(at time.Duration) VMSample {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t := Tally{At: at, Serving: make(map[string]int)}
+	t := VMSample{At: at, Serving: make(map[string]int)}
 	for _, v := range w.vms {
 		if v.dead {
 			continue
