--- a/internal/player/ceiling.go
+++ b/internal/player/ceiling.go
@@ -49,7 +49,7 @@
 // standing is the mean number of the model's replicas that served.
 func (r *Result) standing(m Model, from, until time.Duration) float64 {
 	sum, n := 0.0, 0
-	for _, t := range r.VMs {
+	for _, t := range r.VMSamples {
 		if t.At >= from && t.At <= until {
 			sum += float64(t.Serving[m.Name]) / float64(m.VMs)
 			n++
@@ -62,7 +62,7 @@
 // it is needed; 1 is all of it.
 func (r *Result) Everything(from, until time.Duration) float64 {
 	live, n := 0.0, 0
-	for _, t := range r.VMs {
+	for _, t := range r.VMSamples {
 		if t.At >= from && t.At <= until {
 			live += float64(t.Live)
 			n++
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -15,8 +15,8 @@
 type Result struct {
 	Scenario *Scenario
 	Calls    []CallResult
-	// VMs is the count of VMs by what they did, each second.
-	VMs []VMSample
+	// VMSamples is the count of VMSamples by what they did, each second.
+	VMSamples []VMSample
 	// Wrong are broken promises about replicas: each is a fault of the decisions.
 	Wrong []string
 	Loads int
@@ -35,7 +35,7 @@
 func (sys *Simulation) watch(ctx context.Context, res *Result) {
 	began := time.Now()
 	clock.Every(ctx, time.Second, func(now time.Time) {
-		res.VMs = append(res.VMs, sys.world.tally(now.Sub(began)))
+		res.VMSamples = append(res.VMSamples, sys.world.tally(now.Sub(began)))
 	})
 }
 
