--- a/internal/player/player_test.go
+++ b/internal/player/player_test.go
@@ -25,7 +25,7 @@
 func play(t *testing.T, s *player.Scenario, opts player.Options) (res *player.Result) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { res = player.Simulate(s, opts) })
-	require.Empty(t, res.Wrong)
+	require.Empty(t, res.Violations)
 	return res
 }
 
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -17,9 +17,9 @@
 	Calls    []CallResult
 	// VMSamples is the count of VMSamples by what they did, each second.
 	VMSamples []VMSample
-	// Wrong are broken promises about replicas: each is a fault of the decisions.
-	Wrong []string
-	Loads int
+	// Violations are broken promises about replicas: each is a fault of the decisions.
+	Violations []string
+	Loads      int
 }
 
 // VMSample counts VMs at a moment.
@@ -73,7 +73,7 @@
 func (r *Result) take(sys *Simulation) {
 	r.Calls = sys.callers.fates
 	slices.SortFunc(r.Calls, func(a, b CallResult) int { return int(a.SentAt - b.SentAt) })
-	r.Wrong = sys.world.wrong
+	r.Violations = sys.world.wrong
 	r.Loads = sys.world.loads
 }
 
