--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -19,7 +19,7 @@
 	VMSamples []VMSample
 	// Violations are broken promises about replicas: each is a fault of the decisions.
 	Violations []string
-	Loads      int
+	ModelLoads int
 }
 
 // VMSample counts VMs at a moment.
@@ -74,7 +74,7 @@
 	r.Calls = sys.callers.fates
 	slices.SortFunc(r.Calls, func(a, b CallResult) int { return int(a.SentAt - b.SentAt) })
 	r.Violations = sys.world.wrong
-	r.Loads = sys.world.loads
+	r.ModelLoads = sys.world.loads
 }
 
 // Row sums up the calls of one kind, or all.
