--- a/internal/player/ceiling.go
+++ b/internal/player/ceiling.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// Ceiling is, for the calls of one model sent in some time, how much of their work could
+// Goodput is, for the calls of one model sent in some time, how much of their work could
 // have been done on time, and how much was. All are in replicas that the work keeps busy.
-type Ceiling struct {
+type Goodput struct {
 	Model string
 	// Asked is the work of all calls, each counted once.
 	Asked float64
@@ -17,7 +17,7 @@
 }
 
 // Share is the part of what the standing replicas could have done on time that was.
-func (c Ceiling) Share() float64 {
+func (c Goodput) Share() float64 {
 	best := min(c.Asked, c.Standing)
 	if best <= 0 {
 		return 1
@@ -27,10 +27,10 @@
 
 // Ceilings reckons what the calls sent from a moment until another asked, and what was
 // there for them, by model, from the engines' published figures.
-func (r *Result) Ceilings(from, until time.Duration) []Ceiling {
-	var out []Ceiling
+func (r *Result) Ceilings(from, until time.Duration) []Goodput {
+	var out []Goodput
 	for _, m := range r.Scenario.Models {
-		c := Ceiling{Model: m.Name, Standing: r.standing(m, from, until)}
+		c := Goodput{Model: m.Name, Standing: r.standing(m, from, until)}
 		for _, f := range r.Calls {
 			if f.SentAt < from || f.SentAt >= until || r.kind(f.Kind).Model != m.Name {
 				continue
