--- a/internal/player/ceiling.go
+++ b/internal/player/ceiling.go
@@ -25,9 +25,9 @@
 	return c.OnTime / best
 }
 
-// Ceilings reckons what the calls sent from a moment until another asked, and what was
+// Goodput reckons what the calls sent from a moment until another asked, and what was
 // there for them, by model, from the engines' published figures.
-func (r *Result) Ceilings(from, until time.Duration) []Goodput {
+func (r *Result) Goodput(from, until time.Duration) []Goodput {
 	var out []Goodput
 	for _, m := range r.Scenario.Models {
 		c := Goodput{Model: m.Name, Standing: r.standing(m, from, until)}
@@ -69,7 +69,7 @@
 		}
 	}
 	asked := 0.0 // in VMs
-	for i, c := range r.Ceilings(from, until) {
+	for i, c := range r.Goodput(from, until) {
 		asked += c.Asked * float64(r.Scenario.Models[i].VMs)
 	}
 	if asked <= 0 || n == 0 {
--- a/internal/player/player_test.go
+++ b/internal/player/player_test.go
@@ -51,7 +51,7 @@
 	const seeds = 4
 	shares := make(map[string]float64)
 	for seed := range uint64(seeds) {
-		for _, c := range play(t, load(t, name), player.Options{Seed: seed + 1}).Ceilings(from, until) {
+		for _, c := range play(t, load(t, name), player.Options{Seed: seed + 1}).Goodput(from, until) {
 			shares[c.Model] += c.Share() / seeds
 		}
 	}
