--- a/internal/player/ceiling.go
+++ b/internal/player/ceiling.go
@@ -8,8 +8,8 @@
 // have been done on time, and how much was. All are in replicas that the work keeps busy.
 type Goodput struct {
 	Model string
-	// Asked is the work of all calls, each counted once.
-	Asked float64
+	// Demand is the work of all calls, each counted once.
+	Demand float64
 	// Standing is how many replicas served meanwhile.
 	Standing float64
 	// OnTime is the work of the calls that were answered on time.
@@ -18,7 +18,7 @@
 
 // Share is the part of what the standing replicas could have done on time that was.
 func (c Goodput) Share() float64 {
-	best := min(c.Asked, c.Standing)
+	best := min(c.Demand, c.Standing)
 	if best <= 0 {
 		return 1
 	}
@@ -36,7 +36,7 @@
 				continue
 			}
 			work := f.Work.Seconds() / (until - from).Seconds()
-			c.Asked += work
+			c.Demand += work
 			if f.Outcome == OnTime {
 				c.OnTime += work
 			}
@@ -70,7 +70,7 @@
 	}
 	asked := 0.0 // in VMs
 	for i, c := range r.Goodput(from, until) {
-		asked += c.Asked * float64(r.Scenario.Models[i].VMs)
+		asked += c.Demand * float64(r.Scenario.Models[i].VMs)
 	}
 	if asked <= 0 || n == 0 {
 		return 1
