--- a/internal/player/ceiling.go
+++ b/internal/player/ceiling.go
@@ -10,15 +10,15 @@
 	Model string
 	// Demand is the work of all calls, each counted once.
 	Demand float64
-	// Standing is how many replicas served meanwhile.
-	Standing float64
+	// Capacity is how many replicas served meanwhile.
+	Capacity float64
 	// OnTime is the work of the calls that were answered on time.
 	OnTime float64
 }
 
 // Share is the part of what the standing replicas could have done on time that was.
 func (c Goodput) Share() float64 {
-	best := min(c.Demand, c.Standing)
+	best := min(c.Demand, c.Capacity)
 	if best <= 0 {
 		return 1
 	}
@@ -30,7 +30,7 @@
 func (r *Result) Goodput(from, until time.Duration) []Goodput {
 	var out []Goodput
 	for _, m := range r.Scenario.Models {
-		c := Goodput{Model: m.Name, Standing: r.standing(m, from, until)}
+		c := Goodput{Model: m.Name, Capacity: r.standing(m, from, until)}
 		for _, f := range r.Calls {
 			if f.SentAt < from || f.SentAt >= until || r.kind(f.Kind).Model != m.Name {
 				continue
