--- a/internal/player/ceiling.go
+++ b/internal/player/ceiling.go
@@ -58,9 +58,9 @@
 	return sum / float64(max(n, 1))
 }
 
-// Everything is the part of the work asked that all live VMs could do if each stood where
+// ServableShare is the part of the work asked that all live VMs could do if each stood where
 // it is needed; 1 is all of it.
-func (r *Result) Everything(from, until time.Duration) float64 {
+func (r *Result) ServableShare(from, until time.Duration) float64 {
 	live, n := 0.0, 0
 	for _, t := range r.VMSamples {
 		if t.At >= from && t.At <= until {
