--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -77,8 +77,8 @@
 	r.ModelLoads = sys.world.loads
 }
 
-// Row sums up the calls of one kind, or all.
-type Row struct {
+// KindSummary sums up the calls of one kind, or all.
+type KindSummary struct {
 	Kind                          string
 	Asked                         int
 	OnTime, Late, Refused, Failed float64
@@ -89,8 +89,8 @@
 }
 
 // Rows sums up the calls sent from a moment until another, by kind and then all.
-func (r *Result) Rows(from, until time.Duration) []Row {
-	var out []Row
+func (r *Result) Rows(from, until time.Duration) []KindSummary {
+	var out []KindSummary
 	for _, k := range r.Scenario.Kinds {
 		out = append(out, r.row(k.Name, from, until))
 	}
@@ -98,8 +98,8 @@
 }
 
 // row sums up a kind's calls, or all for an empty name.
-func (r *Result) row(kind string, from, until time.Duration) Row {
-	row := Row{Kind: kind}
+func (r *Result) row(kind string, from, until time.Duration) KindSummary {
+	row := KindSummary{Kind: kind}
 	if kind == "" {
 		row.Kind = "all"
 	}
