--- a/internal/player/player_test.go
+++ b/internal/player/player_test.go
@@ -36,7 +36,7 @@
 	for name, seen := range map[string]map[string]time.Duration{
 		"drafts-quiet": {"draft": 235 * time.Millisecond, "summary": 169 * time.Millisecond, "note": 246 * time.Millisecond},
 	} {
-		for _, row := range play(t, load(t, name), player.Options{Seed: 1}).Rows(0, time.Hour) {
+		for _, row := range play(t, load(t, name), player.Options{Seed: 1}).Summaries(0, time.Hour) {
 			if want, ok := seen[row.Kind]; ok {
 				require.InEpsilon(t, want.Seconds(), row.FirstP50.Seconds(), 0.2, row.Kind)
 			}
@@ -92,7 +92,7 @@
 	const seeds, mostLate = 3, 0.025
 	late := 0.0
 	for seed := range uint64(seeds) {
-		rows := play(t, load(t, "many-nodes"), player.Options{Seed: seed + 1}).Rows(2*time.Second, 16*time.Second)
+		rows := play(t, load(t, "many-nodes"), player.Options{Seed: seed + 1}).Summaries(2*time.Second, 16*time.Second)
 		late += rows[len(rows)-1].Late / seeds
 	}
 	t.Logf("late=%.4f", late)
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -88,8 +88,8 @@
 	FirstP50, FirstP99 time.Duration
 }
 
-// Rows sums up the calls sent from a moment until another, by kind and then all.
-func (r *Result) Rows(from, until time.Duration) []KindSummary {
+// Summaries sums up the calls sent from a moment until another, by kind and then all.
+func (r *Result) Summaries(from, until time.Duration) []KindSummary {
 	var out []KindSummary
 	for _, k := range r.Scenario.Kinds {
 		out = append(out, r.row(k.Name, from, until))
@@ -149,7 +149,7 @@
 // Write prints the table of what callers got.
 func (r *Result) Write(out io.Writer, from, until time.Duration) {
 	fmt.Fprintf(out, "%-16s %6s %8s %6s %8s %7s %6s %9s %9s\n", "kind", "asked", "on time", "late", "refused", "failed", "worth", "p50", "p99")
-	for _, row := range r.Rows(from, until) {
+	for _, row := range r.Summaries(from, until) {
 		fmt.Fprintf(out, "%-16s %6d %8.3f %6.3f %8.3f %7.3f %6.3f %9s %9s\n", row.Kind, row.Asked, row.OnTime, row.Late, row.Refused, row.Failed, row.Worth,
 			row.FirstP50.Round(time.Millisecond), row.FirstP99.Round(time.Millisecond))
 	}
