--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -80,7 +80,7 @@
 // KindSummary sums up the calls of one kind, or all.
 type KindSummary struct {
 	Kind                          string
-	Asked                         int
+	Calls                         int
 	OnTime, Late, Refused, Failed float64
 	// Worth is the credit earned over that owed.
 	Worth float64
@@ -110,7 +110,7 @@
 			continue
 		}
 		k := r.kind(f.Kind)
-		row.Asked++
+		row.Calls++
 		owed += k.Worth
 		if f.FirstPiece > 0 {
 			firsts = append(firsts, f.FirstPiece)
@@ -128,10 +128,10 @@
 			row.Failed++
 		}
 	}
-	if row.Asked == 0 {
+	if row.Calls == 0 {
 		return row
 	}
-	n := float64(row.Asked)
+	n := float64(row.Calls)
 	row.OnTime, row.Late, row.Refused, row.Failed = row.OnTime/n, row.Late/n, row.Refused/n, row.Failed/n
 	row.Worth = earned / owed
 	slices.Sort(firsts)
@@ -150,7 +150,7 @@
 func (r *Result) Write(out io.Writer, from, until time.Duration) {
 	fmt.Fprintf(out, "%-16s %6s %8s %6s %8s %7s %6s %9s %9s\n", "kind", "asked", "on time", "late", "refused", "failed", "worth", "p50", "p99")
 	for _, row := range r.Summaries(from, until) {
-		fmt.Fprintf(out, "%-16s %6d %8.3f %6.3f %8.3f %7.3f %6.3f %9s %9s\n", row.Kind, row.Asked, row.OnTime, row.Late, row.Refused, row.Failed, row.Worth,
+		fmt.Fprintf(out, "%-16s %6d %8.3f %6.3f %8.3f %7.3f %6.3f %9s %9s\n", row.Kind, row.Calls, row.OnTime, row.Late, row.Refused, row.Failed, row.Worth,
 			row.FirstP50.Round(time.Millisecond), row.FirstP99.Round(time.Millisecond))
 	}
 }
