--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -82,8 +82,8 @@
 	Kind                          string
 	Calls                         int
 	OnTime, Late, Refused, Failed float64
-	// Worth is the credit earned over that owed.
-	Worth float64
+	// ValueShare is the credit earned over that owed.
+	ValueShare float64
 	// FirstP50 and FirstP99 are of the first pieces.
 	FirstP50, FirstP99 time.Duration
 }
@@ -133,7 +133,7 @@
 	}
 	n := float64(row.Calls)
 	row.OnTime, row.Late, row.Refused, row.Failed = row.OnTime/n, row.Late/n, row.Refused/n, row.Failed/n
-	row.Worth = earned / owed
+	row.ValueShare = earned / owed
 	slices.Sort(firsts)
 	if len(firsts) > 0 {
 		row.FirstP50, row.FirstP99 = firsts[len(firsts)/2], firsts[len(firsts)*99/100]
@@ -150,7 +150,7 @@
 func (r *Result) Write(out io.Writer, from, until time.Duration) {
 	fmt.Fprintf(out, "%-16s %6s %8s %6s %8s %7s %6s %9s %9s\n", "kind", "asked", "on time", "late", "refused", "failed", "worth", "p50", "p99")
 	for _, row := range r.Summaries(from, until) {
-		fmt.Fprintf(out, "%-16s %6d %8.3f %6.3f %8.3f %7.3f %6.3f %9s %9s\n", row.Kind, row.Calls, row.OnTime, row.Late, row.Refused, row.Failed, row.Worth,
+		fmt.Fprintf(out, "%-16s %6d %8.3f %6.3f %8.3f %7.3f %6.3f %9s %9s\n", row.Kind, row.Calls, row.OnTime, row.Late, row.Refused, row.Failed, row.ValueShare,
 			row.FirstP50.Round(time.Millisecond), row.FirstP99.Round(time.Millisecond))
 	}
 }
