--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -73,7 +73,7 @@
 const hintSpread = 0.5
 
 // draw is the rate of all calls at a moment, and the kind of the next.
-func (c *callers) draw(at time.Duration) (rate float64, kind *Kind) {
+func (c *callers) draw(at time.Duration) (rate float64, kind *CallKind) {
 	rates := make([]float64, len(c.sys.scenario.Kinds))
 	for i, k := range c.sys.scenario.Kinds {
 		rates[i] = k.Rate
@@ -113,7 +113,7 @@
 )
 
 // one takes a call through its tries: a refused caller comes back once.
-func (c *callers) one(n *node, k *Kind, id string, at time.Duration, prompt, answer, hint int) {
+func (c *callers) one(n *node, k *CallKind, id string, at time.Duration, prompt, answer, hint int) {
 	sent := time.Now()
 	fate := CallResult{Kind: k.Name, SentAt: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
 	resume := ""
@@ -140,7 +140,7 @@
 }
 
 // note takes a try's part into the call's fate.
-func (f *CallResult) note(s *sink, k *Kind) {
+func (f *CallResult) note(s *sink, k *CallKind) {
 	if s.pieces > 0 && f.FirstPiece == 0 {
 		f.FirstPiece = s.first.Sub(s.sent)
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-func (c *callers) try(n *node, k *Kind, id string, sent time.Time, prompt, answer, hint int, resume string) *sink {
+func (c *callers) try(n *node, k *CallKind, id string, sent time.Time, prompt, answer, hint int, resume string) *sink {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s := &sink{sent: sent, timeout: max(shortestGap, longestTargets*k.Target, longestPauses*k.Pause)}
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -141,8 +141,8 @@
 	return row
 }
 
-func (r *Result) kind(name string) Kind {
-	at := slices.IndexFunc(r.Scenario.Kinds, func(k Kind) bool { return k.Name == name })
+func (r *Result) kind(name string) CallKind {
+	at := slices.IndexFunc(r.Scenario.Kinds, func(k CallKind) bool { return k.Name == name })
 	return r.Scenario.Kinds[at]
 }
 
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -28,7 +28,7 @@
 	Zones  []Zone        `yaml:"zones"`
 	Engine Engine        `yaml:"engine"`
 	Models []Model       `yaml:"models"`
-	Kinds  []Kind        `yaml:"kinds"`
+	Kinds  []CallKind    `yaml:"kinds"`
 	Bursts []Burst       `yaml:"bursts"`
 	Faults []Fault       `yaml:"faults"`
 }
@@ -76,8 +76,8 @@
 	Share float64       `yaml:"share"`
 }
 
-// Kind is a kind of call.
-type Kind struct {
+// CallKind is a kind of call.
+type CallKind struct {
 	Name  string  `yaml:"name"`
 	Model string  `yaml:"model"`
 	Rate  float64 `yaml:"rate"`
@@ -193,7 +193,7 @@
 }
 
 // work is the part of a replica's time that a call of the kind takes.
-func (s *Scenario) work(k *Kind, prompt, answer int) time.Duration {
+func (s *Scenario) work(k *CallKind, prompt, answer int) time.Duration {
 	for _, m := range s.Models {
 		if m.Name == k.Model {
 			return s.figures(m).RequestCost(prompt, answer)
