--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -148,7 +148,7 @@
 	switch {
 	case !s.ended:
 		f.Outcome = Failed
-	case f.FirstPiece <= k.Target && f.MaxGap <= k.Pause:
+	case f.FirstPiece <= k.Target && f.MaxGap <= k.TargetGap:
 		f.Outcome = OnTime
 	default:
 		f.Outcome = Late
@@ -158,7 +158,7 @@
 func (c *callers) try(n *node, k *CallKind, id string, sent time.Time, prompt, answer, hint int, resume string) *sink {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s := &sink{sent: sent, timeout: max(shortestGap, longestTargets*k.Target, longestPauses*k.Pause)}
+	s := &sink{sent: sent, timeout: max(shortestGap, longestTargets*k.Target, longestPauses*k.TargetGap)}
 	s.timer = time.AfterFunc(s.timeout, cancel)
 	defer s.timer.Stop()
 	c.mu.Lock()
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -82,11 +82,11 @@
 	Model string  `yaml:"model"`
 	Rate  float64 `yaml:"rate"`
 	// Target bounds the first piece, Pause the time between two.
-	Target   time.Duration `yaml:"target"`
-	Pause    time.Duration `yaml:"pause"`
-	Deadline time.Duration `yaml:"deadline"`
-	Prompt   Tokens        `yaml:"prompt"`
-	Answer   Tokens        `yaml:"answer"`
+	Target    time.Duration `yaml:"target"`
+	TargetGap time.Duration `yaml:"pause"`
+	Deadline  time.Duration `yaml:"deadline"`
+	Prompt    Tokens        `yaml:"prompt"`
+	Answer    Tokens        `yaml:"answer"`
 	// Worth and Late are what an answer on time and a later one is worth.
 	Worth    float64 `yaml:"worth"`
 	Late     float64 `yaml:"late"`
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -100,7 +100,7 @@
 	}
 	for _, k := range s.Kinds {
 		set.Routes = append(set.Routes, rules.Route{Path: "/" + k.Name + "/", Model: "*", Team: "*", Prefer: rules.PreferLocal, Policy: &rules.RoutePolicy{
-			Name: k.Name, Host: "played", Kind: rules.CallStream, Resumable: true, Timeout: k.Deadline, Target: k.Target, TargetGap: k.Pause,
+			Name: k.Name, Host: "played", Kind: rules.CallStream, Resumable: true, Timeout: k.Deadline, Target: k.Target, TargetGap: k.TargetGap,
 			MaxAttempts: 2, Priority: k.Priority, Public: true, Split: []rules.WeightedService{{Service: engines, Weight: 1}}}})
 	}
 	out := rules.Assemble(set)
