--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -111,14 +111,14 @@
 		}
 		k := r.kind(f.Kind)
 		row.Calls++
-		owed += k.Worth
+		owed += k.Value
 		if f.FirstPiece > 0 {
 			firsts = append(firsts, f.FirstPiece)
 		}
 		switch f.Outcome {
 		case OnTime:
 			row.OnTime++
-			earned += k.Worth
+			earned += k.Value
 		case Late:
 			row.Late++
 			earned += k.Late
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -87,8 +87,8 @@
 	Deadline  time.Duration `yaml:"deadline"`
 	Prompt    Tokens        `yaml:"prompt"`
 	Answer    Tokens        `yaml:"answer"`
-	// Worth and Late are what an answer on time and a later one is worth.
-	Worth    float64 `yaml:"worth"`
+	// Value and Late are what an answer on time and a later one is worth.
+	Value    float64 `yaml:"worth"`
 	Late     float64 `yaml:"late"`
 	Priority int     `yaml:"priority"`
 }
