--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -121,7 +121,7 @@
 			earned += k.Value
 		case Late:
 			row.Late++
-			earned += k.Late
+			earned += k.LateValue
 		case Refused:
 			row.Refused++
 		case Failed:
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -88,9 +88,9 @@
 	Prompt    Tokens        `yaml:"prompt"`
 	Answer    Tokens        `yaml:"answer"`
 	// Value and Late are what an answer on time and a later one is worth.
-	Value    float64 `yaml:"worth"`
-	Late     float64 `yaml:"late"`
-	Priority int     `yaml:"priority"`
+	Value     float64 `yaml:"worth"`
+	LateValue float64 `yaml:"late"`
+	Priority  int     `yaml:"priority"`
 }
 
 // Tokens is a log-normal distribution with a mean, cut at a greatest value. Spread is
