--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -93,7 +93,7 @@
 	return rate, nil
 }
 
-func (t Tokens) draw(rng *rand.Rand) float64 {
+func (t TokenDistribution) draw(rng *rand.Rand) float64 {
 	tokens := t.Mean * math.Exp(t.Spread*rng.NormFloat64()-t.Spread*t.Spread/2)
 	if t.Most > 0 {
 		tokens = min(tokens, t.Most)
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -82,20 +82,20 @@
 	Model string  `yaml:"model"`
 	Rate  float64 `yaml:"rate"`
 	// Target bounds the first piece, Pause the time between two.
-	Target    time.Duration `yaml:"target"`
-	TargetGap time.Duration `yaml:"pause"`
-	Deadline  time.Duration `yaml:"deadline"`
-	Prompt    Tokens        `yaml:"prompt"`
-	Answer    Tokens        `yaml:"answer"`
+	Target    time.Duration     `yaml:"target"`
+	TargetGap time.Duration     `yaml:"pause"`
+	Deadline  time.Duration     `yaml:"deadline"`
+	Prompt    TokenDistribution `yaml:"prompt"`
+	Answer    TokenDistribution `yaml:"answer"`
 	// Value and Late are what an answer on time and a later one is worth.
 	Value     float64 `yaml:"worth"`
 	LateValue float64 `yaml:"late"`
 	Priority  int     `yaml:"priority"`
 }
 
-// Tokens is a log-normal distribution with a mean, cut at a greatest value. Spread is
+// TokenDistribution is a log-normal distribution with a mean, cut at a greatest value. Spread is
 // the standard deviation of its logarithm.
-type Tokens struct {
+type TokenDistribution struct {
 	Mean   float64 `yaml:"mean"`
 	Spread float64 `yaml:"spread"`
 	Most   float64 `yaml:"most"`
