--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -95,8 +95,8 @@
 
 func (t TokenDistribution) draw(rng *rand.Rand) float64 {
 	tokens := t.Mean * math.Exp(t.Spread*rng.NormFloat64()-t.Spread*t.Spread/2)
-	if t.Most > 0 {
-		tokens = min(tokens, t.Most)
+	if t.Max > 0 {
+		tokens = min(tokens, t.Max)
 	}
 	return max(tokens, 1)
 }
@@ -166,7 +166,7 @@
 	route := c.routes[k.Name]
 	c.mu.Unlock()
 	now := time.Now()
-	n.serve(ctx, &call.Call{ID: id, Route: route, RulesRevision: 1, Model: k.Model, PromptTokens: prompt, MaxOutputTokens: int(k.Answer.Most), OutputTokensHint: hint,
+	n.serve(ctx, &call.Call{ID: id, Route: route, RulesRevision: 1, Model: k.Model, PromptTokens: prompt, MaxOutputTokens: int(k.Answer.Max), OutputTokensHint: hint,
 		Priority: k.Priority, ReceivedAt: now, Deadline: sent.Add(k.Deadline), ResumeAfter: resume}, s)
 	return s
 }
--- a/internal/player/player_test.go
+++ b/internal/player/player_test.go
@@ -116,7 +116,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []player.CallKind{{
 		Name: "k", Model: "m", Rate: 2, Target: time.Second, TargetGap: 2 * time.Second, Deadline: 3 * time.Second,
-		Prompt: player.TokenDistribution{Mean: 7, Spread: 0.1, Most: 8}, Answer: player.TokenDistribution{Mean: 9, Spread: 0.2, Most: 10},
+		Prompt: player.TokenDistribution{Mean: 7, Spread: 0.1, Max: 8}, Answer: player.TokenDistribution{Mean: 9, Spread: 0.2, Max: 10},
 		Value: 4, LateValue: 0.5, Priority: 6,
 	}}, s.Kinds)
 }
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -98,7 +98,7 @@
 type TokenDistribution struct {
 	Mean   float64 `yaml:"mean"`
 	Spread float64 `yaml:"spread"`
-	Most   float64 `yaml:"most"`
+	Max    float64 `yaml:"most"`
 }
 
 // Burst multiplies the rate of a kind for some time; an empty kind is all.
