--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -78,7 +78,7 @@
 	for i, k := range c.sys.scenario.Kinds {
 		rates[i] = k.Rate
 		for _, b := range c.sys.scenario.Bursts {
-			if (b.Kind == "" || b.Kind == k.Name) && at >= b.At && at < b.At+b.For {
+			if (b.Kind == "" || b.Kind == k.Name) && at >= b.At && at < b.At+b.Duration {
 				rates[i] *= b.Factor
 			}
 		}
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -103,10 +103,10 @@
 
 // Burst multiplies the rate of a kind for some time; an empty kind is all.
 type Burst struct {
-	Kind   string        `yaml:"kind"`
-	At     time.Duration `yaml:"at"`
-	For    time.Duration `yaml:"for"`
-	Factor float64       `yaml:"factor"`
+	Kind     string        `yaml:"kind"`
+	At       time.Duration `yaml:"at"`
+	Duration time.Duration `yaml:"for"`
+	Factor   float64       `yaml:"factor"`
 }
 
 // FaultKind says what goes wrong.
