--- a/internal/player/faults.go
+++ b/internal/player/faults.go
@@ -14,8 +14,8 @@
 func (sys *Simulation) schedule() {
 	for _, f := range sys.scenario.Faults {
 		time.AfterFunc(f.At, func() { sys.begin(f) })
-		if f.For > 0 {
-			time.AfterFunc(f.At+f.For, func() { sys.end(f) })
+		if f.Duration > 0 {
+			time.AfterFunc(f.At+f.Duration, func() { sys.end(f) })
 		}
 	}
 }
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -128,10 +128,10 @@
 
 // Fault is one thing that goes wrong at a time after the first call.
 type Fault struct {
-	Kind FaultKind      `yaml:"kind"`
-	At   time.Duration  `yaml:"at"`
-	For  time.Duration  `yaml:"for"`
-	Zone cluster.ZoneID `yaml:"zone"`
+	Kind     FaultKind      `yaml:"kind"`
+	At       time.Duration  `yaml:"at"`
+	Duration time.Duration  `yaml:"for"`
+	Zone     cluster.ZoneID `yaml:"zone"`
 	// Model narrows Lose and Slow to members of its replicas.
 	Model string `yaml:"model"`
 	Count int    `yaml:"count"`
