--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -21,9 +21,9 @@
 // Scenario is a load with its faults.
 type Scenario struct {
 	Name string `yaml:"name"`
-	// Lead is the time between the start of the nodes and the first call; Length is how
+	// Warmup is the time between the start of the nodes and the first call; Length is how
 	// long callers come.
-	Lead   time.Duration `yaml:"lead"`
+	Warmup time.Duration `yaml:"lead"`
 	Length time.Duration `yaml:"length"`
 	Zones  []Zone        `yaml:"zones"`
 	Engine Engine        `yaml:"engine"`
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -70,7 +70,7 @@
 			n.start(true)
 		}
 	}
-	time.Sleep(s.Lead)
+	time.Sleep(s.Warmup)
 	sys.world.serveNow()
 	watching, end := context.WithCancel(context.Background())
 	res := &Result{Scenario: s}
