--- a/internal/player/backend.go
+++ b/internal/player/backend.go
@@ -124,7 +124,7 @@
 	if err := r.await(); err != nil {
 		return err
 	}
-	time.Sleep(r.w.scenario.Engine.Reply)
+	time.Sleep(r.w.scenario.Engine.ResponseOverhead)
 	r.first = true
 	return nil
 }
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -54,9 +54,9 @@
 	PerContext    time.Duration `yaml:"per_context"`
 	ReadPerSecond float64       `yaml:"read_per_second"`
 	PerPairs      time.Duration `yaml:"per_pairs"`
-	// Reply is what a first piece takes beyond the passes: the way there and back, and
+	// ResponseOverhead is what a first piece takes beyond the passes: the way there and back, and
 	// what no figure tells.
-	Reply time.Duration `yaml:"reply"`
+	ResponseOverhead time.Duration `yaml:"reply"`
 	// Stall is how long a replica that lost a member stands still before it breaks.
 	Stall time.Duration `yaml:"stall"`
 	// Heartbeat is the time between two signs of life of a VM; its entry is gone three
