--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -57,8 +57,8 @@
 	// ResponseOverhead is what a first piece takes beyond the passes: the way there and back, and
 	// what no figure tells.
 	ResponseOverhead time.Duration `yaml:"reply"`
-	// Stall is how long a replica that lost a member stands still before it breaks.
-	Stall time.Duration `yaml:"stall"`
+	// StallTimeout is how long a replica that lost a member stands still before it breaks.
+	StallTimeout time.Duration `yaml:"stall"`
 	// Heartbeat is the time between two signs of life of a VM; its entry is gone three
 	// of them after its last one.
 	Heartbeat      time.Duration `yaml:"heartbeat"`
--- a/internal/player/world.go
+++ b/internal/player/world.go
@@ -166,7 +166,7 @@
 	}
 	stuck := h.head
 	stuck.stuckSince = time.Now()
-	h.after(w.scenario.Engine.Stall, func() {
+	h.after(w.scenario.Engine.StallTimeout, func() {
 		if h.head == stuck {
 			stuck.fail()
 			h.head = nil
