--- a/internal/player/backend.go
+++ b/internal/player/backend.go
@@ -85,9 +85,9 @@
 	if load.Waiting >= w.scenario.Engine.Queue {
 		return nil, nil, load, &relay.NotRunError{Reason: "full", Received: true, Load: &load, Err: errors.New(string(v.entry.ID))}
 	}
-	tokens := max(b.truth(a.Call.ID)-resumed(a.ResumeAfter)*w.scenario.Engine.Stride, 1)
+	tokens := max(b.truth(a.Call.ID)-resumed(a.ResumeAfter)*w.scenario.Engine.StepsPerPass, 1)
 	job := &enginemodel.Job{PromptTokens: max(a.Call.PromptTokens, 1), OutputTokens: tokens, Priority: a.Call.Priority}
-	ans := &answer{pieces: make(chan struct{}, tokens/w.scenario.Engine.Stride+1), failed: make(chan struct{})}
+	ans := &answer{pieces: make(chan struct{}, tokens/w.scenario.Engine.StepsPerPass+1), failed: make(chan struct{})}
 	h.replica.Add(job)
 	h.jobs[job] = ans
 	if !h.turning {
