--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -48,7 +48,7 @@
 	Slots         int           `yaml:"slots"`
 	Queue         int           `yaml:"queue"`
 	StepsPerPass  int           `yaml:"stride"`
-	Chunk         int           `yaml:"chunk"`
+	PrefillChunk  int           `yaml:"chunk"`
 	Step          time.Duration `yaml:"step"`
 	PerSequence   time.Duration `yaml:"per_sequence"`
 	PerContext    time.Duration `yaml:"per_context"`
@@ -143,7 +143,7 @@
 // figures are the engine's for one model.
 func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
-	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.StepsPerPass, PrefillChunk: e.Chunk, BaseStep: e.Step, StepPerSequence: e.PerSequence, StepPerContext: e.PerContext,
+	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.StepsPerPass, PrefillChunk: e.PrefillChunk, BaseStep: e.Step, StepPerSequence: e.PerSequence, StepPerContext: e.PerContext,
 		PrefillPerSecond: e.ReadPerSecond, AttentionPerPairs: e.PerPairs, TimeFactor: m.Pace}
 }
 
