--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -49,7 +49,7 @@
 	Queue         int           `yaml:"queue"`
 	StepsPerPass  int           `yaml:"stride"`
 	PrefillChunk  int           `yaml:"chunk"`
-	Step          time.Duration `yaml:"step"`
+	BaseStep      time.Duration `yaml:"step"`
 	PerSequence   time.Duration `yaml:"per_sequence"`
 	PerContext    time.Duration `yaml:"per_context"`
 	ReadPerSecond float64       `yaml:"read_per_second"`
@@ -143,7 +143,7 @@
 // figures are the engine's for one model.
 func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
-	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.StepsPerPass, PrefillChunk: e.PrefillChunk, BaseStep: e.Step, StepPerSequence: e.PerSequence, StepPerContext: e.PerContext,
+	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.StepsPerPass, PrefillChunk: e.PrefillChunk, BaseStep: e.BaseStep, StepPerSequence: e.PerSequence, StepPerContext: e.PerContext,
 		PrefillPerSecond: e.ReadPerSecond, AttentionPerPairs: e.PerPairs, TimeFactor: m.Pace}
 }
 
@@ -186,7 +186,7 @@
 		return &ScenarioError{"kinds", "none"}
 	case s.Length <= 0:
 		return &ScenarioError{"length", "not above zero"}
-	case s.Engine.Slots < 1 || s.Engine.Step <= 0 || s.Engine.ReadPerSecond <= 0 || s.Engine.Heartbeat <= 0:
+	case s.Engine.Slots < 1 || s.Engine.BaseStep <= 0 || s.Engine.ReadPerSecond <= 0 || s.Engine.Heartbeat <= 0:
 		return &ScenarioError{"engine", "slots, step, read_per_second and heartbeat are needed"}
 	}
 	return nil
