--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -51,7 +51,7 @@
 	PrefillChunk    int           `yaml:"chunk"`
 	BaseStep        time.Duration `yaml:"step"`
 	StepPerSequence time.Duration `yaml:"per_sequence"`
-	PerContext      time.Duration `yaml:"per_context"`
+	StepPerContext  time.Duration `yaml:"per_context"`
 	ReadPerSecond   float64       `yaml:"read_per_second"`
 	PerPairs        time.Duration `yaml:"per_pairs"`
 	// ResponseOverhead is what a first piece takes beyond the passes: the way there and back, and
@@ -143,7 +143,7 @@
 // figures are the engine's for one model.
 func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
-	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.StepsPerPass, PrefillChunk: e.PrefillChunk, BaseStep: e.BaseStep, StepPerSequence: e.StepPerSequence, StepPerContext: e.PerContext,
+	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.StepsPerPass, PrefillChunk: e.PrefillChunk, BaseStep: e.BaseStep, StepPerSequence: e.StepPerSequence, StepPerContext: e.StepPerContext,
 		PrefillPerSecond: e.ReadPerSecond, AttentionPerPairs: e.PerPairs, TimeFactor: m.Pace}
 }
 
