--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -45,15 +45,15 @@
 
 // Engine has the figures that all models share.
 type Engine struct {
-	Slots            int           `yaml:"slots"`
-	Queue            int           `yaml:"queue"`
-	StepsPerPass     int           `yaml:"stride"`
-	PrefillChunk     int           `yaml:"chunk"`
-	BaseStep         time.Duration `yaml:"step"`
-	StepPerSequence  time.Duration `yaml:"per_sequence"`
-	StepPerContext   time.Duration `yaml:"per_context"`
-	PrefillPerSecond float64       `yaml:"read_per_second"`
-	PerPairs         time.Duration `yaml:"per_pairs"`
+	Slots             int           `yaml:"slots"`
+	Queue             int           `yaml:"queue"`
+	StepsPerPass      int           `yaml:"stride"`
+	PrefillChunk      int           `yaml:"chunk"`
+	BaseStep          time.Duration `yaml:"step"`
+	StepPerSequence   time.Duration `yaml:"per_sequence"`
+	StepPerContext    time.Duration `yaml:"per_context"`
+	PrefillPerSecond  float64       `yaml:"read_per_second"`
+	AttentionPerPairs time.Duration `yaml:"per_pairs"`
 	// ResponseOverhead is what a first piece takes beyond the passes: the way there and back, and
 	// what no figure tells.
 	ResponseOverhead time.Duration `yaml:"reply"`
@@ -144,7 +144,7 @@
 func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
 	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.StepsPerPass, PrefillChunk: e.PrefillChunk, BaseStep: e.BaseStep, StepPerSequence: e.StepPerSequence, StepPerContext: e.StepPerContext,
-		PrefillPerSecond: e.PrefillPerSecond, AttentionPerPairs: e.PerPairs, TimeFactor: m.Pace}
+		PrefillPerSecond: e.PrefillPerSecond, AttentionPerPairs: e.AttentionPerPairs, TimeFactor: m.Pace}
 }
 
 // ScenarioError says what a scenario lacks.
