--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -68,12 +68,12 @@
 
 // Model is one of the models that the VMs can serve.
 type Model struct {
-	Name  string        `yaml:"name"`
-	VMs   int           `yaml:"vms"`
-	Pace  float64       `yaml:"pace"`
-	Cold  time.Duration `yaml:"cold"`
-	Warm  time.Duration `yaml:"warm"`
-	Share float64       `yaml:"share"`
+	Name       string        `yaml:"name"`
+	VMs        int           `yaml:"vms"`
+	TimeFactor float64       `yaml:"pace"`
+	Cold       time.Duration `yaml:"cold"`
+	Warm       time.Duration `yaml:"warm"`
+	Share      float64       `yaml:"share"`
 }
 
 // CallKind is a kind of call.
@@ -144,7 +144,7 @@
 func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
 	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.StepsPerPass, PrefillChunk: e.PrefillChunk, BaseStep: e.BaseStep, StepPerSequence: e.StepPerSequence, StepPerContext: e.StepPerContext,
-		PrefillPerSecond: e.PrefillPerSecond, AttentionPerPairs: e.AttentionPerPairs, TimeFactor: m.Pace}
+		PrefillPerSecond: e.PrefillPerSecond, AttentionPerPairs: e.AttentionPerPairs, TimeFactor: m.TimeFactor}
 }
 
 // ScenarioError says what a scenario lacks.
