--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -71,7 +71,7 @@
 	Name       string        `yaml:"name"`
 	VMs        int           `yaml:"vms"`
 	TimeFactor float64       `yaml:"pace"`
-	Cold       time.Duration `yaml:"cold"`
+	ColdLoad   time.Duration `yaml:"cold"`
 	Warm       time.Duration `yaml:"warm"`
 	Share      float64       `yaml:"share"`
 }
--- a/internal/player/world.go
+++ b/internal/player/world.go
@@ -116,7 +116,7 @@
 func (w *world) beginLoad(model string) time.Duration {
 	w.loading++
 	w.loads++
-	cold := w.model(model).Cold
+	cold := w.model(model).ColdLoad
 	if !w.served {
 		return time.Duration(cheapLoads * float64(cold))
 	}
