--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -72,7 +72,7 @@
 	VMs        int           `yaml:"vms"`
 	TimeFactor float64       `yaml:"pace"`
 	ColdLoad   time.Duration `yaml:"cold"`
-	Warm       time.Duration `yaml:"warm"`
+	WarmLoad   time.Duration `yaml:"warm"`
 	Share      float64       `yaml:"share"`
 }
 
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -96,7 +96,7 @@
 	set := rules.Set{Revision: 1, Weights: rules.WeightStore{LoadsPerSecond: s.Engine.LoadsPerSecond, LoadsAtOnce: s.Engine.LoadsAtOnce}}
 	for _, m := range s.Models {
 		set.Groups = append(set.Groups, rules.Group{Name: cluster.GroupName(m.Name), Model: m.Name, VMs: m.VMs, SameDomain: true, Weigh: rules.WeighDowntime,
-			Servers: engines, Demand: m.Share, Slots: s.Engine.Slots, ColdLoad: m.ColdLoad, WarmLoad: m.Warm, Engine: s.figures(m)})
+			Servers: engines, Demand: m.Share, Slots: s.Engine.Slots, ColdLoad: m.ColdLoad, WarmLoad: m.WarmLoad, Engine: s.figures(m)})
 	}
 	for _, k := range s.Kinds {
 		set.Routes = append(set.Routes, rules.Route{Path: "/" + k.Name + "/", Model: "*", Team: "*", Prefer: rules.PreferLocal, Policy: &rules.RoutePolicy{
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -177,7 +177,7 @@
 	switch {
 	case v.loaded == o.Model:
 	case slices.Contains(v.entry.Staged, o.Model):
-		took = v.w.model(o.Model).Warm
+		took = v.w.model(o.Model).WarmLoad
 	default:
 		took, loads = v.w.beginLoad(o.Model), true
 	}
