--- a/internal/player/faults.go
+++ b/internal/player/faults.go
@@ -24,7 +24,7 @@
 func (sys *Simulation) begin(f Fault) {
 	w := sys.world
 	switch f.Kind {
-	case Lose:
+	case LoseMembers:
 		w.each(w.takeMembers(f), w.kill)
 	case Add:
 		for range f.Count {
