--- a/internal/player/faults.go
+++ b/internal/player/faults.go
@@ -26,7 +26,7 @@
 	switch f.Kind {
 	case LoseMembers:
 		w.each(w.takeMembers(f), w.kill)
-	case Add:
+	case AddVMs:
 		for range f.Count {
 			w.add(f.Zone, w.smallestDomain(f.Zone))
 		}
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -112,13 +112,13 @@
 // FaultKind says what goes wrong.
 type FaultKind string
 
-// Faults. LoseMembers has members of replicas fall silent for good; Add brings empty VMs; Dark
+// Faults. LoseMembers has members of replicas fall silent for good; AddVMs brings empty VMs; Dark
 // silences a whole domain for a time; Slow has VMs run slower for a time; CutZone parts
 // a zone from all others and from the store for a time; RestartNodes kills nodes at once
 // and starts them anew after a second; StoreDown keeps the store from answering.
 const (
 	LoseMembers  FaultKind = "lose"
-	Add          FaultKind = "add"
+	AddVMs       FaultKind = "add"
 	Dark         FaultKind = "dark"
 	Slow         FaultKind = "slow"
 	CutZone      FaultKind = "cut-zone"
