--- a/internal/player/faults.go
+++ b/internal/player/faults.go
@@ -30,7 +30,7 @@
 		for range f.Count {
 			w.add(f.Zone, w.smallestDomain(f.Zone))
 		}
-	case Dark:
+	case DomainOutage:
 		w.each(w.inDomain(domainName(f.Zone, f.Domain)), w.kill)
 	case Slow:
 		w.each(w.takeMembers(f), func(v *vm) { v.slow = f.Factor })
@@ -52,7 +52,7 @@
 func (sys *Simulation) end(f Fault) {
 	w := sys.world
 	switch f.Kind {
-	case Dark:
+	case DomainOutage:
 		w.each(w.inDomain(domainName(f.Zone, f.Domain)), func(v *vm) {
 			if v.dead {
 				w.revive(v)
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -112,14 +112,14 @@
 // FaultKind says what goes wrong.
 type FaultKind string
 
-// Faults. LoseMembers has members of replicas fall silent for good; AddVMs brings empty VMs; Dark
+// Faults. LoseMembers has members of replicas fall silent for good; AddVMs brings empty VMs; DomainOutage
 // silences a whole domain for a time; Slow has VMs run slower for a time; CutZone parts
 // a zone from all others and from the store for a time; RestartNodes kills nodes at once
 // and starts them anew after a second; StoreDown keeps the store from answering.
 const (
 	LoseMembers  FaultKind = "lose"
 	AddVMs       FaultKind = "add"
-	Dark         FaultKind = "dark"
+	DomainOutage FaultKind = "dark"
 	Slow         FaultKind = "slow"
 	CutZone      FaultKind = "cut-zone"
 	RestartNodes FaultKind = "restart-nodes"
