--- a/internal/player/faults.go
+++ b/internal/player/faults.go
@@ -32,7 +32,7 @@
 		}
 	case DomainOutage:
 		w.each(w.inDomain(domainName(f.Zone, f.Domain)), w.kill)
-	case Slow:
+	case SlowVMs:
 		w.each(w.takeMembers(f), func(v *vm) { v.slow = f.Factor })
 	case CutZone:
 		w.setCut(f.Zone, true)
@@ -58,7 +58,7 @@
 				w.revive(v)
 			}
 		})
-	case Slow:
+	case SlowVMs:
 		w.each(w.all(), func(v *vm) { v.slow = 0 })
 	case CutZone:
 		w.setCut(f.Zone, false)
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -113,14 +113,14 @@
 type FaultKind string
 
 // Faults. LoseMembers has members of replicas fall silent for good; AddVMs brings empty VMs; DomainOutage
-// silences a whole domain for a time; Slow has VMs run slower for a time; CutZone parts
+// silences a whole domain for a time; SlowVMs has VMs run slower for a time; CutZone parts
 // a zone from all others and from the store for a time; RestartNodes kills nodes at once
 // and starts them anew after a second; StoreDown keeps the store from answering.
 const (
 	LoseMembers  FaultKind = "lose"
 	AddVMs       FaultKind = "add"
 	DomainOutage FaultKind = "dark"
-	Slow         FaultKind = "slow"
+	SlowVMs      FaultKind = "slow"
 	CutZone      FaultKind = "cut-zone"
 	RestartNodes FaultKind = "restart-nodes"
 	StoreDown    FaultKind = "store-down"
