--- a/internal/player/faults.go
+++ b/internal/player/faults.go
@@ -34,7 +34,7 @@
 		w.each(w.inDomain(domainName(f.Zone, f.Domain)), w.kill)
 	case SlowVMs:
 		w.each(w.takeMembers(f), func(v *vm) { v.slow = f.Factor })
-	case CutZone:
+	case PartitionZone:
 		w.setCut(f.Zone, true)
 	case RestartNodes:
 		for _, n := range sys.nodes {
@@ -60,7 +60,7 @@
 		})
 	case SlowVMs:
 		w.each(w.all(), func(v *vm) { v.slow = 0 })
-	case CutZone:
+	case PartitionZone:
 		w.setCut(f.Zone, false)
 	case StoreDown:
 		w.store.SetFaults(memstore.Faults{})
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -113,17 +113,17 @@
 type FaultKind string
 
 // Faults. LoseMembers has members of replicas fall silent for good; AddVMs brings empty VMs; DomainOutage
-// silences a whole domain for a time; SlowVMs has VMs run slower for a time; CutZone parts
+// silences a whole domain for a time; SlowVMs has VMs run slower for a time; PartitionZone parts
 // a zone from all others and from the store for a time; RestartNodes kills nodes at once
 // and starts them anew after a second; StoreDown keeps the store from answering.
 const (
-	LoseMembers  FaultKind = "lose"
-	AddVMs       FaultKind = "add"
-	DomainOutage FaultKind = "dark"
-	SlowVMs      FaultKind = "slow"
-	CutZone      FaultKind = "cut-zone"
-	RestartNodes FaultKind = "restart-nodes"
-	StoreDown    FaultKind = "store-down"
+	LoseMembers   FaultKind = "lose"
+	AddVMs        FaultKind = "add"
+	DomainOutage  FaultKind = "dark"
+	SlowVMs       FaultKind = "slow"
+	PartitionZone FaultKind = "cut-zone"
+	RestartNodes  FaultKind = "restart-nodes"
+	StoreDown     FaultKind = "store-down"
 )
 
 // Fault is one thing that goes wrong at a time after the first call.
