--- a/internal/player/backend.go
+++ b/internal/player/backend.go
@@ -20,8 +20,8 @@
 type backend struct {
 	w    *world
 	zone cluster.ZoneID
-	// truth says how many tokens an answer really has, by the call's id.
-	truth func(id string) int
+	// answerTokens says how many tokens an answer really has, by the call's id.
+	answerTokens func(id string) int
 }
 
 // dialTimeout is how long a connection to a VM that is silent is waited for.
@@ -29,23 +29,23 @@
 
 // Send implements relay.Backend.
 func (b *backend) Send(ctx context.Context, a relay.Attempt) (*relay.Reply, error) {
-	time.Sleep(wireTime / 2)
+	time.Sleep(roundTrip / 2)
 	v, err := b.reach(ctx, a)
 	if err != nil {
 		return nil, err
 	}
-	ans, job, load, err := b.enter(v, a)
+	ans, job, load, err := b.admit(v, a)
 	if err != nil {
 		return nil, err
 	}
-	body := &reading{ctx: ctx, w: b.w, answer: ans, leave: func() { b.w.leave(v, job) }, last: resumed(a.ResumeAfter)}
+	body := &streamBody{ctx: ctx, w: b.w, answer: ans, cancelJob: func() { b.w.cancelJob(v, job) }, lastPiece: resumeOffset(a.ResumeAfter)}
 	if err := body.awaitFirst(); err != nil {
 		return nil, err
 	}
 	return &relay.Reply{Head: call.Head{Status: http.StatusOK, Header: http.Header{}}, Load: &load, Body: body}, nil
 }
 
-func resumed(id string) int {
+func resumeOffset(id string) int {
 	n, err := strconv.Atoi(id)
 	if err != nil {
 		return 0
@@ -68,8 +68,8 @@
 	return nil, &relay.NotRunError{Reason: "no connection", Err: errors.New("nobody answers")}
 }
 
-// enter puts the request on the replica whose head the VM is.
-func (b *backend) enter(v *vm, a relay.Attempt) (*answer, *enginemodel.Job, relay.Load, error) {
+// admit puts the request on the replica whose head the VM is.
+func (b *backend) admit(v *vm, a relay.Attempt) (*answer, *enginemodel.Job, relay.Load, error) {
 	w := b.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -85,51 +85,51 @@
 	if load.Waiting >= w.scenario.Engine.Queue {
 		return nil, nil, load, &relay.NotRunError{Reason: "full", Received: true, Load: &load, Err: errors.New(string(v.entry.ID))}
 	}
-	tokens := max(b.truth(a.Call.ID)-resumed(a.ResumeAfter)*w.scenario.Engine.StepsPerPass, 1)
+	tokens := max(b.answerTokens(a.Call.ID)-resumeOffset(a.ResumeAfter)*w.scenario.Engine.StepsPerPass, 1)
 	job := &enginemodel.Job{PromptTokens: max(a.Call.PromptTokens, 1), OutputTokens: tokens, Priority: a.Call.Priority}
 	ans := &answer{pieces: make(chan struct{}, tokens/w.scenario.Engine.StepsPerPass+1), failed: make(chan struct{})}
 	h.replica.Add(job)
 	h.jobs[job] = ans
-	if !h.turning {
-		h.turning = true
-		go v.turn(h)
+	if !h.running {
+		h.running = true
+		go v.runPasses(h)
 	}
 	return ans, job, load, nil
 }
 
-// leave takes a request off a replica whose sender has gone.
-func (w *world) leave(v *vm, job *enginemodel.Job) {
+// cancelJob takes a request off a replica whose sender has gone.
+func (w *world) cancelJob(v *vm, job *enginemodel.Job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if h := v.head; h != nil && h.jobs[job] != nil {
 		h.replica.Remove(job)
 		delete(h.jobs, job)
-		v.settle()
+		v.finishClosing()
 	}
 }
 
-// reading is a stream as its sender reads it; it implements relay.Body.
-type reading struct {
-	ctx    context.Context
-	w      *world
-	answer *answer
-	leave  func()
-	last   int
-	first  bool
-	ended  bool
+// streamBody is a stream as its sender reads it; it implements relay.Body.
+type streamBody struct {
+	ctx          context.Context
+	w            *world
+	answer       *answer
+	cancelJob    func()
+	lastPiece    int
+	firstPending bool
+	ended        bool
 }
 
 // awaitFirst waits for the first piece: the head of an answer comes with it.
-func (r *reading) awaitFirst() error {
+func (r *streamBody) awaitFirst() error {
 	if err := r.await(); err != nil {
 		return err
 	}
 	time.Sleep(r.w.scenario.Engine.ResponseOverhead)
-	r.first = true
+	r.firstPending = true
 	return nil
 }
 
-func (r *reading) await() error {
+func (r *streamBody) await() error {
 	select {
 	case _, more := <-r.answer.pieces:
 		if !more {
@@ -139,30 +139,30 @@
 	case <-r.answer.failed:
 		return &relay.BrokenError{Reason: "the stream broke off", Err: io.ErrUnexpectedEOF}
 	case <-r.ctx.Done():
-		r.leave()
+		r.cancelJob()
 		return &relay.BrokenError{Reason: "no answer", Err: r.ctx.Err()}
 	}
 }
 
 // Next implements relay.Body.
-func (r *reading) Next() ([]byte, string, error) {
-	if !r.first {
+func (r *streamBody) Next() ([]byte, string, error) {
+	if !r.firstPending {
 		if err := r.await(); err != nil {
 			r.ended = errors.Is(err, io.EOF)
 			return nil, "", err
 		}
 	}
-	r.first = false
-	r.last++
-	return []byte{}, strconv.Itoa(r.last), nil
+	r.firstPending = false
+	r.lastPiece++
+	return []byte{}, strconv.Itoa(r.lastPiece), nil
 }
 
 // ReadAll implements relay.Body.
-func (r *reading) ReadAll(int64) ([]byte, error) { return nil, errors.New("streams only") }
+func (r *streamBody) ReadAll(int64) ([]byte, error) { return nil, errors.New("streams only") }
 
 // Close implements relay.Body.
-func (r *reading) Close() {
+func (r *streamBody) Close() {
 	if !r.ended {
-		r.leave()
+		r.cancelJob()
 	}
 }
--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -18,12 +18,12 @@
 	sys *Simulation
 	rng *rand.Rand
 
-	mu     sync.Mutex
-	next   int
-	truth  map[string]int
-	fates  []CallResult
-	routes map[string]*rules.Route
-	doing  sync.WaitGroup
+	mu       sync.Mutex
+	sent     int
+	tokens   map[string]int
+	results  []CallResult
+	routes   map[string]*rules.Route
+	inFlight sync.WaitGroup
 }
 
 // Outcome is what a caller got.
@@ -53,27 +53,27 @@
 func (c *callers) run() {
 	began := time.Now()
 	for {
-		rate, kind := c.draw(time.Since(began))
+		rate, kind := c.drawKind(time.Since(began))
 		time.Sleep(time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second)))
 		at := time.Since(began)
 		if at >= c.sys.scenario.Length {
 			break
 		}
 		node := c.sys.pickNode(c.rng)
-		c.next++
-		id := fmt.Sprintf("call-%d", c.next)
-		prompt, answer := int(kind.Prompt.draw(c.rng)), int(kind.Answer.draw(c.rng))
+		c.sent++
+		id := fmt.Sprintf("call-%d", c.sent)
+		prompt, answer := int(kind.Prompt.sample(c.rng)), int(kind.Answer.sample(c.rng))
 		hint := int(float64(answer) * math.Exp(hintSpread*c.rng.NormFloat64()))
-		c.doing.Go(func() { c.one(node, kind, id, at, prompt, answer, hint) })
+		c.inFlight.Go(func() { c.runCall(node, kind, id, at, prompt, answer, hint) })
 	}
-	c.doing.Wait()
+	c.inFlight.Wait()
 }
 
 // hintSpread is how far off callers' guesses at their answers' sizes are.
 const hintSpread = 0.5
 
-// draw is the rate of all calls at a moment, and the kind of the next.
-func (c *callers) draw(at time.Duration) (rate float64, kind *CallKind) {
+// drawKind is the rate of all calls at a moment, and the kind of the next.
+func (c *callers) drawKind(at time.Duration) (rate float64, kind *CallKind) {
 	rates := make([]float64, len(c.sys.scenario.Kinds))
 	for i, k := range c.sys.scenario.Kinds {
 		rates[i] = k.Rate
@@ -93,7 +93,7 @@
 	return rate, nil
 }
 
-func (t TokenDistribution) draw(rng *rand.Rand) float64 {
+func (t TokenDistribution) sample(rng *rand.Rand) float64 {
 	tokens := t.Mean * math.Exp(t.Spread*rng.NormFloat64()-t.Spread*t.Spread/2)
 	if t.Max > 0 {
 		tokens = min(tokens, t.Max)
@@ -103,24 +103,24 @@
 
 // Limits of a caller's timeout.
 const (
-	// shortestGap is the least time without a piece after which callers leave; they
+	// minTimeout is the least time without a piece after which callers leave; they
 	// wait for longestTargets targets and longestPauses pauses if these are longer.
-	shortestGap    = 2 * time.Second
-	longestTargets = 4
-	longestPauses  = 8
-	// returnPart is the part of the time left in which a refused caller comes back.
-	returnPart = 3
+	minTimeout     = 2 * time.Second
+	timeoutTargets = 4
+	timeoutGaps    = 8
+	// retryWaitDivisor is the part of the time left in which a refused caller comes back.
+	retryWaitDivisor = 3
 )
 
-// one takes a call through its tries: a refused caller comes back once.
-func (c *callers) one(n *node, k *CallKind, id string, at time.Duration, prompt, answer, hint int) {
+// runCall takes a call through its tries: a refused caller comes back once.
+func (c *callers) runCall(n *node, k *CallKind, id string, at time.Duration, prompt, answer, hint int) {
 	sent := time.Now()
 	fate := CallResult{Kind: k.Name, SentAt: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
 	resume := ""
 	for try := range 2 {
 		fate.Attempts = try + 1
-		s := c.try(n, k, fmt.Sprintf("%s-%d", id, try), sent, prompt, answer, hint, resume)
-		fate.note(s, k)
+		s := c.attempt(n, k, fmt.Sprintf("%s-%d", id, try), sent, prompt, answer, hint, resume)
+		fate.recordAttempt(s, k)
 		if s.ended {
 			break
 		}
@@ -128,7 +128,7 @@
 		switch {
 		case s.refused != nil:
 			fate.Outcome = Refused
-			time.Sleep(min(s.refused.RetryAfter, left/returnPart))
+			time.Sleep(min(s.refused.RetryAfter, left/retryWaitDivisor))
 		case s.pieces > 0:
 			resume = fmt.Sprint(s.pieces)
 		}
@@ -136,15 +136,15 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fates = append(c.fates, fate)
+	c.results = append(c.results, fate)
 }
 
-// note takes a try's part into the call's fate.
-func (f *CallResult) note(s *sink, k *CallKind) {
+// recordAttempt takes a try's part into the call's fate.
+func (f *CallResult) recordAttempt(s *sink, k *CallKind) {
 	if s.pieces > 0 && f.FirstPiece == 0 {
-		f.FirstPiece = s.first.Sub(s.sent)
+		f.FirstPiece = s.firstAt.Sub(s.sent)
 	}
-	f.MaxGap = max(f.MaxGap, s.pause)
+	f.MaxGap = max(f.MaxGap, s.maxGap)
 	switch {
 	case !s.ended:
 		f.Outcome = Failed
@@ -155,14 +155,14 @@
 	}
 }
 
-func (c *callers) try(n *node, k *CallKind, id string, sent time.Time, prompt, answer, hint int, resume string) *sink {
+func (c *callers) attempt(n *node, k *CallKind, id string, sent time.Time, prompt, answer, hint int, resume string) *sink {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s := &sink{sent: sent, timeout: max(shortestGap, longestTargets*k.Target, longestPauses*k.TargetGap)}
+	s := &sink{sent: sent, timeout: max(minTimeout, timeoutTargets*k.Target, timeoutGaps*k.TargetGap)}
 	s.timer = time.AfterFunc(s.timeout, cancel)
 	defer s.timer.Stop()
 	c.mu.Lock()
-	c.truth[id] = answer
+	c.tokens[id] = answer
 	route := c.routes[k.Name]
 	c.mu.Unlock()
 	now := time.Now()
@@ -171,23 +171,23 @@
 	return s
 }
 
-// answerOf is how many tokens the answer to a call has.
-func (c *callers) answerOf(id string) int {
+// answerTokens is how many tokens the answer to a call has.
+func (c *callers) answerTokens(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.truth[id]
+	return c.tokens[id]
 }
 
 // sink notes when pieces come; it implements call.Sink.
 type sink struct {
-	sent        time.Time
-	timeout     time.Duration
-	timer       *time.Timer
-	first, last time.Time
-	pause       time.Duration
-	pieces      int
-	ended       bool
-	refused     *fennelerr.Error
+	sent            time.Time
+	timeout         time.Duration
+	timer           *time.Timer
+	firstAt, lastAt time.Time
+	maxGap          time.Duration
+	pieces          int
+	ended           bool
+	refused         *fennelerr.Error
 }
 
 // Respond implements call.Sink.
@@ -200,12 +200,12 @@
 func (s *sink) WritePiece([]byte) error {
 	now := time.Now()
 	if s.pieces == 0 {
-		s.first = now
+		s.firstAt = now
 	} else {
-		s.pause = max(s.pause, now.Sub(s.last))
+		s.maxGap = max(s.maxGap, now.Sub(s.lastAt))
 	}
 	s.pieces++
-	s.last = now
+	s.lastAt = now
 	s.timer.Reset(s.timeout)
 	return nil
 }
--- a/internal/player/ceiling.go
+++ b/internal/player/ceiling.go
@@ -30,9 +30,9 @@
 func (r *Result) Goodput(from, until time.Duration) []Goodput {
 	var out []Goodput
 	for _, m := range r.Scenario.Models {
-		c := Goodput{Model: m.Name, Capacity: r.standing(m, from, until)}
+		c := Goodput{Model: m.Name, Capacity: r.meanServing(m, from, until)}
 		for _, f := range r.Calls {
-			if f.SentAt < from || f.SentAt >= until || r.kind(f.Kind).Model != m.Name {
+			if f.SentAt < from || f.SentAt >= until || r.kindByName(f.Kind).Model != m.Name {
 				continue
 			}
 			work := f.Work.Seconds() / (until - from).Seconds()
@@ -46,8 +46,8 @@
 	return out
 }
 
-// standing is the mean number of the model's replicas that served.
-func (r *Result) standing(m Model, from, until time.Duration) float64 {
+// meanServing is the mean number of the model's replicas that served.
+func (r *Result) meanServing(m Model, from, until time.Duration) float64 {
 	sum, n := 0.0, 0
 	for _, t := range r.VMSamples {
 		if t.At >= from && t.At <= until {
--- a/internal/player/cut.go
+++ b/internal/player/cut.go
@@ -9,73 +9,73 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// cutStore is the platform's store as a node sees it that may be cut off from it.
-type cutStore struct {
+// partitionedStore is the platform's store as a node sees it that may be cut off from it.
+type partitionedStore struct {
 	store.Store
-	cut func() bool
+	partitioned func() bool
 }
 
-// cutTimeout is how long a call over a cut hangs at least, and how often a watch
+// partitionTimeout is how long a call over a cut hangs at least, and how often a watch
 // notices the cut.
-const cutTimeout = 500 * time.Millisecond
+const partitionTimeout = 500 * time.Millisecond
 
-var errCut = errors.New("cut off from the store")
+var errPartitioned = errors.New("cut off from the store")
 
-// check hangs and fails while the node is cut off.
-func (s *cutStore) check(ctx context.Context) error {
-	if !s.cut() {
+// checkReachable hangs and fails while the node is cut off.
+func (s *partitionedStore) checkReachable(ctx context.Context) error {
+	if !s.partitioned() {
 		return nil
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(cutTimeout):
+	case <-time.After(partitionTimeout):
 	}
-	return &store.Error{Op: "call", Kind: store.Unavailable, Outcome: store.Refused, Err: errCut}
+	return &store.Error{Op: "call", Kind: store.Unavailable, Outcome: store.Refused, Err: errPartitioned}
 }
 
 // Get implements store.Store.
-func (s *cutStore) Get(ctx context.Context, key string) (*store.KV, int64, error) {
-	if err := s.check(ctx); err != nil {
+func (s *partitionedStore) Get(ctx context.Context, key string) (*store.KV, int64, error) {
+	if err := s.checkReachable(ctx); err != nil {
 		return nil, 0, err
 	}
 	return s.Store.Get(ctx, key)
 }
 
 // Range implements store.Store.
-func (s *cutStore) Range(ctx context.Context, prefix string, opts store.RangeOptions) (store.RangeResult, error) {
-	if err := s.check(ctx); err != nil {
+func (s *partitionedStore) Range(ctx context.Context, prefix string, opts store.RangeOptions) (store.RangeResult, error) {
+	if err := s.checkReachable(ctx); err != nil {
 		return store.RangeResult{}, err
 	}
 	return s.Store.Range(ctx, prefix, opts)
 }
 
 // Txn implements store.Store.
-func (s *cutStore) Txn(ctx context.Context, txn store.Txn) (store.TxnResult, error) {
-	if err := s.check(ctx); err != nil {
+func (s *partitionedStore) Txn(ctx context.Context, txn store.Txn) (store.TxnResult, error) {
+	if err := s.checkReachable(ctx); err != nil {
 		return store.TxnResult{}, err
 	}
 	return s.Store.Txn(ctx, txn)
 }
 
 // Grant implements store.Store.
-func (s *cutStore) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
-	if err := s.check(ctx); err != nil {
+func (s *partitionedStore) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
+	if err := s.checkReachable(ctx); err != nil {
 		return 0, err
 	}
 	return s.Store.Grant(ctx, ttl)
 }
 
 // KeepAlive implements store.Store.
-func (s *cutStore) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
-	if err := s.check(ctx); err != nil {
+func (s *partitionedStore) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
+	if err := s.checkReachable(ctx); err != nil {
 		return 0, err
 	}
 	return s.Store.KeepAlive(ctx, id)
 }
 
 // Watch implements store.Store; it ends when the node is cut off.
-func (s *cutStore) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
-	if err := s.check(ctx); err != nil {
+func (s *partitionedStore) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
+	if err := s.checkReachable(ctx); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -88,18 +88,18 @@
 	go func() {
 		defer close(out)
 		defer cancel()
-		look := time.NewTicker(cutTimeout)
-		defer look.Stop()
+		ticker := time.NewTicker(partitionTimeout)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-look.C:
-				if s.cut() {
+			case <-ticker.C:
+				if s.partitioned() {
 					return
 				}
 			case batch, ok := <-in:
-				if !ok || s.cut() {
+				if !ok || s.partitioned() {
 					return
 				}
 				select {
--- a/internal/player/faults.go
+++ b/internal/player/faults.go
@@ -10,32 +10,32 @@
 // restartTime is how long a node that was killed is gone.
 const restartTime = time.Second
 
-// schedule has the scenario's faults happen.
-func (sys *Simulation) schedule() {
+// scheduleFaults has the scenario's faults happen.
+func (sys *Simulation) scheduleFaults() {
 	for _, f := range sys.scenario.Faults {
-		time.AfterFunc(f.At, func() { sys.begin(f) })
+		time.AfterFunc(f.At, func() { sys.startFault(f) })
 		if f.Duration > 0 {
-			time.AfterFunc(f.At+f.Duration, func() { sys.end(f) })
+			time.AfterFunc(f.At+f.Duration, func() { sys.endFault(f) })
 		}
 	}
 }
 
-// begin brings a fault about.
-func (sys *Simulation) begin(f Fault) {
+// startFault brings a fault about.
+func (sys *Simulation) startFault(f Fault) {
 	w := sys.world
 	switch f.Kind {
 	case LoseMembers:
-		w.each(w.takeMembers(f), w.kill)
+		w.forEach(w.pickMembers(f), w.kill)
 	case AddVMs:
 		for range f.Count {
 			w.add(f.Zone, w.smallestDomain(f.Zone))
 		}
 	case DomainOutage:
-		w.each(w.inDomain(domainName(f.Zone, f.Domain)), w.kill)
+		w.forEach(w.inDomain(domainName(f.Zone, f.Domain)), w.kill)
 	case SlowVMs:
-		w.each(w.takeMembers(f), func(v *vm) { v.slow = f.Factor })
+		w.forEach(w.pickMembers(f), func(v *vm) { v.slow = f.Factor })
 	case PartitionZone:
-		w.setCut(f.Zone, true)
+		w.setPartitioned(f.Zone, true)
 	case RestartNodes:
 		for _, n := range sys.nodes {
 			if f.Zone == "" || n.zone == f.Zone {
@@ -48,26 +48,26 @@
 	}
 }
 
-// end undoes a fault that lasts.
-func (sys *Simulation) end(f Fault) {
+// endFault undoes a fault that lasts.
+func (sys *Simulation) endFault(f Fault) {
 	w := sys.world
 	switch f.Kind {
 	case DomainOutage:
-		w.each(w.inDomain(domainName(f.Zone, f.Domain)), func(v *vm) {
+		w.forEach(w.inDomain(domainName(f.Zone, f.Domain)), func(v *vm) {
 			if v.dead {
 				w.revive(v)
 			}
 		})
 	case SlowVMs:
-		w.each(w.all(), func(v *vm) { v.slow = 0 })
+		w.forEach(w.all(), func(v *vm) { v.slow = 0 })
 	case PartitionZone:
-		w.setCut(f.Zone, false)
+		w.setPartitioned(f.Zone, false)
 	case StoreDown:
 		w.store.SetFaults(memstore.Faults{})
 	}
 }
 
-func (w *world) each(vms []*vm, do func(*vm)) {
+func (w *world) forEach(vms []*vm, do func(*vm)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, v := range vms {
@@ -75,13 +75,13 @@
 	}
 }
 
-// takeMembers are as many members of serving replicas as the fault names, each of
+// pickMembers are as many members of serving replicas as the fault names, each of
 // another replica.
-func (w *world) takeMembers(f Fault) (out []*vm) {
+func (w *world) pickMembers(f Fault) (out []*vm) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	taken := make(map[int64]bool)
-	for _, v := range w.picked(f.Zone, f.Model) {
+	for _, v := range w.servingMembers(f.Zone, f.Model) {
 		if len(out) < f.Count && !taken[v.epoch] {
 			taken[v.epoch] = true
 			out = append(out, v)
@@ -133,8 +133,8 @@
 	return best
 }
 
-func (w *world) setCut(zone cluster.ZoneID, cut bool) {
+func (w *world) setPartitioned(zone cluster.ZoneID, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cut[zone] = cut
+	w.partitioned[zone] = cut
 }
--- a/internal/player/gossip.go
+++ b/internal/player/gossip.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// gossipEvery is the time between two load reports of a node, each to one other
+	// gossipInterval is the time between two load reports of a node, each to one other
 	// node: what their bytes allow.
-	gossipEvery = 110 * time.Millisecond
-	// reportBudget is the bytes of one.
-	reportBudget = 400
+	gossipInterval = 110 * time.Millisecond
+	// maxReportBytes is the bytes of one.
+	maxReportBytes = 400
 )
 
 // gossip has the nodes send each other load reports in turn, but across a cut.
 func (sys *Simulation) gossip(ctx context.Context) {
 	turn := 0
-	clock.Every(ctx, gossipEvery, func(time.Time) {
+	clock.Every(ctx, gossipInterval, func(time.Time) {
 		turn++
 		for i, from := range sys.nodes {
-			sys.sendLoadReport(from, sys.peerInTurn(i, turn))
+			sys.sendLoadReport(from, sys.gossipPeer(i, turn))
 		}
 	})
 }
 
-// peerInTurn is the node that the i-th one sends to at its turn.
-func (sys *Simulation) peerInTurn(i, turn int) *node {
+// gossipPeer is the node that the i-th one sends to at its turn.
+func (sys *Simulation) gossipPeer(i, turn int) *node {
 	n := len(sys.nodes)
 	if n < 2 {
 		return sys.nodes[i]
@@ -38,24 +38,24 @@
 }
 
 func (sys *Simulation) sendLoadReport(from, to *node) {
-	sender, receiver := from.running(), to.running()
-	if sender == nil || receiver == nil || from == to || !sys.world.reachesNode(from.zone, to.zone) {
+	sender, receiver := from.currentCore(), to.currentCore()
+	if sender == nil || receiver == nil || from == to || !sys.world.nodesReach(from.zone, to.zone) {
 		return
 	}
-	receiver.ReceiveLoadReport(from.id, sender.LoadReport(reportBudget))
+	receiver.ReceiveLoadReport(from.id, sender.LoadReport(maxReportBytes))
 }
 
-// announce brings a section from one node to all that it reaches.
-func (sys *Simulation) announce(from *node, section membership.Section) {
+// broadcast brings a section from one node to all that it reaches.
+func (sys *Simulation) broadcast(from *node, section membership.Section) {
 	for _, to := range sys.nodes {
-		if receiver := to.running(); receiver != nil && to != from && sys.world.reachesNode(from.zone, to.zone) {
+		if receiver := to.currentCore(); receiver != nil && to != from && sys.world.nodesReach(from.zone, to.zone) {
 			receiver.ReceiveStallReport(from.id, section)
 		}
 	}
 }
 
-// running is the node's process; nil while it is dead.
-func (n *node) running() *entry.Core {
+// currentCore is the node's process; nil while it is dead.
+func (n *node) currentCore() *entry.Core {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -31,15 +31,15 @@
 	Live, Joining, Idle int
 }
 
-// watch tallies the VMs each second until ctx ends.
-func (sys *Simulation) watch(ctx context.Context, res *Result) {
+// sampleVMs tallies the VMs each second until ctx ends.
+func (sys *Simulation) sampleVMs(ctx context.Context, res *Result) {
 	began := time.Now()
 	clock.Every(ctx, time.Second, func(now time.Time) {
-		res.VMSamples = append(res.VMSamples, sys.world.tally(now.Sub(began)))
+		res.VMSamples = append(res.VMSamples, sys.world.countVMs(now.Sub(began)))
 	})
 }
 
-func (w *world) tally(at time.Duration) VMSample {
+func (w *world) countVMs(at time.Duration) VMSample {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	t := VMSample{At: at, Serving: make(map[string]int)}
@@ -66,14 +66,14 @@
 // serving reports whether the VM's replica takes requests and works.
 func (w *world) serving(v *vm) bool {
 	h := w.vms[v.members[0]]
-	return h != nil && !h.dead && h.epoch == v.epoch && h.head != nil && h.head.stuckSince.IsZero() &&
+	return h != nil && !h.dead && h.epoch == v.epoch && h.head != nil && h.head.stalledSince.IsZero() &&
 		h.entry.Membership != nil && h.entry.Membership.State == fleet.Open
 }
 
-func (r *Result) take(sys *Simulation) {
-	r.Calls = sys.callers.fates
+func (r *Result) collect(sys *Simulation) {
+	r.Calls = sys.callers.results
 	slices.SortFunc(r.Calls, func(a, b CallResult) int { return int(a.SentAt - b.SentAt) })
-	r.Violations = sys.world.wrong
+	r.Violations = sys.world.violations
 	r.ModelLoads = sys.world.loads
 }
 
@@ -92,13 +92,13 @@
 func (r *Result) Summaries(from, until time.Duration) []KindSummary {
 	var out []KindSummary
 	for _, k := range r.Scenario.Kinds {
-		out = append(out, r.row(k.Name, from, until))
+		out = append(out, r.summarizeKind(k.Name, from, until))
 	}
-	return append(out, r.row("", from, until))
+	return append(out, r.summarizeKind("", from, until))
 }
 
-// row sums up a kind's calls, or all for an empty name.
-func (r *Result) row(kind string, from, until time.Duration) KindSummary {
+// summarizeKind sums up a kind's calls, or all for an empty name.
+func (r *Result) summarizeKind(kind string, from, until time.Duration) KindSummary {
 	row := KindSummary{Kind: kind}
 	if kind == "" {
 		row.Kind = "all"
@@ -109,7 +109,7 @@
 		if kind != "" && f.Kind != kind || f.SentAt < from || f.SentAt >= until {
 			continue
 		}
-		k := r.kind(f.Kind)
+		k := r.kindByName(f.Kind)
 		row.Calls++
 		owed += k.Value
 		if f.FirstPiece > 0 {
@@ -141,7 +141,7 @@
 	return row
 }
 
-func (r *Result) kind(name string) CallKind {
+func (r *Result) kindByName(name string) CallKind {
 	at := slices.IndexFunc(r.Scenario.Kinds, func(k CallKind) bool { return k.Name == name })
 	return r.Scenario.Kinds[at]
 }
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -29,9 +29,9 @@
 	set      *rules.Set
 	opts     Options
 
-	mu    sync.Mutex
-	nodes []*node
-	stop  sync.WaitGroup
+	mu        sync.Mutex
+	nodes     []*node
+	nodesDone sync.WaitGroup
 }
 
 // Options of a play.
@@ -49,9 +49,9 @@
 	id   cluster.NodeID
 	zone cluster.ZoneID
 
-	mu   sync.Mutex
-	core *entry.Core
-	end  context.CancelFunc
+	mu     sync.Mutex
+	core   *entry.Core
+	cancel context.CancelFunc
 }
 
 const region = "region"
@@ -60,9 +60,9 @@
 func Simulate(s *Scenario, opts Options) *Result {
 	rng := rand.New(rand.NewPCG(opts.Seed, 1))
 	sys := &Simulation{scenario: s, world: newWorld(s, rand.New(rand.NewPCG(opts.Seed, 2))), rng: rng, opts: opts}
-	sys.callers = &callers{sys: sys, rng: rand.New(rand.NewPCG(opts.Seed, 3)), truth: make(map[string]int), routes: make(map[string]*rules.Route)}
+	sys.callers = &callers{sys: sys, rng: rand.New(rand.NewPCG(opts.Seed, 3)), tokens: make(map[string]int), routes: make(map[string]*rules.Route)}
 	sys.set = sys.rules()
-	sys.configure()
+	sys.writeConfig()
 	for _, z := range s.Zones {
 		for i := range z.Nodes {
 			n := &node{sys: sys, id: cluster.NodeID(fmt.Sprintf("%s-%d", z.Name, i)), zone: z.Name}
@@ -71,22 +71,22 @@
 		}
 	}
 	time.Sleep(s.Warmup)
-	sys.world.serveNow()
+	sys.world.startServing()
 	watching, end := context.WithCancel(context.Background())
 	res := &Result{Scenario: s}
 	var watch sync.WaitGroup
-	watch.Go(func() { sys.watch(watching, res) })
+	watch.Go(func() { sys.sampleVMs(watching, res) })
 	watch.Go(func() { sys.gossip(watching) })
-	sys.schedule()
+	sys.scheduleFaults()
 	sys.callers.run()
 	end()
 	watch.Wait()
 	for _, n := range sys.nodes {
 		n.kill()
 	}
-	sys.stop.Wait()
+	sys.nodesDone.Wait()
 	sys.world.close()
-	res.take(sys)
+	res.collect(sys)
 	return res
 }
 
@@ -96,12 +96,12 @@
 	set := rules.Set{Revision: 1, Weights: rules.WeightStore{LoadsPerSecond: s.Engine.LoadsPerSecond, LoadsAtOnce: s.Engine.LoadsAtOnce}}
 	for _, m := range s.Models {
 		set.Groups = append(set.Groups, rules.Group{Name: cluster.GroupName(m.Name), Model: m.Name, VMs: m.VMs, SameDomain: true, Weigh: rules.WeighDowntime,
-			Servers: engines, Demand: m.Share, Slots: s.Engine.Slots, ColdLoad: m.ColdLoad, WarmLoad: m.WarmLoad, Engine: s.figures(m)})
+			Servers: engineService, Demand: m.Share, Slots: s.Engine.Slots, ColdLoad: m.ColdLoad, WarmLoad: m.WarmLoad, Engine: s.figures(m)})
 	}
 	for _, k := range s.Kinds {
 		set.Routes = append(set.Routes, rules.Route{Path: "/" + k.Name + "/", Model: "*", Team: "*", Prefer: rules.PreferLocal, Policy: &rules.RoutePolicy{
 			Name: k.Name, Host: "played", Kind: rules.CallStream, Resumable: true, Timeout: k.Deadline, Target: k.Target, TargetGap: k.TargetGap,
-			MaxAttempts: 2, Priority: k.Priority, Public: true, Split: []rules.WeightedService{{Service: engines, Weight: 1}}}})
+			MaxAttempts: 2, Priority: k.Priority, Public: true, Split: []rules.WeightedService{{Service: engineService, Weight: 1}}}})
 	}
 	out := rules.Assemble(set)
 	for i := range out.Routes {
@@ -110,7 +110,7 @@
 	return out
 }
 
-func (sys *Simulation) configure() {
+func (sys *Simulation) writeConfig() {
 	_, err := sys.world.store.Txn(context.Background(), store.Txn{Then: []store.Op{store.Put(configKey, []byte("1"), 0)}})
 	if err != nil {
 		panic(err) // an empty store in memory takes it
@@ -129,16 +129,16 @@
 	set.Process.FirstStart = first
 	ctx, cancel := context.WithCancel(context.Background())
 	n.mu.Lock()
-	n.end = cancel
+	n.cancel = cancel
 	n.core = entry.NewCore(set, entry.Platform{
-		Store: &cutStore{Store: sys.world.store, cut: func() bool { return sys.world.isCut(n.zone) }}, Orders: orders{sys.world, n.zone},
-		Backend:       func(*conns.Pool) relay.Backend { return &backend{sys.world, n.zone, sys.callers.answerOf} },
+		Store: &partitionedStore{Store: sys.world.store, partitioned: func() bool { return sys.world.isPartitioned(n.zone) }}, Orders: orders{sys.world, n.zone},
+		Backend:       func(*conns.Pool) relay.Backend { return &backend{sys.world, n.zone, sys.callers.answerTokens} },
 		ServersPrefix: serversPrefix, DecodeServers: func(e map[string]store.KV, r int64) fleet.List { return servers(e, r) },
 		ConfigKey: configKey, DecodeConfig: func(store.KV) (*rules.Set, error) { return sys.set, nil },
-	}, entry.CoreOptions{Policies: sys.opts.Policies, Log: log, Broadcast: func(section membership.Section) { sys.announce(n, section) }})
+	}, entry.CoreOptions{Policies: sys.opts.Policies, Log: log, Broadcast: func(section membership.Section) { sys.broadcast(n, section) }})
 	core := n.core
 	n.mu.Unlock()
-	sys.stop.Go(func() {
+	sys.nodesDone.Go(func() {
 		core.Run(ctx)
 		core.Close()
 	})
@@ -148,15 +148,15 @@
 func (n *node) kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.end != nil {
-		n.end()
+	if n.cancel != nil {
+		n.cancel()
 	}
-	n.core, n.end = nil, nil
+	n.core, n.cancel = nil, nil
 }
 
 // serve has the node serve a call; a dead one answers nothing.
 func (n *node) serve(ctx context.Context, c *call.Call, s *sink) {
-	if core := n.running(); core != nil {
+	if core := n.currentCore(); core != nil {
 		core.Serve(ctx, c, s)
 	}
 }
@@ -168,12 +168,12 @@
 		if left -= z.Share; left >= 0 && i < len(sys.scenario.Zones)-1 {
 			continue
 		}
-		return sys.inZone(z.Name, rng)
+		return sys.nodeInZone(z.Name, rng)
 	}
 	return sys.nodes[0]
 }
 
-func (sys *Simulation) inZone(zone cluster.ZoneID, rng *rand.Rand) *node {
+func (sys *Simulation) nodeInZone(zone cluster.ZoneID, rng *rand.Rand) *node {
 	var there []*node
 	for _, n := range sys.nodes {
 		if n.zone == zone {
@@ -187,5 +187,5 @@
 func (sys *Simulation) otherNode(n *node, rng *rand.Rand) *node {
 	sys.mu.Lock()
 	defer sys.mu.Unlock()
-	return sys.inZone(n.zone, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 7)))
+	return sys.nodeInZone(n.zone, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 7)))
 }
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -26,10 +26,10 @@
 	// model is that of its replica; loaded is the one in its memory, which its entry
 	// tells only while a replica holds it.
 	model, loaded string
-	// order counts the orders that began something, so that a later one replaces the
+	// orderSeq counts the orders that began something, so that a later one replaces the
 	// effect of an earlier one that is still under way.
-	order int
-	head  *head
+	orderSeq int
+	head     *head
 	// doc is the newest entry, publishing is true while it is brought to the store.
 	doc        []byte
 	publishing bool
@@ -39,10 +39,10 @@
 type head struct {
 	replica enginemodel.Replica
 	jobs    map[*enginemodel.Job]*answer
-	// stuckSince is when a member was lost; zero while all are there.
-	stuckSince time.Time
-	turning    bool
-	failed     bool
+	// stalledSince is when a member was lost; zero while all are there.
+	stalledSince time.Time
+	running      bool
+	failed       bool
 }
 
 // answer is one request on a replica, as its sender reads it.
@@ -64,15 +64,15 @@
 	v.doc = doc
 	if !v.publishing {
 		v.publishing = true
-		go v.bring()
+		go v.writeEntry()
 	}
 }
 
-// publishAgain is when a VM tries again that the store did not answer.
-const publishAgain = 300 * time.Millisecond
+// publishRetryDelay is when a VM tries again that the store did not answer.
+const publishRetryDelay = 300 * time.Millisecond
 
-// bring writes the newest entry until the store has it.
-func (v *vm) bring() {
+// writeEntry writes the newest entry until the store has it.
+func (v *vm) writeEntry() {
 	key := serversPrefix + string(v.entry.ID)
 	for {
 		v.w.mu.Lock()
@@ -83,7 +83,7 @@
 		}
 		if doc != nil {
 			if _, err := v.w.store.Txn(context.Background(), store.Txn{Then: []store.Op{store.Put(key, doc, 0)}}); err != nil {
-				time.Sleep(publishAgain)
+				time.Sleep(publishRetryDelay)
 				continue
 			}
 		}
@@ -97,9 +97,9 @@
 	}
 }
 
-// beat has the entry written at least once a heartbeat, which also tells the nodes that
+// heartbeat has the entry written at least once a heartbeat, which also tells the nodes that
 // the store answers.
-func (v *vm) beat(ctx context.Context) {
+func (v *vm) heartbeat(ctx context.Context) {
 	clock.Every(ctx, v.w.scenario.Engine.Heartbeat, func(time.Time) {
 		v.w.mu.Lock()
 		defer v.w.mu.Unlock()
@@ -107,8 +107,8 @@
 	})
 }
 
-// carryOut does an order and returns its answer.
-func (v *vm) carryOut(o lifecycle.Order) lifecycle.Response {
+// execute does an order and returns its answer.
+func (v *vm) execute(o lifecycle.Order) lifecycle.Response {
 	w := v.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -133,7 +133,7 @@
 	if slices.Contains(v.entry.Staged, model) {
 		return
 	}
-	took := v.w.beginLoad(model)
+	took := v.w.startLoad(model)
 	v.after(took, func() {
 		v.w.loading--
 		v.entry.Staged = []string{model}
@@ -152,11 +152,11 @@
 	})
 }
 
-// rejoin is how long a VM takes to be ready for the model that it has loaded, and form
+// rejoinTime is how long a VM takes to be ready for the model that it has loaded, and openTime
 // how long a head takes to open.
 const (
-	rejoin = 200 * time.Millisecond
-	form   = 300 * time.Millisecond
+	rejoinTime = 200 * time.Millisecond
+	openTime   = 300 * time.Millisecond
 )
 
 func (v *vm) join(o lifecycle.Order) lifecycle.Response {
@@ -169,17 +169,17 @@
 	v.w.checkFree(v)
 	v.leave()
 	v.epoch, v.members, v.model = o.Epoch, o.Members, o.Model
-	v.order++
-	order := v.order
+	v.orderSeq++
+	order := v.orderSeq
 	rank := slices.Index(o.Members, v.entry.ID)
 	v.entry.Membership = &fleet.Membership{Replica: o.Replica, Epoch: o.Epoch, Rank: rank, State: fleet.Joining}
-	took, loads := rejoin, false
+	took, loads := rejoinTime, false
 	switch {
 	case v.loaded == o.Model:
 	case slices.Contains(v.entry.Staged, o.Model):
 		took = v.w.model(o.Model).WarmLoad
 	default:
-		took, loads = v.w.beginLoad(o.Model), true
+		took, loads = v.w.startLoad(o.Model), true
 	}
 	v.publish()
 	v.after(took, func() {
@@ -187,7 +187,7 @@
 			v.w.loading--
 			v.entry.Staged = []string{o.Model}
 		}
-		if v.order == order {
+		if v.orderSeq == order {
 			v.loaded, v.entry.Model = o.Model, o.Model
 			v.entry.Membership.State = fleet.Ready
 		}
@@ -201,12 +201,12 @@
 	if m == nil || m.Epoch != o.Epoch || m.Rank != 0 || m.State != fleet.Ready {
 		return lifecycle.Conflict
 	}
-	order := v.order
-	v.after(form, func() {
-		if v.order != order || v.entry.Membership == nil {
+	order := v.orderSeq
+	v.after(openTime, func() {
+		if v.orderSeq != order || v.entry.Membership == nil {
 			return
 		}
-		v.w.checkWhole(v)
+		v.w.checkComplete(v)
 		v.setState(fleet.Open)
 		v.head = &head{replica: enginemodel.Replica{Profile: v.w.scenario.figures(v.w.model(v.model))}, jobs: make(map[*enginemodel.Job]*answer)}
 		v.publish()
@@ -224,7 +224,7 @@
 	}
 	v.setState(fleet.Closing)
 	v.publish()
-	v.settle()
+	v.finishClosing()
 	return lifecycle.Accepted
 }
 
@@ -236,8 +236,8 @@
 	v.entry.Membership = &m
 }
 
-// settle ends a closing head that has no work left.
-func (v *vm) settle() {
+// finishClosing ends a closing head that has no work left.
+func (v *vm) finishClosing() {
 	if m := v.entry.Membership; m != nil && m.State == fleet.Closing && (v.head == nil || len(v.head.jobs) == 0) {
 		v.head = nil
 		v.setState(fleet.Ready)
@@ -255,11 +255,11 @@
 		v.head.fail()
 		v.head = nil
 	}
-	v.order++
+	v.orderSeq++
 	members, epoch := v.members, v.epoch
 	v.entry.Membership, v.entry.Model, v.members = nil, "", nil
 	v.publish()
-	v.w.memberGone(members, epoch)
+	v.w.stallReplica(members, epoch)
 }
 
 // fail gives up all requests.
@@ -272,28 +272,28 @@
 	clear(h.jobs)
 }
 
-// turn plays passes while the replica has work and all its members.
-func (v *vm) turn(h *head) {
+// runPasses plays passes while the replica has work and all its members.
+func (v *vm) runPasses(h *head) {
 	w := v.w
 	for {
 		w.mu.Lock()
-		if v.head != h || v.dead || !h.stuckSince.IsZero() {
-			h.turning = false
+		if v.head != h || v.dead || !h.stalledSince.IsZero() {
+			h.running = false
 			w.mu.Unlock()
 			return
 		}
 		h.replica.SlowFactor = w.slowest(v)
 		took, wrote := h.replica.RunPass()
 		if took == 0 {
-			h.turning = false
-			v.settle()
+			h.running = false
+			v.finishClosing()
 			w.mu.Unlock()
 			return
 		}
 		w.mu.Unlock()
 		time.Sleep(took)
 		w.mu.Lock()
-		if v.head == h && !v.dead && h.stuckSince.IsZero() {
+		if v.head == h && !v.dead && h.stalledSince.IsZero() {
 			h.deliver(wrote)
 		}
 		w.mu.Unlock()
--- a/internal/player/world.go
+++ b/internal/player/world.go
@@ -23,8 +23,8 @@
 const (
 	serversPrefix = "servers/"
 	configKey     = "config"
-	// engines is the service that all VMs are backend servers of.
-	engines cluster.Service = "engines"
+	// engineService is the service that all VMs are backend servers of.
+	engineService cluster.Service = "engines"
 )
 
 // world is the VMs and the store.
@@ -33,26 +33,26 @@
 	store    *memstore.Store
 	rng      *rand.Rand
 
-	mu      sync.Mutex
-	vms     map[cluster.VMID]*vm
-	added   int
-	loading int
-	// served is true from the first call on: loads cost their full time then.
-	served bool
-	// cut are the zones that are parted from the others and from the store.
-	cut map[cluster.ZoneID]bool
-	// wrong are broken promises about replicas.
-	wrong []string
-	loads int
+	mu       sync.Mutex
+	vms      map[cluster.VMID]*vm
+	vmsAdded int
+	loading  int
+	// started is true from the first call on: loads cost their full time then.
+	started bool
+	// partitioned are the zones that are parted from the others and from the store.
+	partitioned map[cluster.ZoneID]bool
+	// violations are broken promises about replicas.
+	violations []string
+	loads      int
 
-	beating sync.WaitGroup
-	still   context.CancelFunc
-	live    context.Context
+	heartbeats sync.WaitGroup
+	cancel     context.CancelFunc
+	ctx        context.Context
 }
 
 func newWorld(s *Scenario, rng *rand.Rand) *world {
-	w := &world{scenario: s, store: memstore.New(memstore.Options{}), rng: rng, vms: make(map[cluster.VMID]*vm), cut: make(map[cluster.ZoneID]bool)}
-	w.live, w.still = context.WithCancel(context.Background())
+	w := &world{scenario: s, store: memstore.New(memstore.Options{}), rng: rng, vms: make(map[cluster.VMID]*vm), partitioned: make(map[cluster.ZoneID]bool)}
+	w.ctx, w.cancel = context.WithCancel(context.Background())
 	for _, z := range s.Zones {
 		for d, size := range z.Domains {
 			for range size {
@@ -71,12 +71,12 @@
 func (w *world) add(zone cluster.ZoneID, domain cluster.DomainID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.added++
-	id := cluster.VMID(fmt.Sprintf("vm-%03d", w.added))
-	v := &vm{w: w, entry: fleet.Server{ID: id, Service: engines, Addr: string(id), Zone: zone, Domain: domain, Slots: w.scenario.Engine.Slots, StartedAt: time.Now()}}
+	w.vmsAdded++
+	id := cluster.VMID(fmt.Sprintf("vm-%03d", w.vmsAdded))
+	v := &vm{w: w, entry: fleet.Server{ID: id, Service: engineService, Addr: string(id), Zone: zone, Domain: domain, Slots: w.scenario.Engine.Slots, StartedAt: time.Now()}}
 	w.vms[id] = v
 	v.publish()
-	w.beating.Go(func() { v.beat(w.live) })
+	w.heartbeats.Go(func() { v.heartbeat(w.ctx) })
 }
 
 // close ends what the VMs do.
@@ -87,21 +87,21 @@
 		v.head = nil
 	}
 	w.mu.Unlock()
-	w.still()
-	w.beating.Wait()
+	w.cancel()
+	w.heartbeats.Wait()
 }
 
-// serveNow says that the first call is about to come.
-func (w *world) serveNow() {
+// startServing says that the first call is about to come.
+func (w *world) startServing() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.served = true
+	w.started = true
 }
 
-func (w *world) isCut(zone cluster.ZoneID) bool {
+func (w *world) isPartitioned(zone cluster.ZoneID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.cut[zone]
+	return w.partitioned[zone]
 }
 
 func (w *world) model(name string) Model {
@@ -109,16 +109,16 @@
 	return w.scenario.Models[at]
 }
 
-// cheapLoads is the part of their time that loads take before the first call.
-const cheapLoads = 0.1
+// warmupLoadFactor is the part of their time that loads take before the first call.
+const warmupLoadFactor = 0.1
 
-// beginLoad counts a load and says how long it takes. The caller holds w.mu.
-func (w *world) beginLoad(model string) time.Duration {
+// startLoad counts a load and says how long it takes. The caller holds w.mu.
+func (w *world) startLoad(model string) time.Duration {
 	w.loading++
 	w.loads++
 	cold := w.model(model).ColdLoad
-	if !w.served {
-		return time.Duration(cheapLoads * float64(cold))
+	if !w.started {
+		return time.Duration(warmupLoadFactor * float64(cold))
 	}
 	return time.Duration(float64(cold) * max(1, float64(w.loading)/float64(max(w.scenario.Engine.LoadsAtOnce, 1))))
 }
@@ -130,16 +130,16 @@
 	}
 	h := w.vms[v.members[0]]
 	if h != nil && !h.dead && h.epoch == v.epoch && h.head != nil && !h.head.failed {
-		w.wrong = append(w.wrong, fmt.Sprintf("%s joins another replica while %s serves", v.entry.ID, v.entry.Membership.Replica))
+		w.violations = append(w.violations, fmt.Sprintf("%s joins another replica while %s serves", v.entry.ID, v.entry.Membership.Replica))
 	}
 }
 
-// checkWhole notes an opened replica that lacks a member.
-func (w *world) checkWhole(v *vm) {
+// checkComplete notes an opened replica that lacks a member.
+func (w *world) checkComplete(v *vm) {
 	for _, id := range v.members {
 		m := w.vms[id]
 		if m == nil || m.epoch != v.epoch || m.entry.Membership == nil || m.entry.Membership.State == fleet.Joining {
-			w.wrong = append(w.wrong, fmt.Sprintf("%s opens without %s", v.entry.ID, id))
+			w.violations = append(w.violations, fmt.Sprintf("%s opens without %s", v.entry.ID, id))
 		}
 	}
 }
@@ -155,17 +155,17 @@
 	return slow
 }
 
-// memberGone has the head of a replica stand still, and break after a while.
-func (w *world) memberGone(members []cluster.VMID, epoch int64) {
+// stallReplica has the head of a replica stand still, and break after a while.
+func (w *world) stallReplica(members []cluster.VMID, epoch int64) {
 	if len(members) == 0 {
 		return
 	}
 	h := w.vms[members[0]]
-	if h == nil || h.dead || h.epoch != epoch || h.head == nil || !h.head.stuckSince.IsZero() {
+	if h == nil || h.dead || h.epoch != epoch || h.head == nil || !h.head.stalledSince.IsZero() {
 		return
 	}
 	stuck := h.head
-	stuck.stuckSince = time.Now()
+	stuck.stalledSince = time.Now()
 	h.after(w.scenario.Engine.StallTimeout, func() {
 		if h.head == stuck {
 			stuck.fail()
@@ -180,9 +180,9 @@
 func (w *world) kill(v *vm) {
 	v.dead = true
 	if v.head != nil {
-		v.head.stuckSince = time.Now()
+		v.head.stalledSince = time.Now()
 	}
-	w.memberGone(v.members, v.epoch)
+	w.stallReplica(v.members, v.epoch)
 	key := serversPrefix + string(v.entry.ID)
 	time.AfterFunc(3*w.scenario.Engine.Heartbeat, func() {
 		w.mu.Lock()
@@ -199,19 +199,19 @@
 	v.dead, v.head, v.members, v.model, v.loaded = false, nil, nil, "", ""
 	v.entry.Membership, v.entry.Model, v.entry.StartedAt = nil, "", time.Now()
 	v.epoch = 0
-	v.order++
+	v.orderSeq++
 	v.publish()
 }
 
-// picked are live VMs of the zone, all zones if it is empty, that are members of open
+// servingMembers are live VMs of the zone, all zones if it is empty, that are members of open
 // replicas of the model, of any if it is empty; in random order.
-func (w *world) picked(zone cluster.ZoneID, model string) (out []*vm) {
+func (w *world) servingMembers(zone cluster.ZoneID, model string) (out []*vm) {
 	for _, v := range w.vms {
 		m := v.entry.Membership
 		if v.dead || m == nil || zone != "" && v.entry.Zone != zone || model != "" && v.model != model {
 			continue
 		}
-		if h := w.vms[v.members[0]]; h != nil && h.head != nil && h.head.stuckSince.IsZero() {
+		if h := w.vms[v.members[0]]; h != nil && h.head != nil && h.head.stalledSince.IsZero() {
 			out = append(out, v)
 		}
 	}
@@ -222,11 +222,11 @@
 
 // reaches reports whether a node of one zone reaches a VM of another.
 func (w *world) reaches(from, to cluster.ZoneID) bool {
-	return from == to || !w.cut[from] && !w.cut[to]
+	return from == to || !w.partitioned[from] && !w.partitioned[to]
 }
 
-// reachesNode reports whether nodes of two zones reach each other.
-func (w *world) reachesNode(a, b cluster.ZoneID) bool {
+// nodesReach reports whether nodes of two zones reach each other.
+func (w *world) nodesReach(a, b cluster.ZoneID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.reaches(a, b)
@@ -252,8 +252,8 @@
 	zone cluster.ZoneID
 }
 
-// wireTime is a call between machines, there and back.
-const wireTime = 2 * time.Millisecond
+// roundTrip is a call between machines, there and back.
+const roundTrip = 2 * time.Millisecond
 
 // Send implements formation.OrderClient.
 func (o orders) Send(ctx context.Context, to fleet.Server, order lifecycle.Order) (lifecycle.Response, error) {
@@ -261,7 +261,7 @@
 	if err != nil {
 		return "", err
 	}
-	return v.carryOut(order), nil
+	return v.execute(order), nil
 }
 
 // Probe implements formation.OrderClient.
@@ -271,7 +271,7 @@
 }
 
 func (o orders) reach(ctx context.Context, id cluster.VMID) (*vm, error) {
-	time.Sleep(wireTime)
+	time.Sleep(roundTrip)
 	o.w.mu.Lock()
 	v := o.w.vms[id]
 	up := v != nil && !v.dead && o.w.reaches(o.zone, v.entry.Zone)
