--- a/internal/player/backend.go
+++ b/internal/player/backend.go
@@ -16,15 +16,15 @@
 	"github.com/fennelcourse/fennelcourse/internal/relay"
 )
 
-// backend sends a node's attempts to the played VMs; it implements relay.Backend.
+// backend sends a node's attempts to the simulated VMs. It implements relay.Backend.
 type backend struct {
 	w    *world
 	zone cluster.ZoneID
-	// answerTokens says how many tokens an answer really has, by the call's id.
+	// answerTokens returns the length in tokens of the complete answer to a call.
 	answerTokens func(id string) int
 }
 
-// dialTimeout is how long a connection to a VM that is silent is waited for.
+// dialTimeout is how long a node waits for a connection to an unresponsive VM.
 const dialTimeout = 1500 * time.Millisecond
 
 // Send implements relay.Backend.
@@ -45,6 +45,8 @@
 	return &relay.Reply{Head: call.Head{Status: http.StatusOK, Header: http.Header{}}, Load: &load, Body: body}, nil
 }
 
+// resumeOffset returns the number of the last piece that the caller already has, 0 if it
+// has none.
 func resumeOffset(id string) int {
 	n, err := strconv.Atoi(id)
 	if err != nil {
@@ -53,6 +55,8 @@
 	return n
 }
 
+// reach returns the VM that the attempt is sent to, or an error after dialTimeout if it is
+// down or unreachable from the zone.
 func (b *backend) reach(ctx context.Context, a relay.Attempt) (*vm, error) {
 	b.w.mu.Lock()
 	v := b.w.vms[a.Peer.Server]
@@ -65,10 +69,11 @@
 	case <-ctx.Done():
 	case <-time.After(dialTimeout):
 	}
-	return nil, &relay.NotRunError{Reason: "no connection", Err: errors.New("nobody answers")}
+	return nil, &relay.NotRunError{Reason: "no connection", Err: errors.New("VM is down or unreachable")}
 }
 
-// admit puts the request on the replica whose head the VM is.
+// admit adds the request to the replica that v is the head of, or returns a
+// relay.NotRunError if there is none for the model or its queue is full.
 func (b *backend) admit(v *vm, a relay.Attempt) (*answer, *enginemodel.Job, relay.Load, error) {
 	w := b.w
 	w.mu.Lock()
@@ -80,7 +85,7 @@
 		load.Running, load.Waiting = h.replica.Running(), h.replica.Waiting()
 	}
 	if !open || v.model != a.Call.Model {
-		return nil, nil, load, &relay.NotRunError{Reason: "not the head of a replica of the model", Received: true, Load: &load, Err: errors.New(string(v.entry.ID))}
+		return nil, nil, load, &relay.NotRunError{Reason: "not the head of a replica that serves the model", Received: true, Load: &load, Err: errors.New(string(v.entry.ID))}
 	}
 	if load.Waiting >= w.scenario.Engine.Queue {
 		return nil, nil, load, &relay.NotRunError{Reason: "full", Received: true, Load: &load, Err: errors.New(string(v.entry.ID))}
@@ -97,7 +102,7 @@
 	return ans, job, load, nil
 }
 
-// cancelJob takes a request off a replica whose sender has gone.
+// cancelJob removes a request whose sender has gone away from its replica.
 func (w *world) cancelJob(v *vm, job *enginemodel.Job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -108,7 +113,7 @@
 	}
 }
 
-// streamBody is a stream as its sender reads it; it implements relay.Body.
+// streamBody is the sender's end of a response stream. It implements relay.Body.
 type streamBody struct {
 	ctx          context.Context
 	w            *world
@@ -119,7 +124,7 @@
 	ended        bool
 }
 
-// awaitFirst waits for the first piece: the head of an answer comes with it.
+// awaitFirst waits for the first piece, which arrives together with the response head.
 func (r *streamBody) awaitFirst() error {
 	if err := r.await(); err != nil {
 		return err
@@ -129,15 +134,16 @@
 	return nil
 }
 
+// await waits for the next piece; it returns io.EOF at the end of the stream.
 func (r *streamBody) await() error {
 	select {
-	case _, more := <-r.answer.pieces:
-		if !more {
+	case _, ok := <-r.answer.pieces:
+		if !ok {
 			return io.EOF
 		}
 		return nil
 	case <-r.answer.failed:
-		return &relay.BrokenError{Reason: "the stream broke off", Err: io.ErrUnexpectedEOF}
+		return &relay.BrokenError{Reason: "the replica abandoned the request", Err: io.ErrUnexpectedEOF}
 	case <-r.ctx.Done():
 		r.cancelJob()
 		return &relay.BrokenError{Reason: "no answer", Err: r.ctx.Err()}
@@ -158,7 +164,9 @@
 }
 
 // ReadAll implements relay.Body.
-func (r *streamBody) ReadAll(int64) ([]byte, error) { return nil, errors.New("streams only") }
+func (r *streamBody) ReadAll(int64) ([]byte, error) {
+	return nil, errors.New("only streamed responses are supported")
+}
 
 // Close implements relay.Body.
 func (r *streamBody) Close() {
--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -13,20 +13,21 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// callers send calls and note what they get.
+// callers generates the scenario's calls and records their results.
 type callers struct {
 	sys *Simulation
 	rng *rand.Rand
 
-	mu       sync.Mutex
-	sent     int
+	mu   sync.Mutex
+	sent int
+	// tokens holds the length in tokens of the answer to each call, by call ID.
 	tokens   map[string]int
 	results  []CallResult
 	routes   map[string]*rules.Route
 	inFlight sync.WaitGroup
 }
 
-// Outcome is what a caller got.
+// Outcome is the result of a call as its caller sees it.
 type Outcome string
 
 // Outcomes of a call.
@@ -37,25 +38,28 @@
 	Failed  Outcome = "failed"
 )
 
-// CallResult is one call and what came of it. Times count from its first sending.
+// CallResult is one call and its result.
 type CallResult struct {
-	Kind    string
+	Kind string
+	// SentAt counts from the start of the load.
 	SentAt  time.Duration
 	Outcome Outcome
-	// FirstPiece is when the first piece came, MaxGap the longest time without one after it.
+	// FirstPiece is the time from the first attempt until the first piece, MaxGap the
+	// longest time between two consecutive pieces.
 	FirstPiece, MaxGap time.Duration
 	Attempts           int
-	// Work is the part of a replica's time that the call takes, by the engine's figures.
+	// Work is the time of a replica that the call takes, computed from the engine's figures.
 	Work time.Duration
 }
 
-// run sends calls until the scenario's length has passed, and waits for their ends.
+// run sends calls until the scenario's length has passed, then waits for all of them to
+// finish.
 func (c *callers) run() {
-	began := time.Now()
+	start := time.Now()
 	for {
-		rate, kind := c.drawKind(time.Since(began))
+		rate, kind := c.drawKind(time.Since(start))
 		time.Sleep(time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second)))
-		at := time.Since(began)
+		at := time.Since(start)
 		if at >= c.sys.scenario.Length {
 			break
 		}
@@ -69,10 +73,11 @@
 	c.inFlight.Wait()
 }
 
-// hintSpread is how far off callers' guesses at their answers' sizes are.
+// hintSpread is the standard deviation of the logarithm of the error in callers' hints on
+// the length of their answers.
 const hintSpread = 0.5
 
-// drawKind is the rate of all calls at a moment, and the kind of the next.
+// drawKind returns the total call rate at a moment and draws the kind of the next call.
 func (c *callers) drawKind(at time.Duration) (rate float64, kind *CallKind) {
 	rates := make([]float64, len(c.sys.scenario.Kinds))
 	for i, k := range c.sys.scenario.Kinds {
@@ -84,15 +89,16 @@
 		}
 		rate += rates[i]
 	}
-	left := c.rng.Float64() * rate
+	remaining := c.rng.Float64() * rate
 	for i := range rates {
-		if left -= rates[i]; left < 0 || i == len(rates)-1 {
+		if remaining -= rates[i]; remaining < 0 || i == len(rates)-1 {
 			return rate, &c.sys.scenario.Kinds[i]
 		}
 	}
 	return rate, nil
 }
 
+// sample draws a length of at least one token.
 func (t TokenDistribution) sample(rng *rand.Rand) float64 {
 	tokens := t.Mean * math.Exp(t.Spread*rng.NormFloat64()-t.Spread*t.Spread/2)
 	if t.Max > 0 {
@@ -101,34 +107,36 @@
 	return max(tokens, 1)
 }
 
-// Limits of a caller's timeout.
+// Limits of a caller's patience.
 const (
-	// minTimeout is the least time without a piece after which callers leave; they
-	// wait for longestTargets targets and longestPauses pauses if these are longer.
+	// A caller gives up when no piece has come for the longest of minTimeout,
+	// timeoutTargets times its target, and timeoutGaps times its target gap.
 	minTimeout     = 2 * time.Second
 	timeoutTargets = 4
 	timeoutGaps    = 8
-	// retryWaitDivisor is the part of the time left in which a refused caller comes back.
+	// A refused caller retries after at most the time left until its deadline divided
+	// by retryWaitDivisor.
 	retryWaitDivisor = 3
 )
 
-// runCall takes a call through its tries: a refused caller comes back once.
+// runCall sends a call and retries it once, at another node, if it is refused or breaks
+// off.
 func (c *callers) runCall(n *node, k *CallKind, id string, at time.Duration, prompt, answer, hint int) {
 	sent := time.Now()
-	fate := CallResult{Kind: k.Name, SentAt: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
+	result := CallResult{Kind: k.Name, SentAt: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
 	resume := ""
 	for try := range 2 {
-		fate.Attempts = try + 1
+		result.Attempts = try + 1
 		s := c.attempt(n, k, fmt.Sprintf("%s-%d", id, try), sent, prompt, answer, hint, resume)
-		fate.recordAttempt(s, k)
+		result.recordAttempt(s, k)
 		if s.ended {
 			break
 		}
-		left := k.Deadline - time.Since(sent)
+		remaining := k.Deadline - time.Since(sent)
 		switch {
 		case s.refused != nil:
-			fate.Outcome = Refused
-			time.Sleep(min(s.refused.RetryAfter, left/retryWaitDivisor))
+			result.Outcome = Refused
+			time.Sleep(min(s.refused.RetryAfter, remaining/retryWaitDivisor))
 		case s.pieces > 0:
 			resume = fmt.Sprint(s.pieces)
 		}
@@ -136,10 +144,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.results = append(c.results, fate)
+	c.results = append(c.results, result)
 }
 
-// recordAttempt takes a try's part into the call's fate.
+// recordAttempt merges the result of one attempt into the call's.
 func (f *CallResult) recordAttempt(s *sink, k *CallKind) {
 	if s.pieces > 0 && f.FirstPiece == 0 {
 		f.FirstPiece = s.firstAt.Sub(s.sent)
@@ -155,6 +163,8 @@
 	}
 }
 
+// attempt sends the call to a node once, resuming after the piece named by resume if it is
+// set.
 func (c *callers) attempt(n *node, k *CallKind, id string, sent time.Time, prompt, answer, hint int, resume string) *sink {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -171,14 +181,14 @@
 	return s
 }
 
-// answerTokens is how many tokens the answer to a call has.
+// answerTokens returns the length in tokens of the answer to a call.
 func (c *callers) answerTokens(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tokens[id]
 }
 
-// sink notes when pieces come; it implements call.Sink.
+// sink records when the pieces of an answer arrive. It implements call.Sink.
 type sink struct {
 	sent            time.Time
 	timeout         time.Duration
--- a/internal/player/ceiling.go
+++ b/internal/player/ceiling.go
@@ -4,29 +4,30 @@
 	"time"
 )
 
-// Goodput is, for the calls of one model sent in some time, how much of their work could
-// have been done on time, and how much was. All are in replicas that the work keeps busy.
+// Goodput compares the work done on time for the calls to one model in an interval with
+// the work that could have been. All values are in replicas kept fully busy.
 type Goodput struct {
 	Model string
-	// Demand is the work of all calls, each counted once.
+	// Demand is the work of all calls, each counted once however often it was tried.
 	Demand float64
-	// Capacity is how many replicas served meanwhile.
+	// Capacity is the mean number of replicas that were serving.
 	Capacity float64
 	// OnTime is the work of the calls that were answered on time.
 	OnTime float64
 }
 
-// Share is the part of what the standing replicas could have done on time that was.
+// Share returns OnTime as a fraction of what the serving replicas could have done, the
+// lesser of Demand and Capacity.
 func (c Goodput) Share() float64 {
-	best := min(c.Demand, c.Capacity)
-	if best <= 0 {
+	attainable := min(c.Demand, c.Capacity)
+	if attainable <= 0 {
 		return 1
 	}
-	return c.OnTime / best
+	return c.OnTime / attainable
 }
 
-// Goodput reckons what the calls sent from a moment until another asked, and what was
-// there for them, by model, from the engines' published figures.
+// Goodput returns, by model, the goodput for the calls sent between two moments, computed
+// from the engines' published figures.
 func (r *Result) Goodput(from, until time.Duration) []Goodput {
 	var out []Goodput
 	for _, m := range r.Scenario.Models {
@@ -46,7 +47,7 @@
 	return out
 }
 
-// meanServing is the mean number of the model's replicas that served.
+// meanServing returns the mean number of the model's replicas that were serving.
 func (r *Result) meanServing(m Model, from, until time.Duration) float64 {
 	sum, n := 0.0, 0
 	for _, t := range r.VMSamples {
@@ -58,8 +59,8 @@
 	return sum / float64(max(n, 1))
 }
 
-// ServableShare is the part of the work asked that all live VMs could do if each stood where
-// it is needed; 1 is all of it.
+// ServableShare returns the fraction of the demanded work that all live VMs could do if
+// each were assigned to the model that needs it; 1 means all of it.
 func (r *Result) ServableShare(from, until time.Duration) float64 {
 	live, n := 0.0, 0
 	for _, t := range r.VMSamples {
@@ -68,12 +69,12 @@
 			n++
 		}
 	}
-	asked := 0.0 // in VMs
+	demand := 0.0 // in VMs
 	for i, c := range r.Goodput(from, until) {
-		asked += c.Demand * float64(r.Scenario.Models[i].VMs)
+		demand += c.Demand * float64(r.Scenario.Models[i].VMs)
 	}
-	if asked <= 0 || n == 0 {
+	if demand <= 0 || n == 0 {
 		return 1
 	}
-	return min(1, live/float64(n)/asked)
+	return min(1, live/float64(n)/demand)
 }
--- a/internal/player/cut.go
+++ b/internal/player/cut.go
@@ -9,19 +9,20 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// partitionedStore is the platform's store as a node sees it that may be cut off from it.
+// partitionedStore is the platform's store as seen by a node that a network partition can
+// separate from it.
 type partitionedStore struct {
 	store.Store
 	partitioned func() bool
 }
 
-// partitionTimeout is how long a call over a cut hangs at least, and how often a watch
-// notices the cut.
+// partitionTimeout is how long a call hangs during a partition before it fails, unless its
+// context ends first, and how often a watch checks for a partition.
 const partitionTimeout = 500 * time.Millisecond
 
-var errPartitioned = errors.New("cut off from the store")
+var errPartitioned = errors.New("partitioned from the store")
 
-// checkReachable hangs and fails while the node is cut off.
+// checkReachable blocks and then fails while the node is partitioned from the store.
 func (s *partitionedStore) checkReachable(ctx context.Context) error {
 	if !s.partitioned() {
 		return nil
@@ -73,7 +74,7 @@
 	return s.Store.KeepAlive(ctx, id)
 }
 
-// Watch implements store.Store; it ends when the node is cut off.
+// Watch implements store.Store. The watch ends when the node is partitioned from the store.
 func (s *partitionedStore) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
 	if err := s.checkReachable(ctx); err != nil {
 		return nil, err
--- a/internal/player/faults.go
+++ b/internal/player/faults.go
@@ -7,10 +7,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// restartTime is how long a node that was killed is gone.
+// restartTime is how long a killed node stays down.
 const restartTime = time.Second
 
-// scheduleFaults has the scenario's faults happen.
+// scheduleFaults sets timers for the scenario's faults.
 func (sys *Simulation) scheduleFaults() {
 	for _, f := range sys.scenario.Faults {
 		time.AfterFunc(f.At, func() { sys.startFault(f) })
@@ -20,7 +20,7 @@
 	}
 }
 
-// startFault brings a fault about.
+// startFault injects a fault.
 func (sys *Simulation) startFault(f Fault) {
 	w := sys.world
 	switch f.Kind {
@@ -48,7 +48,7 @@
 	}
 }
 
-// endFault undoes a fault that lasts.
+// endFault reverts a temporary fault.
 func (sys *Simulation) endFault(f Fault) {
 	w := sys.world
 	switch f.Kind {
@@ -75,15 +75,15 @@
 	}
 }
 
-// pickMembers are as many members of serving replicas as the fault names, each of
-// another replica.
+// pickMembers picks as many members of serving replicas as the fault names, at most one
+// per replica.
 func (w *world) pickMembers(f Fault) (out []*vm) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	taken := make(map[int64]bool)
+	seen := make(map[int64]bool)
 	for _, v := range w.servingMembers(f.Zone, f.Model) {
-		if len(out) < f.Count && !taken[v.epoch] {
-			taken[v.epoch] = true
+		if len(out) < f.Count && !seen[v.epoch] {
+			seen[v.epoch] = true
 			out = append(out, v)
 		}
 	}
@@ -108,7 +108,7 @@
 	return out
 }
 
-// smallestDomain is the zone's domain with the fewest live VMs.
+// smallestDomain returns the zone's domain with the fewest live VMs.
 func (w *world) smallestDomain(zone cluster.ZoneID) (best cluster.DomainID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -121,7 +121,7 @@
 		}
 	}
 	for _, v := range w.vms {
-		if _, there := live[v.entry.Domain]; there && !v.dead {
+		if _, ok := live[v.entry.Domain]; ok && !v.dead {
 			live[v.entry.Domain]++
 		}
 	}
@@ -133,8 +133,8 @@
 	return best
 }
 
-func (w *world) setPartitioned(zone cluster.ZoneID, cut bool) {
+func (w *world) setPartitioned(zone cluster.ZoneID, partitioned bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.partitioned[zone] = cut
+	w.partitioned[zone] = partitioned
 }
--- a/internal/player/gossip.go
+++ b/internal/player/gossip.go
@@ -11,30 +11,31 @@
 
 const (
 	// gossipInterval is the time between two load reports of a node, each to one other
-	// node: what their bytes allow.
+	// node. It follows from the byte budget of the reports.
 	gossipInterval = 110 * time.Millisecond
-	// maxReportBytes is the bytes of one.
+	// maxReportBytes is the size limit of one load report.
 	maxReportBytes = 400
 )
 
-// gossip has the nodes send each other load reports in turn, but across a cut.
+// gossip sends load reports from every node to one peer after the other, except across a
+// partition.
 func (sys *Simulation) gossip(ctx context.Context) {
-	turn := 0
+	round := 0
 	clock.Every(ctx, gossipInterval, func(time.Time) {
-		turn++
+		round++
 		for i, from := range sys.nodes {
-			sys.sendLoadReport(from, sys.gossipPeer(i, turn))
+			sys.sendLoadReport(from, sys.gossipPeer(i, round))
 		}
 	})
 }
 
-// gossipPeer is the node that the i-th one sends to at its turn.
-func (sys *Simulation) gossipPeer(i, turn int) *node {
+// gossipPeer returns the node that the i-th one sends its load report to in a round.
+func (sys *Simulation) gossipPeer(i, round int) *node {
 	n := len(sys.nodes)
 	if n < 2 {
 		return sys.nodes[i]
 	}
-	return sys.nodes[(i+1+turn%(n-1))%n]
+	return sys.nodes[(i+1+round%(n-1))%n]
 }
 
 func (sys *Simulation) sendLoadReport(from, to *node) {
@@ -45,7 +46,7 @@
 	receiver.ReceiveLoadReport(from.id, sender.LoadReport(maxReportBytes))
 }
 
-// broadcast brings a section from one node to all that it reaches.
+// broadcast delivers a section to all nodes that the sender reaches.
 func (sys *Simulation) broadcast(from *node, section membership.Section) {
 	for _, to := range sys.nodes {
 		if receiver := to.currentCore(); receiver != nil && to != from && sys.world.nodesReach(from.zone, to.zone) {
@@ -54,7 +55,7 @@
 	}
 }
 
-// currentCore is the node's process; nil while it is dead.
+// currentCore returns the node's running core, nil while the node is down.
 func (n *node) currentCore() *entry.Core {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/player/player_test.go
+++ b/internal/player/player_test.go
@@ -12,7 +12,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/player"
 )
 
-// load reads a scenario of testdata.
+// load reads a scenario from testdata.
 func load(t testing.TB, name string) *player.Scenario {
 	t.Helper()
 	s, err := player.Load(filepath.Join("testdata", name+".yaml"))
@@ -20,87 +20,88 @@
 	return s
 }
 
-// play plays a scenario in virtual time and checks that no promise about replicas was
-// broken.
-func play(t *testing.T, s *player.Scenario, opts player.Options) (res *player.Result) {
+// simulate runs a scenario in virtual time and checks that no invariant of the replicas was
+// violated.
+func simulate(t *testing.T, s *player.Scenario, opts player.Options) (res *player.Result) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { res = player.Simulate(s, opts) })
 	require.Empty(t, res.Violations)
 	return res
 }
 
-// The players' first pieces, from published figures alone, are those that callers of
-// real deployments at the same quiet rates saw, within 20%. Without that no conclusion
-// drawn from a play would hold there.
-func TestFirstPiecesAtQuietRates(t *testing.T) {
-	for name, seen := range map[string]map[string]time.Duration{
+// The simulated times to the first piece, computed from published figures alone, must be
+// within 20% of those that callers of real deployments measured at the same low rates.
+// Otherwise no conclusion from a simulation holds for them.
+func TestFirstPieceTimesAtLowLoadMatchDeployments(t *testing.T) {
+	for name, measured := range map[string]map[string]time.Duration{
 		"drafts-quiet": {"draft": 235 * time.Millisecond, "summary": 169 * time.Millisecond, "note": 246 * time.Millisecond},
 	} {
-		for _, row := range play(t, load(t, name), player.Options{Seed: 1}).Summaries(0, time.Hour) {
-			if want, ok := seen[row.Kind]; ok {
+		for _, row := range simulate(t, load(t, name), player.Options{Seed: 1}).Summaries(0, time.Hour) {
+			if want, ok := measured[row.Kind]; ok {
 				require.InEpsilon(t, want.Seconds(), row.FirstP50.Seconds(), 0.2, row.Kind)
 			}
 		}
 	}
 }
 
-// shareOnTime is the mean, over some seeds, of the part of what the standing replicas of
-// each model could do on time that they did, for the calls sent in some time.
-func shareOnTime(t *testing.T, name string, from, until time.Duration) map[string]float64 {
+// meanGoodput returns, by model, the mean over some seeds of the goodput share for the calls
+// sent between two moments.
+func meanGoodput(t *testing.T, name string, from, until time.Duration) map[string]float64 {
 	t.Helper()
 	const seeds = 4
 	shares := make(map[string]float64)
 	for seed := range uint64(seeds) {
-		for _, c := range play(t, load(t, name), player.Options{Seed: seed + 1}).Goodput(from, until) {
+		for _, c := range simulate(t, load(t, name), player.Options{Seed: seed + 1}).Goodput(from, until) {
 			shares[c.Model] += c.Share() / seeds
 		}
 	}
 	return shares
 }
 
-// Twice the usual calls come for fifteen seconds, an eighth more than all replicas bear.
-// Each node knows of the others' requests only what engines reported a while ago, and
-// lets callers that come back have places beyond the slots: the replicas get half as many
-// requests again as they batch, and nearly every caller gets a late answer, though most
-// could have had theirs on time. Two thirds of what the replicas can do must be done on
-// time; a system that is overloaded by an eighth and does less has collapsed.
-func TestOverloadIsServedNearTheCeiling(t *testing.T) {
-	for model, share := range shareOnTime(t, "overload", 10*time.Second, 23*time.Second) {
+// For fifteen seconds twice the usual calls arrive, an eighth more than all replicas can
+// serve. A node knows other nodes' requests only from older reports of the engines, and
+// admits returning callers beyond the slots. Without further bounds, replicas get half as
+// many requests again as they batch, and nearly every answer is late although most could
+// be on time. At least two thirds of what the replicas can do must be done on time: less
+// at an overload of an eighth is a collapse.
+func TestGoodputUnderSustainedOverload(t *testing.T) {
+	for model, share := range meanGoodput(t, "overload", 10*time.Second, 23*time.Second) {
 		require.GreaterOrEqual(t, share, 2.0/3, model)
 	}
 }
 
-// A burst of three seconds is over before any VM could change its model. What the
-// replicas can't take is refused and comes back after it; four fifths of what they can do
-// are done on time.
-func TestShortBurstIsRiddenOut(t *testing.T) {
-	for model, share := range shareOnTime(t, "short-burst", 8*time.Second, 11*time.Second) {
+// A burst of three seconds ends before any VM could switch its model. Calls beyond the
+// replicas' capacity are refused and return after the burst; four fifths of what the
+// replicas can do must be done on time.
+func TestGoodputDuringShortBurst(t *testing.T) {
+	for model, share := range meanGoodput(t, "short-burst", 8*time.Second, 11*time.Second) {
 		require.GreaterOrEqual(t, share, 0.8, model)
 	}
 }
 
-// A scenario file with a slip is refused with the field, not played as something else.
-func TestScenariosAreChecked(t *testing.T) {
-	for name, problem := range map[string]string{"no-such-model": "names no model", "unknown-field": "unknown field"} {
+// A mistake in a scenario file is rejected with an error that names it, rather than ignored.
+func TestInvalidScenarioIsRejected(t *testing.T) {
+	for name, problem := range map[string]string{"no-such-model": "references an unknown model", "unknown-field": "unknown field"} {
 		_, err := player.Load(filepath.Join("testdata", "bad", name+".yaml"))
 		require.ErrorContains(t, err, problem)
 	}
 }
 
-// Dozens of nodes that each find out by their own callers' requests that a replica stands still must not cost as many times those requests.
+// With dozens of nodes, a stalled replica must not cost requests once per node, which it
+// does if each node detects the stall by its own callers' requests alone.
 func TestLostMemberCostsFewCallersAtManyNodes(t *testing.T) {
 	const seeds, mostLate = 3, 0.025
 	late := 0.0
 	for seed := range uint64(seeds) {
-		rows := play(t, load(t, "many-nodes"), player.Options{Seed: seed + 1}).Summaries(2*time.Second, 16*time.Second)
+		rows := simulate(t, load(t, "many-nodes"), player.Options{Seed: seed + 1}).Summaries(2*time.Second, 16*time.Second)
 		late += rows[len(rows)-1].Late / seeds
 	}
 	t.Logf("late=%.4f", late)
 	require.LessOrEqual(t, late, mostLate)
 }
 
-// Scenario files are written by hand: a field renamed in the code must not rename their keys.
-func TestKeysOfAKind(t *testing.T) {
+// Scenario files are written by hand: renaming a field in the code must not change its key.
+func TestYAMLKeysOfCallKind(t *testing.T) {
 	const text = `
 length: 1s
 zones: [{name: z, nodes: 1, domains: [1], share: 1}]
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -11,31 +11,32 @@
 	"github.com/fennelcourse/fennelcourse/internal/fleet"
 )
 
-// Result is what callers got and what the VMs did.
+// Result holds the results of all calls and samples of the VMs' states.
 type Result struct {
 	Scenario *Scenario
 	Calls    []CallResult
-	// VMSamples is the count of VMSamples by what they did, each second.
+	// VMSamples are taken every second.
 	VMSamples []VMSample
-	// Violations are broken promises about replicas: each is a fault of the decisions.
+	// Violations are broken invariants of replicas; each is a bug in the nodes' decisions.
 	Violations []string
+	// ModelLoads is the number of model loads that VMs started.
 	ModelLoads int
 }
 
-// VMSample counts VMs at a moment.
+// VMSample counts the VMs by state at one moment.
 type VMSample struct {
 	At time.Duration
-	// Serving counts VMs of open replicas by model.
+	// Serving counts the VMs of serving replicas by model.
 	Serving map[string]int
-	// Live is all VMs that are up; those that neither serve nor join are Idle.
+	// Live counts all VMs that are up. Those that neither serve nor join are Idle.
 	Live, Joining, Idle int
 }
 
-// sampleVMs tallies the VMs each second until ctx ends.
+// sampleVMs samples the VMs every second until ctx ends.
 func (sys *Simulation) sampleVMs(ctx context.Context, res *Result) {
-	began := time.Now()
+	start := time.Now()
 	clock.Every(ctx, time.Second, func(now time.Time) {
-		res.VMSamples = append(res.VMSamples, sys.world.countVMs(now.Sub(began)))
+		res.VMSamples = append(res.VMSamples, sys.world.countVMs(now.Sub(start)))
 	})
 }
 
@@ -63,7 +64,7 @@
 	return t
 }
 
-// serving reports whether the VM's replica takes requests and works.
+// serving reports whether the VM's replica is open and not stalled.
 func (w *world) serving(v *vm) bool {
 	h := w.vms[v.members[0]]
 	return h != nil && !h.dead && h.epoch == v.epoch && h.head != nil && h.head.stalledSince.IsZero() &&
@@ -77,18 +78,21 @@
 	r.ModelLoads = sys.world.loads
 }
 
-// KindSummary sums up the calls of one kind, or all.
+// KindSummary summarizes the calls of one kind, or of all kinds. OnTime, Late, Refused and
+// Failed are fractions of Calls.
 type KindSummary struct {
 	Kind                          string
 	Calls                         int
 	OnTime, Late, Refused, Failed float64
-	// ValueShare is the credit earned over that owed.
+	// ValueShare is the value earned as a fraction of the value of answering every call
+	// on time.
 	ValueShare float64
-	// FirstP50 and FirstP99 are of the first pieces.
+	// FirstP50 and FirstP99 are percentiles of the time to the first piece.
 	FirstP50, FirstP99 time.Duration
 }
 
-// Summaries sums up the calls sent from a moment until another, by kind and then all.
+// Summaries summarizes the calls sent between two moments, one entry per kind and a last
+// one for all calls.
 func (r *Result) Summaries(from, until time.Duration) []KindSummary {
 	var out []KindSummary
 	for _, k := range r.Scenario.Kinds {
@@ -97,13 +101,13 @@
 	return append(out, r.summarizeKind("", from, until))
 }
 
-// summarizeKind sums up a kind's calls, or all for an empty name.
+// summarizeKind summarizes the calls of a kind, or all calls if the name is empty.
 func (r *Result) summarizeKind(kind string, from, until time.Duration) KindSummary {
 	row := KindSummary{Kind: kind}
 	if kind == "" {
 		row.Kind = "all"
 	}
-	owed, earned := 0.0, 0.0
+	possible, earned := 0.0, 0.0
 	var firsts []time.Duration
 	for _, f := range r.Calls {
 		if kind != "" && f.Kind != kind || f.SentAt < from || f.SentAt >= until {
@@ -111,7 +115,7 @@
 		}
 		k := r.kindByName(f.Kind)
 		row.Calls++
-		owed += k.Value
+		possible += k.Value
 		if f.FirstPiece > 0 {
 			firsts = append(firsts, f.FirstPiece)
 		}
@@ -133,7 +137,7 @@
 	}
 	n := float64(row.Calls)
 	row.OnTime, row.Late, row.Refused, row.Failed = row.OnTime/n, row.Late/n, row.Refused/n, row.Failed/n
-	row.ValueShare = earned / owed
+	row.ValueShare = earned / possible
 	slices.Sort(firsts)
 	if len(firsts) > 0 {
 		row.FirstP50, row.FirstP99 = firsts[len(firsts)/2], firsts[len(firsts)*99/100]
@@ -146,7 +150,7 @@
 	return r.Scenario.Kinds[at]
 }
 
-// Write prints the table of what callers got.
+// Write prints the summaries as a table.
 func (r *Result) Write(out io.Writer, from, until time.Duration) {
 	fmt.Fprintf(out, "%-16s %6s %8s %6s %8s %7s %6s %9s %9s\n", "kind", "asked", "on time", "late", "refused", "failed", "worth", "p50", "p99")
 	for _, row := range r.Summaries(from, until) {
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -1,10 +1,10 @@
-// Package player plays load and faults against the decisions of whole nodes, in
-// virtual time and without a network: the nodes are real, with all that they decide
-// for callers and for VMs; VMs, replicas, callers and the platform are models of this
-// package. It answers what callers get under a load before anybody has to meet it.
+// Package player simulates load and faults against a system of entry nodes, in virtual
+// time and without a network. The nodes run their real decision code, both for calls and
+// for VMs; VMs, replicas, callers and the platform are modelled by this package. It shows
+// what callers would get under a load before it occurs in production.
 //
-// The player uses the clock of the time package. Inside a synctest bubble a minute of
-// load passes in a few seconds.
+// The simulation uses the clock of the time package. Inside a synctest bubble a minute of
+// load takes a few seconds.
 package player
 
 import (
@@ -18,11 +18,11 @@
 	"github.com/fennelcourse/fennelcourse/internal/enginemodel"
 )
 
-// Scenario is a load with its faults.
+// Scenario describes a load and the faults injected during it.
 type Scenario struct {
 	Name string `yaml:"name"`
-	// Warmup is the time between the start of the nodes and the first call; Length is how
-	// long callers come.
+	// Warmup is the time between the start of the nodes and the first call. Length is how
+	// long calls are sent.
 	Warmup time.Duration `yaml:"lead"`
 	Length time.Duration `yaml:"length"`
 	Zones  []Zone        `yaml:"zones"`
@@ -37,13 +37,13 @@
 type Zone struct {
 	Name  cluster.ZoneID `yaml:"name"`
 	Nodes int            `yaml:"nodes"`
-	// Domains have so many VMs each.
+	// Domains holds the number of VMs in each failure domain.
 	Domains []int `yaml:"domains"`
-	// Share is the zone's part of all calls.
+	// Share is the fraction of all calls that enter through the zone.
 	Share float64 `yaml:"share"`
 }
 
-// Engine has the figures that all models share.
+// Engine holds the performance figures that all models share.
 type Engine struct {
 	Slots             int           `yaml:"slots"`
 	Queue             int           `yaml:"queue"`
@@ -54,13 +54,13 @@
 	StepPerContext    time.Duration `yaml:"per_context"`
 	PrefillPerSecond  float64       `yaml:"read_per_second"`
 	AttentionPerPairs time.Duration `yaml:"per_pairs"`
-	// ResponseOverhead is what a first piece takes beyond the passes: the way there and back, and
-	// what no figure tells.
+	// ResponseOverhead is added to the time of the first piece: the network round trip and
+	// whatever the engine's figures do not account for.
 	ResponseOverhead time.Duration `yaml:"reply"`
-	// StallTimeout is how long a replica that lost a member stands still before it breaks.
+	// StallTimeout is how long a replica that lost a member stalls before it breaks.
 	StallTimeout time.Duration `yaml:"stall"`
-	// Heartbeat is the time between two signs of life of a VM; its entry is gone three
-	// of them after its last one.
+	// Heartbeat is the time between two heartbeats of a VM. The VM's entry is removed
+	// three heartbeats after its last one.
 	Heartbeat      time.Duration `yaml:"heartbeat"`
 	LoadsAtOnce    int           `yaml:"loads_at_once"`
 	LoadsPerSecond float64       `yaml:"loads_per_second"`
@@ -76,32 +76,33 @@
 	Share      float64       `yaml:"share"`
 }
 
-// CallKind is a kind of call.
+// CallKind describes calls with the same model, targets and token distributions.
 type CallKind struct {
 	Name  string  `yaml:"name"`
 	Model string  `yaml:"model"`
 	Rate  float64 `yaml:"rate"`
-	// Target bounds the first piece, Pause the time between two.
+	// Target bounds the time to the first piece, TargetGap the time between two pieces.
 	Target    time.Duration     `yaml:"target"`
 	TargetGap time.Duration     `yaml:"pause"`
 	Deadline  time.Duration     `yaml:"deadline"`
 	Prompt    TokenDistribution `yaml:"prompt"`
 	Answer    TokenDistribution `yaml:"answer"`
-	// Value and Late are what an answer on time and a later one is worth.
+	// Value is the value of an answer on time, LateValue that of a late one.
 	Value     float64 `yaml:"worth"`
 	LateValue float64 `yaml:"late"`
 	Priority  int     `yaml:"priority"`
 }
 
-// TokenDistribution is a log-normal distribution with a mean, cut at a greatest value. Spread is
-// the standard deviation of its logarithm.
+// TokenDistribution is a log-normal distribution of token counts with the given mean,
+// truncated at Max. Spread is the standard deviation of its logarithm.
 type TokenDistribution struct {
 	Mean   float64 `yaml:"mean"`
 	Spread float64 `yaml:"spread"`
 	Max    float64 `yaml:"most"`
 }
 
-// Burst multiplies the rate of a kind for some time; an empty kind is all.
+// Burst multiplies the rate of a kind of call for some time. An empty kind stands for all
+// kinds.
 type Burst struct {
 	Kind     string        `yaml:"kind"`
 	At       time.Duration `yaml:"at"`
@@ -109,13 +110,14 @@
 	Factor   float64       `yaml:"factor"`
 }
 
-// FaultKind says what goes wrong.
+// FaultKind is the type of a fault.
 type FaultKind string
 
-// Faults. LoseMembers has members of replicas fall silent for good; AddVMs brings empty VMs; DomainOutage
-// silences a whole domain for a time; SlowVMs has VMs run slower for a time; PartitionZone parts
-// a zone from all others and from the store for a time; RestartNodes kills nodes at once
-// and starts them anew after a second; StoreDown keeps the store from answering.
+// Fault kinds. LoseMembers permanently silences members of replicas. AddVMs adds empty
+// VMs. DomainOutage silences a whole domain for a time. SlowVMs slows VMs down for a time.
+// PartitionZone separates a zone from all others and from the store for a time.
+// RestartNodes kills nodes at once and restarts them after a second. StoreDown makes the
+// store unavailable for a time.
 const (
 	LoseMembers   FaultKind = "lose"
 	AddVMs        FaultKind = "add"
@@ -126,34 +128,34 @@
 	StoreDown     FaultKind = "store-down"
 )
 
-// Fault is one thing that goes wrong at a time after the first call.
+// Fault is a fault injected at a time after the first call.
 type Fault struct {
 	Kind     FaultKind      `yaml:"kind"`
 	At       time.Duration  `yaml:"at"`
 	Duration time.Duration  `yaml:"for"`
 	Zone     cluster.ZoneID `yaml:"zone"`
-	// Model narrows Lose and Slow to members of its replicas.
+	// Model restricts LoseMembers and SlowVMs to members of replicas of the model.
 	Model string `yaml:"model"`
 	Count int    `yaml:"count"`
-	// Domain is the zone's domain that goes dark, counted from 0.
+	// Domain is the index of the zone's domain that DomainOutage affects.
 	Domain int     `yaml:"domain"`
 	Factor float64 `yaml:"factor"`
 }
 
-// figures are the engine's for one model.
+// figures returns the engine's performance profile for a model.
 func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
 	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.StepsPerPass, PrefillChunk: e.PrefillChunk, BaseStep: e.BaseStep, StepPerSequence: e.StepPerSequence, StepPerContext: e.StepPerContext,
 		PrefillPerSecond: e.PrefillPerSecond, AttentionPerPairs: e.AttentionPerPairs, TimeFactor: m.TimeFactor}
 }
 
-// ScenarioError says what a scenario lacks.
+// ScenarioError reports an invalid field of a scenario.
 type ScenarioError struct{ Field, Problem string }
 
 // Error implements error.
 func (e *ScenarioError) Error() string { return fmt.Sprintf("scenario: %s: %s", e.Field, e.Problem) }
 
-// Load reads and checks a scenario file.
+// Load reads and validates a scenario file.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -171,28 +173,28 @@
 	for _, m := range s.Models {
 		models[m.Name] = true
 		if m.VMs < 1 {
-			return &ScenarioError{"models", m.Name + " needs at least one VM"}
+			return &ScenarioError{"models", m.Name + " must have at least one VM"}
 		}
 	}
 	for _, k := range s.Kinds {
 		if !models[k.Model] {
-			return &ScenarioError{"kinds", k.Name + " names no model"}
+			return &ScenarioError{"kinds", k.Name + " references an unknown model"}
 		}
 	}
 	switch {
 	case len(s.Zones) == 0:
-		return &ScenarioError{"zones", "none"}
+		return &ScenarioError{"zones", "at least one is required"}
 	case len(s.Kinds) == 0:
-		return &ScenarioError{"kinds", "none"}
+		return &ScenarioError{"kinds", "at least one is required"}
 	case s.Length <= 0:
-		return &ScenarioError{"length", "not above zero"}
+		return &ScenarioError{"length", "must be positive"}
 	case s.Engine.Slots < 1 || s.Engine.BaseStep <= 0 || s.Engine.PrefillPerSecond <= 0 || s.Engine.Heartbeat <= 0:
-		return &ScenarioError{"engine", "slots, step, read_per_second and heartbeat are needed"}
+		return &ScenarioError{"engine", "slots, step, read_per_second and heartbeat must be positive"}
 	}
 	return nil
 }
 
-// work is the part of a replica's time that a call of the kind takes.
+// work returns the time of a replica that a call of the kind takes.
 func (s *Scenario) work(k *CallKind, prompt, answer int) time.Duration {
 	for _, m := range s.Models {
 		if m.Name == k.Model {
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -20,7 +20,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// Simulation is a scenario under way.
+// Simulation is a run of a scenario.
 type Simulation struct {
 	scenario *Scenario
 	world    *world
@@ -34,16 +34,16 @@
 	nodesDone sync.WaitGroup
 }
 
-// Options of a play.
+// Options configures a simulation.
 type Options struct {
 	Seed uint64
-	// Policies replace those that a node takes by itself; the zero value replaces none.
+	// Policies override the nodes' default policies; the zero value overrides none.
 	Policies entry.Policies
-	// Log gets the nodes' lines; may be nil.
+	// Log receives the nodes' log lines; it may be nil.
 	Log *slog.Logger
 }
 
-// node is one entry VM.
+// node is one entry node.
 type node struct {
 	sys  *Simulation
 	id   cluster.NodeID
@@ -56,7 +56,7 @@
 
 const region = "region"
 
-// Simulate plays a scenario and returns what callers got.
+// Simulate runs a scenario and returns the results.
 func Simulate(s *Scenario, opts Options) *Result {
 	rng := rand.New(rand.NewPCG(opts.Seed, 1))
 	sys := &Simulation{scenario: s, world: newWorld(s, rand.New(rand.NewPCG(opts.Seed, 2))), rng: rng, opts: opts}
@@ -72,15 +72,15 @@
 	}
 	time.Sleep(s.Warmup)
 	sys.world.startServing()
-	watching, end := context.WithCancel(context.Background())
+	ctx, stopSampling := context.WithCancel(context.Background())
 	res := &Result{Scenario: s}
-	var watch sync.WaitGroup
-	watch.Go(func() { sys.sampleVMs(watching, res) })
-	watch.Go(func() { sys.gossip(watching) })
+	var background sync.WaitGroup
+	background.Go(func() { sys.sampleVMs(ctx, res) })
+	background.Go(func() { sys.gossip(ctx) })
 	sys.scheduleFaults()
 	sys.callers.run()
-	end()
-	watch.Wait()
+	stopSampling()
+	background.Wait()
 	for _, n := range sys.nodes {
 		n.kill()
 	}
@@ -90,7 +90,7 @@
 	return res
 }
 
-// rules are the operator's configuration of the scenario.
+// rules returns the operator's configuration for the scenario.
 func (sys *Simulation) rules() *rules.Set {
 	s := sys.scenario
 	set := rules.Set{Revision: 1, Weights: rules.WeightStore{LoadsPerSecond: s.Engine.LoadsPerSecond, LoadsAtOnce: s.Engine.LoadsAtOnce}}
@@ -110,14 +110,15 @@
 	return out
 }
 
+// writeConfig stores the key at which nodes look for their configuration.
 func (sys *Simulation) writeConfig() {
 	_, err := sys.world.store.Txn(context.Background(), store.Txn{Then: []store.Op{store.Put(configKey, []byte("1"), 0)}})
 	if err != nil {
-		panic(err) // an empty store in memory takes it
+		panic(err) // a write to a new in-memory store cannot fail
 	}
 }
 
-// start runs a node's process.
+// start runs the node's core until kill.
 func (n *node) start(first bool) {
 	sys := n.sys
 	log := slog.New(slog.DiscardHandler)
@@ -144,7 +145,7 @@
 	})
 }
 
-// kill ends a node's process at once.
+// kill stops the node's core at once.
 func (n *node) kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -154,18 +155,18 @@
 	n.core, n.cancel = nil, nil
 }
 
-// serve has the node serve a call; a dead one answers nothing.
+// serve passes a call to the node. A node that is down does not respond.
 func (n *node) serve(ctx context.Context, c *call.Call, s *sink) {
 	if core := n.currentCore(); core != nil {
 		core.Serve(ctx, c, s)
 	}
 }
 
-// pickNode is the node that the platform's balancer gives a caller.
+// pickNode returns the node to which the platform's load balancer sends a caller.
 func (sys *Simulation) pickNode(rng *rand.Rand) *node {
-	left := rng.Float64()
+	remaining := rng.Float64()
 	for i, z := range sys.scenario.Zones {
-		if left -= z.Share; left >= 0 && i < len(sys.scenario.Zones)-1 {
+		if remaining -= z.Share; remaining >= 0 && i < len(sys.scenario.Zones)-1 {
 			continue
 		}
 		return sys.nodeInZone(z.Name, rng)
@@ -173,17 +174,18 @@
 	return sys.nodes[0]
 }
 
+// nodeInZone returns a random node of the zone.
 func (sys *Simulation) nodeInZone(zone cluster.ZoneID, rng *rand.Rand) *node {
-	var there []*node
+	var candidates []*node
 	for _, n := range sys.nodes {
 		if n.zone == zone {
-			there = append(there, n)
+			candidates = append(candidates, n)
 		}
 	}
-	return there[rng.IntN(len(there))]
+	return candidates[rng.IntN(len(candidates))]
 }
 
-// otherNode is where a caller comes back.
+// otherNode returns the node of the same zone that a caller retries at.
 func (sys *Simulation) otherNode(n *node, rng *rand.Rand) *node {
 	sys.mu.Lock()
 	defer sys.mu.Unlock()
--- a/internal/player/vm.go
+++ b/internal/player/vm.go
@@ -15,7 +15,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// vm is one VM. All fields are guarded by world.mu.
+// vm is a simulated VM. All fields are guarded by world.mu.
 type vm struct {
 	w       *world
 	entry   fleet.Server
@@ -23,43 +23,43 @@
 	slow    float64
 	epoch   int64
 	members []cluster.VMID
-	// model is that of its replica; loaded is the one in its memory, which its entry
-	// tells only while a replica holds it.
+	// model is the model of its replica. loaded is the model in its memory, which its
+	// entry names only while the VM belongs to a replica.
 	model, loaded string
-	// orderSeq counts the orders that began something, so that a later one replaces the
-	// effect of an earlier one that is still under way.
+	// orderSeq counts the orders that started an operation, so that a later order cancels
+	// the effect of an earlier one that is still in progress.
 	orderSeq int
 	head     *head
-	// doc is the newest entry, publishing is true while it is brought to the store.
+	// doc is the latest entry. publishing is true while it is being written to the store.
 	doc        []byte
 	publishing bool
 }
 
-// head is the serving part of an open replica.
+// head is the state of an open replica, held by its first member.
 type head struct {
 	replica enginemodel.Replica
 	jobs    map[*enginemodel.Job]*answer
-	// stalledSince is when a member was lost; zero while all are there.
+	// stalledSince is when a member was lost; zero while all members are up.
 	stalledSince time.Time
 	running      bool
 	failed       bool
 }
 
-// answer is one request on a replica, as its sender reads it.
+// answer is the sender's view of one request on a replica.
 type answer struct {
 	pieces chan struct{}
-	// failed is closed when the replica gives the request up.
+	// failed is closed when the replica abandons the request.
 	failed chan struct{}
 }
 
-// publish writes the VM's entry to the store; the caller holds world.mu.
+// publish schedules a write of the VM's entry to the store. The caller holds world.mu.
 func (v *vm) publish() {
 	if v.dead {
 		return
 	}
 	doc, err := json.Marshal(v.entry)
 	if err != nil {
-		panic(err) // strings, numbers and times only: cannot fail
+		panic(err) // only strings, numbers and times: encoding cannot fail
 	}
 	v.doc = doc
 	if !v.publishing {
@@ -68,10 +68,10 @@
 	}
 }
 
-// publishRetryDelay is when a VM tries again that the store did not answer.
+// publishRetryDelay is how long a VM waits after a failed write of its entry.
 const publishRetryDelay = 300 * time.Millisecond
 
-// writeEntry writes the newest entry until the store has it.
+// writeEntry writes the latest entry until the store holds it.
 func (v *vm) writeEntry() {
 	key := serversPrefix + string(v.entry.ID)
 	for {
@@ -97,8 +97,8 @@
 	}
 }
 
-// heartbeat has the entry written at least once a heartbeat, which also tells the nodes that
-// the store answers.
+// heartbeat rewrites the entry once per heartbeat interval, which also shows the nodes that
+// the store responds.
 func (v *vm) heartbeat(ctx context.Context) {
 	clock.Every(ctx, v.w.scenario.Engine.Heartbeat, func(time.Time) {
 		v.w.mu.Lock()
@@ -107,7 +107,7 @@
 	})
 }
 
-// execute does an order and returns its answer.
+// execute carries out an order and returns the response.
 func (v *vm) execute(o lifecycle.Order) lifecycle.Response {
 	w := v.w
 	w.mu.Lock()
@@ -141,7 +141,7 @@
 	})
 }
 
-// after runs f later under the lock, unless the VM has died.
+// after calls f with world.mu held once d has passed, unless the VM is down by then.
 func (v *vm) after(d time.Duration, f func()) {
 	time.AfterFunc(d, func() {
 		v.w.mu.Lock()
@@ -152,8 +152,8 @@
 	})
 }
 
-// rejoinTime is how long a VM takes to be ready for the model that it has loaded, and openTime
-// how long a head takes to open.
+// rejoinTime is how long a VM that has the model loaded takes to become ready, and
+// openTime how long a head takes to open its replica.
 const (
 	rejoinTime = 200 * time.Millisecond
 	openTime   = 300 * time.Millisecond
@@ -228,15 +228,15 @@
 	return lifecycle.Accepted
 }
 
-// setState replaces the membership rather than changing it: its entry may be on the
-// way to the store.
+// setState replaces the membership instead of changing it in place, because an entry that
+// refers to it may be on its way to the store.
 func (v *vm) setState(s fleet.State) {
 	m := *v.entry.Membership
 	m.State = s
 	v.entry.Membership = &m
 }
 
-// finishClosing ends a closing head that has no work left.
+// finishClosing completes the closing of a replica that has no requests left.
 func (v *vm) finishClosing() {
 	if m := v.entry.Membership; m != nil && m.State == fleet.Closing && (v.head == nil || len(v.head.jobs) == 0) {
 		v.head = nil
@@ -245,7 +245,7 @@
 	}
 }
 
-// leave takes the VM out of its replica; the head of one that lost a member notices.
+// leave removes the VM from its replica. If others remain, the head stalls.
 func (v *vm) leave() {
 	m := v.entry.Membership
 	if m == nil {
@@ -262,7 +262,7 @@
 	v.w.stallReplica(members, epoch)
 }
 
-// fail gives up all requests.
+// fail abandons all requests.
 func (h *head) fail() {
 	h.failed = true
 	for j, a := range h.jobs {
@@ -272,7 +272,7 @@
 	clear(h.jobs)
 }
 
-// runPasses plays passes while the replica has work and all its members.
+// runPasses runs engine passes while the replica has requests and all its members.
 func (v *vm) runPasses(h *head) {
 	w := v.w
 	for {
@@ -283,7 +283,7 @@
 			return
 		}
 		h.replica.SlowFactor = w.slowest(v)
-		took, wrote := h.replica.RunPass()
+		took, jobs := h.replica.RunPass()
 		if took == 0 {
 			h.running = false
 			v.finishClosing()
@@ -294,15 +294,15 @@
 		time.Sleep(took)
 		w.mu.Lock()
 		if v.head == h && !v.dead && h.stalledSince.IsZero() {
-			h.deliver(wrote)
+			h.deliver(jobs)
 		}
 		w.mu.Unlock()
 	}
 }
 
-// deliver hands out the pieces that a pass has written.
-func (h *head) deliver(wrote []*enginemodel.Job) {
-	for _, j := range wrote {
+// deliver sends the pieces produced by a pass to their requests.
+func (h *head) deliver(jobs []*enginemodel.Job) {
+	for _, j := range jobs {
 		a := h.jobs[j]
 		if a == nil {
 			continue
--- a/internal/player/world.go
+++ b/internal/player/world.go
@@ -19,15 +19,15 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// Keys of the played platform.
+// Keys in the store of the simulated platform.
 const (
 	serversPrefix = "servers/"
 	configKey     = "config"
-	// engineService is the service that all VMs are backend servers of.
+	// engineService is the service whose backend servers are all the VMs.
 	engineService cluster.Service = "engines"
 )
 
-// world is the VMs and the store.
+// world is the state of the simulated VMs, the store and the network.
 type world struct {
 	scenario *Scenario
 	store    *memstore.Store
@@ -37,11 +37,12 @@
 	vms      map[cluster.VMID]*vm
 	vmsAdded int
 	loading  int
-	// started is true from the first call on: loads cost their full time then.
+	// started is set just before the first call; model loads take their full time from
+	// then on.
 	started bool
-	// partitioned are the zones that are parted from the others and from the store.
+	// partitioned holds the zones that are separated from the others and from the store.
 	partitioned map[cluster.ZoneID]bool
-	// violations are broken promises about replicas.
+	// violations are broken invariants of replicas.
 	violations []string
 	loads      int
 
@@ -67,7 +68,7 @@
 	return cluster.DomainID(fmt.Sprintf("%s-d%d", zone, n))
 }
 
-// add brings an empty VM.
+// add starts an empty VM.
 func (w *world) add(zone cluster.ZoneID, domain cluster.DomainID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,7 +80,7 @@
 	w.heartbeats.Go(func() { v.heartbeat(w.ctx) })
 }
 
-// close ends what the VMs do.
+// close stops all VMs.
 func (w *world) close() {
 	w.mu.Lock()
 	for _, v := range w.vms {
@@ -91,7 +92,7 @@
 	w.heartbeats.Wait()
 }
 
-// startServing says that the first call is about to come.
+// startServing marks the end of the warmup: calls follow.
 func (w *world) startServing() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -109,10 +110,11 @@
 	return w.scenario.Models[at]
 }
 
-// warmupLoadFactor is the part of their time that loads take before the first call.
+// warmupLoadFactor is the fraction of their full time that model loads take before the
+// first call.
 const warmupLoadFactor = 0.1
 
-// startLoad counts a load and says how long it takes. The caller holds w.mu.
+// startLoad counts a model load and returns how long it takes. The caller holds w.mu.
 func (w *world) startLoad(model string) time.Duration {
 	w.loading++
 	w.loads++
@@ -123,28 +125,28 @@
 	return time.Duration(float64(cold) * max(1, float64(w.loading)/float64(max(w.scenario.Engine.LoadsAtOnce, 1))))
 }
 
-// checkFree notes a join of a VM whose replica may still serve.
+// checkFree records a violation if the VM joins a replica while its old one may still serve.
 func (w *world) checkFree(v *vm) {
 	if v.entry.Membership == nil || len(v.members) == 0 {
 		return
 	}
 	h := w.vms[v.members[0]]
 	if h != nil && !h.dead && h.epoch == v.epoch && h.head != nil && !h.head.failed {
-		w.violations = append(w.violations, fmt.Sprintf("%s joins another replica while %s serves", v.entry.ID, v.entry.Membership.Replica))
+		w.violations = append(w.violations, fmt.Sprintf("%s joins another replica while its replica %s is serving", v.entry.ID, v.entry.Membership.Replica))
 	}
 }
 
-// checkComplete notes an opened replica that lacks a member.
+// checkComplete records a violation if a replica opens without one of its members.
 func (w *world) checkComplete(v *vm) {
 	for _, id := range v.members {
 		m := w.vms[id]
 		if m == nil || m.epoch != v.epoch || m.entry.Membership == nil || m.entry.Membership.State == fleet.Joining {
-			w.violations = append(w.violations, fmt.Sprintf("%s opens without %s", v.entry.ID, id))
+			w.violations = append(w.violations, fmt.Sprintf("replica headed by %s opens without a ready member %s", v.entry.ID, id))
 		}
 	}
 }
 
-// slowest is the factor of the replica's slowest member.
+// slowest returns the slowdown factor of the replica's slowest member.
 func (w *world) slowest(v *vm) float64 {
 	slow := 1.0
 	for _, id := range v.members {
@@ -155,7 +157,8 @@
 	return slow
 }
 
-// stallReplica has the head of a replica stand still, and break after a while.
+// stallReplica stalls the replica that a member was lost from and breaks it after the stall
+// timeout.
 func (w *world) stallReplica(members []cluster.VMID, epoch int64) {
 	if len(members) == 0 {
 		return
@@ -164,11 +167,11 @@
 	if h == nil || h.dead || h.epoch != epoch || h.head == nil || !h.head.stalledSince.IsZero() {
 		return
 	}
-	stuck := h.head
-	stuck.stalledSince = time.Now()
+	stalled := h.head
+	stalled.stalledSince = time.Now()
 	h.after(w.scenario.Engine.StallTimeout, func() {
-		if h.head == stuck {
-			stuck.fail()
+		if h.head == stalled {
+			stalled.fail()
 			h.head = nil
 			h.setState(fleet.Broken)
 			h.publish()
@@ -176,7 +179,7 @@
 	})
 }
 
-// kill silences a VM for good. Its entry is gone some heartbeats later.
+// kill silences a VM. Its entry is removed three heartbeats later unless it was revived.
 func (w *world) kill(v *vm) {
 	v.dead = true
 	if v.head != nil {
@@ -189,12 +192,12 @@
 		gone := v.dead
 		w.mu.Unlock()
 		if gone {
-			_, _ = w.store.Txn(context.Background(), store.Txn{Then: []store.Op{store.Delete(key)}}) // it expires in the platform
+			_, _ = w.store.Txn(context.Background(), store.Txn{Then: []store.Op{store.Delete(key)}}) // best effort: stands in for the entry's expiry
 		}
 	})
 }
 
-// revive starts a VM that was silent anew; it remembers what its host has staged.
+// revive restarts a silenced VM. Models staged on its host are kept.
 func (w *world) revive(v *vm) {
 	v.dead, v.head, v.members, v.model, v.loaded = false, nil, nil, "", ""
 	v.entry.Membership, v.entry.Model, v.entry.StartedAt = nil, "", time.Now()
@@ -203,8 +206,8 @@
 	v.publish()
 }
 
-// servingMembers are live VMs of the zone, all zones if it is empty, that are members of open
-// replicas of the model, of any if it is empty; in random order.
+// servingMembers returns the live members of open replicas, in random order, restricted to
+// the zone and the model if they are not empty.
 func (w *world) servingMembers(zone cluster.ZoneID, model string) (out []*vm) {
 	for _, v := range w.vms {
 		m := v.entry.Membership
@@ -220,25 +223,25 @@
 	return out
 }
 
-// reaches reports whether a node of one zone reaches a VM of another.
+// reaches reports whether a node in one zone reaches a VM in another.
 func (w *world) reaches(from, to cluster.ZoneID) bool {
 	return from == to || !w.partitioned[from] && !w.partitioned[to]
 }
 
-// nodesReach reports whether nodes of two zones reach each other.
+// nodesReach reports whether nodes in two zones reach each other.
 func (w *world) nodesReach(a, b cluster.ZoneID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.reaches(a, b)
 }
 
-// servers reads the listing for a node.
+// servers decodes the listing of backend servers for a node.
 func servers(entries map[string]store.KV, revision int64) fleet.List {
 	list := fleet.List{Revision: revision, ReadAt: time.Now()}
 	for _, kv := range entries {
 		var s fleet.Server
 		if err := json.Unmarshal(kv.Value, &s); err != nil {
-			panic(err) // written by publish
+			panic(err) // publish writes valid JSON only
 		}
 		list.Servers = append(list.Servers, s)
 	}
@@ -246,13 +249,13 @@
 	return list
 }
 
-// orders implements formation.OrderClient for a node of a zone.
+// orders sends orders to VMs on behalf of a node. It implements formation.OrderClient.
 type orders struct {
 	w    *world
 	zone cluster.ZoneID
 }
 
-// roundTrip is a call between machines, there and back.
+// roundTrip is the network round-trip time between two machines.
 const roundTrip = 2 * time.Millisecond
 
 // Send implements formation.OrderClient.
@@ -270,6 +273,7 @@
 	return err
 }
 
+// reach returns the VM, or an error when ctx ends if it is down or unreachable.
 func (o orders) reach(ctx context.Context, id cluster.VMID) (*vm, error) {
 	time.Sleep(roundTrip)
 	o.w.mu.Lock()
