--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -183,9 +183,9 @@
 	}
 	switch {
 	case len(s.Zones) == 0:
-		return &ScenarioError{"zones", "at least one is required"}
+		return &ScenarioError{"zones", "none"}
 	case len(s.Kinds) == 0:
-		return &ScenarioError{"kinds", "at least one is required"}
+		return &ScenarioError{"kinds", "none"}
 	case s.Length <= 0:
 		return &ScenarioError{"length", "must be positive"}
 	case s.Engine.Slots < 1 || s.Engine.BaseStep <= 0 || s.Engine.PrefillPerSecond <= 0 || s.Engine.Heartbeat <= 0:
