--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -13,20 +13,21 @@
 	"github.com/fennelcourse/fennelcourse/internal/rules"
 )
 
-// callers send calls and note what they get.
+// callers generates the scenario's calls and records their results.
 type callers struct {
-	sys *System
+	sys *Simulation
 	rng *rand.Rand
 
-	mu     sync.Mutex
-	next   int
-	truth  map[string]int
-	fates  []Fate
-	routes map[string]*rules.Route
-	doing  sync.WaitGroup
+	mu   sync.Mutex
+	sent int
+	// tokens holds the length in tokens of the answer to each call, by call ID.
+	tokens   map[string]int
+	results  []CallResult
+	routes   map[string]*rules.Route
+	inFlight sync.WaitGroup
 }
 
-// Outcome is what a caller got.
+// Outcome is the result of a call as its caller sees it.
 type Outcome string
 
 // Outcomes of a call.
@@ -37,98 +38,105 @@
 	Failed  Outcome = "failed"
 )
 
-// Fate is one call and what came of it. Times count from its first sending.
-type Fate struct {
-	Kind    string
-	At      time.Duration
+// CallResult is one call and its result.
+type CallResult struct {
+	Kind string
+	// SentAt counts from the start of the load.
+	SentAt  time.Duration
 	Outcome Outcome
-	// First is when the first piece came, Pause the longest time without one after it.
-	First, Pause time.Duration
-	Tries        int
-	// Work is the part of a replica's time that the call takes, by the engine's figures.
+	// FirstPiece is the time from the first attempt until the first piece, MaxGap the
+	// longest time between two consecutive pieces.
+	FirstPiece, MaxGap time.Duration
+	Attempts           int
+	// Work is the time of a replica that the call takes, computed from the engine's figures.
 	Work time.Duration
 }
 
-// run sends calls until the scenario's length has passed, and waits for their ends.
+// run sends calls until the scenario's length has passed, then waits for all of them to
+// finish.
 func (c *callers) run() {
-	began := time.Now()
+	start := time.Now()
 	for {
-		rate, kind := c.draw(time.Since(began))
+		rate, kind := c.drawKind(time.Since(start))
 		time.Sleep(time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second)))
-		at := time.Since(began)
+		at := time.Since(start)
 		if at >= c.sys.scenario.Length {
 			break
 		}
 		node := c.sys.pickNode(c.rng)
-		c.next++
-		id := fmt.Sprintf("call-%d", c.next)
-		prompt, answer := int(kind.Prompt.draw(c.rng)), int(kind.Answer.draw(c.rng))
+		c.sent++
+		id := fmt.Sprintf("call-%d", c.sent)
+		prompt, answer := int(kind.Prompt.sample(c.rng)), int(kind.Answer.sample(c.rng))
 		hint := int(float64(answer) * math.Exp(hintSpread*c.rng.NormFloat64()))
-		c.doing.Go(func() { c.one(node, kind, id, at, prompt, answer, hint) })
+		c.inFlight.Go(func() { c.runCall(node, kind, id, at, prompt, answer, hint) })
 	}
-	c.doing.Wait()
+	c.inFlight.Wait()
 }
 
-// hintSpread is how far off callers' guesses at their answers' sizes are.
+// hintSpread is the standard deviation of the logarithm of the error in callers' hints on
+// the length of their answers.
 const hintSpread = 0.5
 
-// draw is the rate of all calls at a moment, and the kind of the next.
-func (c *callers) draw(at time.Duration) (rate float64, kind *Kind) {
+// drawKind returns the total call rate at a moment and draws the kind of the next call.
+func (c *callers) drawKind(at time.Duration) (rate float64, kind *CallKind) {
 	rates := make([]float64, len(c.sys.scenario.Kinds))
 	for i, k := range c.sys.scenario.Kinds {
 		rates[i] = k.Rate
 		for _, b := range c.sys.scenario.Bursts {
-			if (b.Kind == "" || b.Kind == k.Name) && at >= b.At && at < b.At+b.For {
+			if (b.Kind == "" || b.Kind == k.Name) && at >= b.At && at < b.At+b.Duration {
 				rates[i] *= b.Factor
 			}
 		}
 		rate += rates[i]
 	}
-	left := c.rng.Float64() * rate
+	remaining := c.rng.Float64() * rate
 	for i := range rates {
-		if left -= rates[i]; left < 0 || i == len(rates)-1 {
+		if remaining -= rates[i]; remaining < 0 || i == len(rates)-1 {
 			return rate, &c.sys.scenario.Kinds[i]
 		}
 	}
 	return rate, nil
 }
 
-func (t Tokens) draw(rng *rand.Rand) float64 {
+// sample draws a length of at least one token.
+func (t TokenDistribution) sample(rng *rand.Rand) float64 {
 	tokens := t.Mean * math.Exp(t.Spread*rng.NormFloat64()-t.Spread*t.Spread/2)
-	if t.Most > 0 {
-		tokens = min(tokens, t.Most)
+	if t.Max > 0 {
+		tokens = min(tokens, t.Max)
 	}
 	return max(tokens, 1)
 }
 
-// Limits of a caller's timeout.
+// Limits of a caller's patience.
 const (
-	// shortestGap is the least time without a piece after which callers leave; they
-	// wait for longestTargets targets and longestPauses pauses if these are longer.
-	shortestGap    = 2 * time.Second
-	longestTargets = 4
-	longestPauses  = 8
-	// returnPart is the part of the time left in which a refused caller comes back.
-	returnPart = 3
+	// A caller gives up when no piece has come for the longest of minTimeout,
+	// timeoutTargets times its target, and timeoutGaps times its target gap.
+	minTimeout     = 2 * time.Second
+	timeoutTargets = 4
+	timeoutGaps    = 8
+	// A refused caller retries after at most the time left until its deadline divided
+	// by retryWaitDivisor.
+	retryWaitDivisor = 3
 )
 
-// one takes a call through its tries: a refused caller comes back once.
-func (c *callers) one(n *node, k *Kind, id string, at time.Duration, prompt, answer, hint int) {
+// runCall sends a call and retries it once, at another node, if it is refused or breaks
+// off.
+func (c *callers) runCall(n *node, k *CallKind, id string, at time.Duration, prompt, answer, hint int) {
 	sent := time.Now()
-	fate := Fate{Kind: k.Name, At: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
+	result := CallResult{Kind: k.Name, SentAt: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
 	resume := ""
 	for try := range 2 {
-		fate.Tries = try + 1
-		s := c.try(n, k, fmt.Sprintf("%s-%d", id, try), sent, prompt, answer, hint, resume)
-		fate.note(s, k)
+		result.Attempts = try + 1
+		s := c.attempt(n, k, fmt.Sprintf("%s-%d", id, try), sent, prompt, answer, hint, resume)
+		result.recordAttempt(s, k)
 		if s.ended {
 			break
 		}
-		left := k.Deadline - time.Since(sent)
+		remaining := k.Deadline - time.Since(sent)
 		switch {
 		case s.refused != nil:
-			fate.Outcome = Refused
-			time.Sleep(min(s.refused.RetryAfter, left/returnPart))
+			result.Outcome = Refused
+			time.Sleep(min(s.refused.RetryAfter, remaining/retryWaitDivisor))
 		case s.pieces > 0:
 			resume = fmt.Sprint(s.pieces)
 		}
@@ -136,58 +144,60 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fates = append(c.fates, fate)
+	c.results = append(c.results, result)
 }
 
-// note takes a try's part into the call's fate.
-func (f *Fate) note(s *sink, k *Kind) {
-	if s.pieces > 0 && f.First == 0 {
-		f.First = s.first.Sub(s.sent)
+// recordAttempt merges the result of one attempt into the call's.
+func (f *CallResult) recordAttempt(s *sink, k *CallKind) {
+	if s.pieces > 0 && f.FirstPiece == 0 {
+		f.FirstPiece = s.firstAt.Sub(s.sent)
 	}
-	f.Pause = max(f.Pause, s.pause)
+	f.MaxGap = max(f.MaxGap, s.maxGap)
 	switch {
 	case !s.ended:
 		f.Outcome = Failed
-	case f.First <= k.Target && f.Pause <= k.Pause:
+	case f.FirstPiece <= k.Target && f.MaxGap <= k.TargetGap:
 		f.Outcome = OnTime
 	default:
 		f.Outcome = Late
 	}
 }
 
-func (c *callers) try(n *node, k *Kind, id string, sent time.Time, prompt, answer, hint int, resume string) *sink {
+// attempt sends the call to a node once, resuming after the piece named by resume if it is
+// set.
+func (c *callers) attempt(n *node, k *CallKind, id string, sent time.Time, prompt, answer, hint int, resume string) *sink {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s := &sink{sent: sent, timeout: max(shortestGap, longestTargets*k.Target, longestPauses*k.Pause)}
+	s := &sink{sent: sent, timeout: max(minTimeout, timeoutTargets*k.Target, timeoutGaps*k.TargetGap)}
 	s.timer = time.AfterFunc(s.timeout, cancel)
 	defer s.timer.Stop()
 	c.mu.Lock()
-	c.truth[id] = answer
+	c.tokens[id] = answer
 	route := c.routes[k.Name]
 	c.mu.Unlock()
 	now := time.Now()
-	n.serve(ctx, &call.Call{ID: id, Route: route, RulesRevision: 1, Model: k.Model, PromptTokens: prompt, MaxOutputTokens: int(k.Answer.Most), OutputTokensHint: hint,
+	n.serve(ctx, &call.Call{ID: id, Route: route, RulesRevision: 1, Model: k.Model, PromptTokens: prompt, MaxOutputTokens: int(k.Answer.Max), OutputTokensHint: hint,
 		Priority: k.Priority, ReceivedAt: now, Deadline: sent.Add(k.Deadline), ResumeAfter: resume}, s)
 	return s
 }
 
-// answerOf is how many tokens the answer to a call has.
-func (c *callers) answerOf(id string) int {
+// answerTokens returns the length in tokens of the answer to a call.
+func (c *callers) answerTokens(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.truth[id]
+	return c.tokens[id]
 }
 
-// sink notes when pieces come; it implements call.Sink.
+// sink records when the pieces of an answer arrive. It implements call.Sink.
 type sink struct {
-	sent        time.Time
-	timeout     time.Duration
-	timer       *time.Timer
-	first, last time.Time
-	pause       time.Duration
-	pieces      int
-	ended       bool
-	refused     *fennelerr.Error
+	sent            time.Time
+	timeout         time.Duration
+	timer           *time.Timer
+	firstAt, lastAt time.Time
+	maxGap          time.Duration
+	pieces          int
+	ended           bool
+	refused         *fennelerr.Error
 }
 
 // Respond implements call.Sink.
@@ -200,12 +210,12 @@
 func (s *sink) WritePiece([]byte) error {
 	now := time.Now()
 	if s.pieces == 0 {
-		s.first = now
+		s.firstAt = now
 	} else {
-		s.pause = max(s.pause, now.Sub(s.last))
+		s.maxGap = max(s.maxGap, now.Sub(s.lastAt))
 	}
 	s.pieces++
-	s.last = now
+	s.lastAt = now
 	s.timer.Reset(s.timeout)
 	return nil
 }
--- a/internal/player/faults.go
+++ b/internal/player/faults.go
@@ -7,35 +7,35 @@
 	"github.com/fennelcourse/fennelcourse/internal/store/memstore"
 )
 
-// restartTime is how long a node that was killed is gone.
+// restartTime is how long a killed node stays down.
 const restartTime = time.Second
 
-// schedule has the scenario's faults happen.
-func (sys *System) schedule() {
+// scheduleFaults sets timers for the scenario's faults.
+func (sys *Simulation) scheduleFaults() {
 	for _, f := range sys.scenario.Faults {
-		time.AfterFunc(f.At, func() { sys.begin(f) })
-		if f.For > 0 {
-			time.AfterFunc(f.At+f.For, func() { sys.end(f) })
+		time.AfterFunc(f.At, func() { sys.startFault(f) })
+		if f.Duration > 0 {
+			time.AfterFunc(f.At+f.Duration, func() { sys.endFault(f) })
 		}
 	}
 }
 
-// begin brings a fault about.
-func (sys *System) begin(f Fault) {
+// startFault injects a fault.
+func (sys *Simulation) startFault(f Fault) {
 	w := sys.world
 	switch f.Kind {
-	case Lose:
-		w.each(w.takeMembers(f), w.kill)
-	case Add:
+	case LoseMembers:
+		w.forEach(w.pickMembers(f), w.kill)
+	case AddVMs:
 		for range f.Count {
 			w.add(f.Zone, w.smallestDomain(f.Zone))
 		}
-	case Dark:
-		w.each(w.inDomain(domainName(f.Zone, f.Domain)), w.kill)
-	case Slow:
-		w.each(w.takeMembers(f), func(v *vm) { v.slow = f.Factor })
-	case CutZone:
-		w.setCut(f.Zone, true)
+	case DomainOutage:
+		w.forEach(w.inDomain(domainName(f.Zone, f.Domain)), w.kill)
+	case SlowVMs:
+		w.forEach(w.pickMembers(f), func(v *vm) { v.slow = f.Factor })
+	case PartitionZone:
+		w.setPartitioned(f.Zone, true)
 	case RestartNodes:
 		for _, n := range sys.nodes {
 			if f.Zone == "" || n.zone == f.Zone {
@@ -48,26 +48,26 @@
 	}
 }
 
-// end undoes a fault that lasts.
-func (sys *System) end(f Fault) {
+// endFault reverts a temporary fault.
+func (sys *Simulation) endFault(f Fault) {
 	w := sys.world
 	switch f.Kind {
-	case Dark:
-		w.each(w.inDomain(domainName(f.Zone, f.Domain)), func(v *vm) {
+	case DomainOutage:
+		w.forEach(w.inDomain(domainName(f.Zone, f.Domain)), func(v *vm) {
 			if v.dead {
 				w.revive(v)
 			}
 		})
-	case Slow:
-		w.each(w.all(), func(v *vm) { v.slow = 0 })
-	case CutZone:
-		w.setCut(f.Zone, false)
+	case SlowVMs:
+		w.forEach(w.all(), func(v *vm) { v.slow = 0 })
+	case PartitionZone:
+		w.setPartitioned(f.Zone, false)
 	case StoreDown:
 		w.store.SetFaults(memstore.Faults{})
 	}
 }
 
-func (w *world) each(vms []*vm, do func(*vm)) {
+func (w *world) forEach(vms []*vm, do func(*vm)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, v := range vms {
@@ -75,15 +75,15 @@
 	}
 }
 
-// takeMembers are as many members of serving replicas as the fault names, each of
-// another replica.
-func (w *world) takeMembers(f Fault) (out []*vm) {
+// pickMembers picks as many members of serving replicas as the fault names, at most one
+// per replica.
+func (w *world) pickMembers(f Fault) (out []*vm) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	taken := make(map[int64]bool)
-	for _, v := range w.picked(f.Zone, f.Model) {
-		if len(out) < f.Count && !taken[v.epoch] {
-			taken[v.epoch] = true
+	seen := make(map[int64]bool)
+	for _, v := range w.servingMembers(f.Zone, f.Model) {
+		if len(out) < f.Count && !seen[v.epoch] {
+			seen[v.epoch] = true
 			out = append(out, v)
 		}
 	}
@@ -108,7 +108,7 @@
 	return out
 }
 
-// smallestDomain is the zone's domain with the fewest live VMs.
+// smallestDomain returns the zone's domain with the fewest live VMs.
 func (w *world) smallestDomain(zone cluster.ZoneID) (best cluster.DomainID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -121,7 +121,7 @@
 		}
 	}
 	for _, v := range w.vms {
-		if _, there := live[v.entry.Domain]; there && !v.dead {
+		if _, ok := live[v.entry.Domain]; ok && !v.dead {
 			live[v.entry.Domain]++
 		}
 	}
@@ -133,8 +133,8 @@
 	return best
 }
 
-func (w *world) setCut(zone cluster.ZoneID, cut bool) {
+func (w *world) setPartitioned(zone cluster.ZoneID, partitioned bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cut[zone] = cut
+	w.partitioned[zone] = partitioned
 }
--- a/internal/player/gossip.go
+++ b/internal/player/gossip.go
@@ -10,52 +10,53 @@
 )
 
 const (
-	// gossipEvery is the time between two load reports of a node, each to one other
-	// node: what their bytes allow.
-	gossipEvery = 110 * time.Millisecond
-	// reportBudget is the bytes of one.
-	reportBudget = 400
+	// gossipInterval is the time between two load reports of a node, each to one other
+	// node. It follows from the byte budget of the reports.
+	gossipInterval = 110 * time.Millisecond
+	// maxReportBytes is the size limit of one load report.
+	maxReportBytes = 400
 )
 
-// gossip has the nodes send each other load reports in turn, but across a cut.
-func (sys *System) gossip(ctx context.Context) {
-	turn := 0
-	clock.Every(ctx, gossipEvery, func(time.Time) {
-		turn++
+// gossip sends load reports from every node to one peer after the other, except across a
+// partition.
+func (sys *Simulation) gossip(ctx context.Context) {
+	round := 0
+	clock.Every(ctx, gossipInterval, func(time.Time) {
+		round++
 		for i, from := range sys.nodes {
-			sys.sendLoadReport(from, sys.peerInTurn(i, turn))
+			sys.sendLoadReport(from, sys.gossipPeer(i, round))
 		}
 	})
 }
 
-// peerInTurn is the node that the i-th one sends to at its turn.
-func (sys *System) peerInTurn(i, turn int) *node {
+// gossipPeer returns the node that the i-th one sends its load report to in a round.
+func (sys *Simulation) gossipPeer(i, round int) *node {
 	n := len(sys.nodes)
 	if n < 2 {
 		return sys.nodes[i]
 	}
-	return sys.nodes[(i+1+turn%(n-1))%n]
+	return sys.nodes[(i+1+round%(n-1))%n]
 }
 
-func (sys *System) sendLoadReport(from, to *node) {
-	sender, receiver := from.running(), to.running()
-	if sender == nil || receiver == nil || from == to || !sys.world.reachesNode(from.zone, to.zone) {
+func (sys *Simulation) sendLoadReport(from, to *node) {
+	sender, receiver := from.currentCore(), to.currentCore()
+	if sender == nil || receiver == nil || from == to || !sys.world.nodesReach(from.zone, to.zone) {
 		return
 	}
-	receiver.ReceiveLoadReport(from.id, sender.LoadReport(reportBudget))
+	receiver.ReceiveLoadReport(from.id, sender.LoadReport(maxReportBytes))
 }
 
-// announce brings a section from one node to all that it reaches.
-func (sys *System) announce(from *node, section membership.Section) {
+// broadcast delivers a section to all nodes that the sender reaches.
+func (sys *Simulation) broadcast(from *node, section membership.Section) {
 	for _, to := range sys.nodes {
-		if receiver := to.running(); receiver != nil && to != from && sys.world.reachesNode(from.zone, to.zone) {
+		if receiver := to.currentCore(); receiver != nil && to != from && sys.world.nodesReach(from.zone, to.zone) {
 			receiver.ReceiveStallReport(from.id, section)
 		}
 	}
 }
 
-// running is the node's process; nil while it is dead.
-func (n *node) running() *entry.Core {
+// currentCore returns the node's running core, nil while the node is down.
+func (n *node) currentCore() *entry.Core {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -11,38 +11,39 @@
 	"github.com/fennelcourse/fennelcourse/internal/fleet"
 )
 
-// Result is what callers got and what the VMs did.
+// Result holds the results of all calls and samples of the VMs' states.
 type Result struct {
 	Scenario *Scenario
-	Fates    []Fate
-	// VMs is the count of VMs by what they did, each second.
-	VMs []Tally
-	// Wrong are broken promises about replicas: each is a fault of the decisions.
-	Wrong []string
-	Loads int
+	Calls    []CallResult
+	// VMSamples are taken every second.
+	VMSamples []VMSample
+	// Violations are broken invariants of replicas; each is a bug in the nodes' decisions.
+	Violations []string
+	// ModelLoads is the number of model loads that VMs started.
+	ModelLoads int
 }
 
-// Tally counts VMs at a moment.
-type Tally struct {
+// VMSample counts the VMs by state at one moment.
+type VMSample struct {
 	At time.Duration
-	// Serving counts VMs of open replicas by model.
+	// Serving counts the VMs of serving replicas by model.
 	Serving map[string]int
-	// Live is all VMs that are up; those that neither serve nor join are Idle.
+	// Live counts all VMs that are up. Those that neither serve nor join are Idle.
 	Live, Joining, Idle int
 }
 
-// watch tallies the VMs each second until ctx ends.
-func (sys *System) watch(ctx context.Context, res *Result) {
-	began := time.Now()
+// sampleVMs samples the VMs every second until ctx ends.
+func (sys *Simulation) sampleVMs(ctx context.Context, res *Result) {
+	start := time.Now()
 	clock.Every(ctx, time.Second, func(now time.Time) {
-		res.VMs = append(res.VMs, sys.world.tally(now.Sub(began)))
+		res.VMSamples = append(res.VMSamples, sys.world.countVMs(now.Sub(start)))
 	})
 }
 
-func (w *world) tally(at time.Duration) Tally {
+func (w *world) countVMs(at time.Duration) VMSample {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t := Tally{At: at, Serving: make(map[string]int)}
+	t := VMSample{At: at, Serving: make(map[string]int)}
 	for _, v := range w.vms {
 		if v.dead {
 			continue
@@ -63,77 +64,80 @@
 	return t
 }
 
-// serving reports whether the VM's replica takes requests and works.
+// serving reports whether the VM's replica is open and not stalled.
 func (w *world) serving(v *vm) bool {
 	h := w.vms[v.members[0]]
-	return h != nil && !h.dead && h.epoch == v.epoch && h.head != nil && h.head.stuckSince.IsZero() &&
+	return h != nil && !h.dead && h.epoch == v.epoch && h.head != nil && h.head.stalledSince.IsZero() &&
 		h.entry.Membership != nil && h.entry.Membership.State == fleet.Open
 }
 
-func (r *Result) take(sys *System) {
-	r.Fates = sys.callers.fates
-	slices.SortFunc(r.Fates, func(a, b Fate) int { return int(a.At - b.At) })
-	r.Wrong = sys.world.wrong
-	r.Loads = sys.world.loads
+func (r *Result) collect(sys *Simulation) {
+	r.Calls = sys.callers.results
+	slices.SortFunc(r.Calls, func(a, b CallResult) int { return int(a.SentAt - b.SentAt) })
+	r.Violations = sys.world.violations
+	r.ModelLoads = sys.world.loads
 }
 
-// Row sums up the calls of one kind, or all.
-type Row struct {
+// KindSummary summarizes the calls of one kind, or of all kinds. OnTime, Late, Refused and
+// Failed are fractions of Calls.
+type KindSummary struct {
 	Kind                          string
-	Asked                         int
+	Calls                         int
 	OnTime, Late, Refused, Failed float64
-	// Worth is the credit earned over that owed.
-	Worth float64
-	// FirstP50 and FirstP99 are of the first pieces.
+	// ValueShare is the value earned as a fraction of the value of answering every call
+	// on time.
+	ValueShare float64
+	// FirstP50 and FirstP99 are percentiles of the time to the first piece.
 	FirstP50, FirstP99 time.Duration
 }
 
-// Rows sums up the calls sent from a moment until another, by kind and then all.
-func (r *Result) Rows(from, until time.Duration) []Row {
-	var out []Row
+// Summaries summarizes the calls sent between two moments, one entry per kind and a last
+// one for all calls.
+func (r *Result) Summaries(from, until time.Duration) []KindSummary {
+	var out []KindSummary
 	for _, k := range r.Scenario.Kinds {
-		out = append(out, r.row(k.Name, from, until))
+		out = append(out, r.summarizeKind(k.Name, from, until))
 	}
-	return append(out, r.row("", from, until))
+	return append(out, r.summarizeKind("", from, until))
 }
 
-// row sums up a kind's calls, or all for an empty name.
-func (r *Result) row(kind string, from, until time.Duration) Row {
-	row := Row{Kind: kind}
+// summarizeKind summarizes the calls of a kind, or all calls if the name is empty.
+func (r *Result) summarizeKind(kind string, from, until time.Duration) KindSummary {
+	row := KindSummary{Kind: kind}
 	if kind == "" {
 		row.Kind = "all"
 	}
-	owed, earned := 0.0, 0.0
+	possible, earned := 0.0, 0.0
 	var firsts []time.Duration
-	for _, f := range r.Fates {
-		if kind != "" && f.Kind != kind || f.At < from || f.At >= until {
+	for _, f := range r.Calls {
+		if kind != "" && f.Kind != kind || f.SentAt < from || f.SentAt >= until {
 			continue
 		}
-		k := r.kind(f.Kind)
-		row.Asked++
-		owed += k.Worth
-		if f.First > 0 {
-			firsts = append(firsts, f.First)
+		k := r.kindByName(f.Kind)
+		row.Calls++
+		possible += k.Value
+		if f.FirstPiece > 0 {
+			firsts = append(firsts, f.FirstPiece)
 		}
 		switch f.Outcome {
 		case OnTime:
 			row.OnTime++
-			earned += k.Worth
+			earned += k.Value
 		case Late:
 			row.Late++
-			earned += k.Late
+			earned += k.LateValue
 		case Refused:
 			row.Refused++
 		case Failed:
 			row.Failed++
 		}
 	}
-	if row.Asked == 0 {
+	if row.Calls == 0 {
 		return row
 	}
-	n := float64(row.Asked)
+	n := float64(row.Calls)
 	row.OnTime, row.Late, row.Refused, row.Failed = row.OnTime/n, row.Late/n, row.Refused/n, row.Failed/n
-	row.Worth = earned / owed
+	row.ValueShare = earned / possible
 	slices.Sort(firsts)
 	if len(firsts) > 0 {
 		row.FirstP50, row.FirstP99 = firsts[len(firsts)/2], firsts[len(firsts)*99/100]
@@ -141,16 +145,16 @@
 	return row
 }
 
-func (r *Result) kind(name string) Kind {
-	at := slices.IndexFunc(r.Scenario.Kinds, func(k Kind) bool { return k.Name == name })
+func (r *Result) kindByName(name string) CallKind {
+	at := slices.IndexFunc(r.Scenario.Kinds, func(k CallKind) bool { return k.Name == name })
 	return r.Scenario.Kinds[at]
 }
 
-// Write prints the table of what callers got.
+// Write prints the summaries as a table.
 func (r *Result) Write(out io.Writer, from, until time.Duration) {
 	fmt.Fprintf(out, "%-16s %6s %8s %6s %8s %7s %6s %9s %9s\n", "kind", "asked", "on time", "late", "refused", "failed", "worth", "p50", "p99")
-	for _, row := range r.Rows(from, until) {
-		fmt.Fprintf(out, "%-16s %6d %8.3f %6.3f %8.3f %7.3f %6.3f %9s %9s\n", row.Kind, row.Asked, row.OnTime, row.Late, row.Refused, row.Failed, row.Worth,
+	for _, row := range r.Summaries(from, until) {
+		fmt.Fprintf(out, "%-16s %6d %8.3f %6.3f %8.3f %7.3f %6.3f %9s %9s\n", row.Kind, row.Calls, row.OnTime, row.Late, row.Refused, row.Failed, row.ValueShare,
 			row.FirstP50.Round(time.Millisecond), row.FirstP99.Round(time.Millisecond))
 	}
 }
--- a/internal/player/scenario.go
+++ b/internal/player/scenario.go
@@ -1,10 +1,10 @@
-// Package player plays load and faults against the decisions of whole nodes, in
-// virtual time and without a network: the nodes are real, with all that they decide
-// for callers and for VMs; VMs, replicas, callers and the platform are models of this
-// package. It answers what callers get under a load before anybody has to meet it.
+// Package player simulates load and faults against a system of entry nodes, in virtual
+// time and without a network. The nodes run their real decision code, both for calls and
+// for VMs; VMs, replicas, callers and the platform are modelled by this package. It shows
+// what callers would get under a load before it occurs in production.
 //
-// The player uses the clock of the time package. Inside a synctest bubble a minute of
-// load passes in a few seconds.
+// The simulation uses the clock of the time package. Inside a synctest bubble a minute of
+// load takes a few seconds.
 package player
 
 import (
@@ -18,17 +18,17 @@
 	"github.com/fennelcourse/fennelcourse/internal/enginemodel"
 )
 
-// Scenario is a load with its faults.
+// Scenario describes a load and the faults injected during it.
 type Scenario struct {
 	Name string `yaml:"name"`
-	// Lead is the time between the start of the nodes and the first call; Length is how
-	// long callers come.
-	Lead   time.Duration `yaml:"lead"`
+	// Warmup is the time between the start of the nodes and the first call. Length is how
+	// long calls are sent.
+	Warmup time.Duration `yaml:"lead"`
 	Length time.Duration `yaml:"length"`
 	Zones  []Zone        `yaml:"zones"`
 	Engine Engine        `yaml:"engine"`
 	Models []Model       `yaml:"models"`
-	Kinds  []Kind        `yaml:"kinds"`
+	Kinds  []CallKind    `yaml:"kinds"`
 	Bursts []Burst       `yaml:"bursts"`
 	Faults []Fault       `yaml:"faults"`
 }
@@ -37,30 +37,30 @@
 type Zone struct {
 	Name  cluster.ZoneID `yaml:"name"`
 	Nodes int            `yaml:"nodes"`
-	// Domains have so many VMs each.
+	// Domains holds the number of VMs in each failure domain.
 	Domains []int `yaml:"domains"`
-	// Share is the zone's part of all calls.
+	// Share is the fraction of all calls that enter through the zone.
 	Share float64 `yaml:"share"`
 }
 
-// Engine has the figures that all models share.
+// Engine holds the performance figures that all models share.
 type Engine struct {
-	Slots         int           `yaml:"slots"`
-	Queue         int           `yaml:"queue"`
-	Stride        int           `yaml:"stride"`
-	Chunk         int           `yaml:"chunk"`
-	Step          time.Duration `yaml:"step"`
-	PerSequence   time.Duration `yaml:"per_sequence"`
-	PerContext    time.Duration `yaml:"per_context"`
-	ReadPerSecond float64       `yaml:"read_per_second"`
-	PerPairs      time.Duration `yaml:"per_pairs"`
-	// Reply is what a first piece takes beyond the passes: the way there and back, and
-	// what no figure tells.
-	Reply time.Duration `yaml:"reply"`
-	// Stall is how long a replica that lost a member stands still before it breaks.
-	Stall time.Duration `yaml:"stall"`
-	// Heartbeat is the time between two signs of life of a VM; its entry is gone three
-	// of them after its last one.
+	Slots             int           `yaml:"slots"`
+	Queue             int           `yaml:"queue"`
+	StepsPerPass      int           `yaml:"stride"`
+	PrefillChunk      int           `yaml:"chunk"`
+	BaseStep          time.Duration `yaml:"step"`
+	StepPerSequence   time.Duration `yaml:"per_sequence"`
+	StepPerContext    time.Duration `yaml:"per_context"`
+	PrefillPerSecond  float64       `yaml:"read_per_second"`
+	AttentionPerPairs time.Duration `yaml:"per_pairs"`
+	// ResponseOverhead is added to the time of the first piece: the network round trip and
+	// whatever the engine's figures do not account for.
+	ResponseOverhead time.Duration `yaml:"reply"`
+	// StallTimeout is how long a replica that lost a member stalls before it breaks.
+	StallTimeout time.Duration `yaml:"stall"`
+	// Heartbeat is the time between two heartbeats of a VM. The VM's entry is removed
+	// three heartbeats after its last one.
 	Heartbeat      time.Duration `yaml:"heartbeat"`
 	LoadsAtOnce    int           `yaml:"loads_at_once"`
 	LoadsPerSecond float64       `yaml:"loads_per_second"`
@@ -68,92 +68,94 @@
 
 // Model is one of the models that the VMs can serve.
 type Model struct {
-	Name  string        `yaml:"name"`
-	VMs   int           `yaml:"vms"`
-	Pace  float64       `yaml:"pace"`
-	Cold  time.Duration `yaml:"cold"`
-	Warm  time.Duration `yaml:"warm"`
-	Share float64       `yaml:"share"`
+	Name       string        `yaml:"name"`
+	VMs        int           `yaml:"vms"`
+	TimeFactor float64       `yaml:"pace"`
+	ColdLoad   time.Duration `yaml:"cold"`
+	WarmLoad   time.Duration `yaml:"warm"`
+	Share      float64       `yaml:"share"`
 }
 
-// Kind is a kind of call.
-type Kind struct {
+// CallKind describes calls with the same model, targets and token distributions.
+type CallKind struct {
 	Name  string  `yaml:"name"`
 	Model string  `yaml:"model"`
 	Rate  float64 `yaml:"rate"`
-	// Target bounds the first piece, Pause the time between two.
-	Target   time.Duration `yaml:"target"`
-	Pause    time.Duration `yaml:"pause"`
-	Deadline time.Duration `yaml:"deadline"`
-	Prompt   Tokens        `yaml:"prompt"`
-	Answer   Tokens        `yaml:"answer"`
-	// Worth and Late are what an answer on time and a later one is worth.
-	Worth    float64 `yaml:"worth"`
-	Late     float64 `yaml:"late"`
-	Priority int     `yaml:"priority"`
+	// Target bounds the time to the first piece, TargetGap the time between two pieces.
+	Target    time.Duration     `yaml:"target"`
+	TargetGap time.Duration     `yaml:"pause"`
+	Deadline  time.Duration     `yaml:"deadline"`
+	Prompt    TokenDistribution `yaml:"prompt"`
+	Answer    TokenDistribution `yaml:"answer"`
+	// Value is the value of an answer on time, LateValue that of a late one.
+	Value     float64 `yaml:"worth"`
+	LateValue float64 `yaml:"late"`
+	Priority  int     `yaml:"priority"`
 }
 
-// Tokens is a log-normal distribution with a mean, cut at a greatest value. Spread is
-// the standard deviation of its logarithm.
-type Tokens struct {
+// TokenDistribution is a log-normal distribution of token counts with the given mean,
+// truncated at Max. Spread is the standard deviation of its logarithm.
+type TokenDistribution struct {
 	Mean   float64 `yaml:"mean"`
 	Spread float64 `yaml:"spread"`
-	Most   float64 `yaml:"most"`
+	Max    float64 `yaml:"most"`
 }
 
-// Burst multiplies the rate of a kind for some time; an empty kind is all.
+// Burst multiplies the rate of a kind of call for some time. An empty kind stands for all
+// kinds.
 type Burst struct {
-	Kind   string        `yaml:"kind"`
-	At     time.Duration `yaml:"at"`
-	For    time.Duration `yaml:"for"`
-	Factor float64       `yaml:"factor"`
+	Kind     string        `yaml:"kind"`
+	At       time.Duration `yaml:"at"`
+	Duration time.Duration `yaml:"for"`
+	Factor   float64       `yaml:"factor"`
 }
 
-// FaultKind says what goes wrong.
+// FaultKind is the type of a fault.
 type FaultKind string
 
-// Faults. Lose has members of replicas fall silent for good; Add brings empty VMs; Dark
-// silences a whole domain for a time; Slow has VMs run slower for a time; CutZone parts
-// a zone from all others and from the store for a time; RestartNodes kills nodes at once
-// and starts them anew after a second; StoreDown keeps the store from answering.
+// Fault kinds. LoseMembers permanently silences members of replicas. AddVMs adds empty
+// VMs. DomainOutage silences a whole domain for a time. SlowVMs slows VMs down for a time.
+// PartitionZone separates a zone from all others and from the store for a time.
+// RestartNodes kills nodes at once and restarts them after a second. StoreDown makes the
+// store unavailable for a time.
 const (
-	Lose         FaultKind = "lose"
-	Add          FaultKind = "add"
-	Dark         FaultKind = "dark"
-	Slow         FaultKind = "slow"
-	CutZone      FaultKind = "cut-zone"
-	RestartNodes FaultKind = "restart-nodes"
-	StoreDown    FaultKind = "store-down"
+	LoseMembers   FaultKind = "lose"
+	AddVMs        FaultKind = "add"
+	DomainOutage  FaultKind = "dark"
+	SlowVMs       FaultKind = "slow"
+	PartitionZone FaultKind = "cut-zone"
+	RestartNodes  FaultKind = "restart-nodes"
+	StoreDown     FaultKind = "store-down"
 )
 
-// Fault is one thing that goes wrong at a time after the first call.
+// Fault is a fault injected at a time after the first call.
 type Fault struct {
-	Kind FaultKind      `yaml:"kind"`
-	At   time.Duration  `yaml:"at"`
-	For  time.Duration  `yaml:"for"`
-	Zone cluster.ZoneID `yaml:"zone"`
-	// Model narrows Lose and Slow to members of its replicas.
+	Kind     FaultKind      `yaml:"kind"`
+	At       time.Duration  `yaml:"at"`
+	Duration time.Duration  `yaml:"for"`
+	Zone     cluster.ZoneID `yaml:"zone"`
+	// Model restricts LoseMembers and SlowVMs to members of replicas of the model.
 	Model string `yaml:"model"`
 	Count int    `yaml:"count"`
-	// Domain is the zone's domain that goes dark, counted from 0.
+	// Domain is the index of the zone's domain that DomainOutage affects.
 	Domain int     `yaml:"domain"`
 	Factor float64 `yaml:"factor"`
 }
 
-// figures are the engine's for one model.
+// figures returns the engine's performance profile for a model.
 func (s *Scenario) figures(m Model) enginemodel.Profile {
 	e := s.Engine
-	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.Stride, PrefillChunk: e.Chunk, BaseStep: e.Step, StepPerSequence: e.PerSequence, StepPerContext: e.PerContext,
-		PrefillPerSecond: e.ReadPerSecond, AttentionPerPairs: e.PerPairs, TimeFactor: m.Pace}
+	return enginemodel.Profile{Slots: e.Slots, StepsPerPass: e.StepsPerPass, PrefillChunk: e.PrefillChunk, BaseStep: e.BaseStep, StepPerSequence: e.StepPerSequence, StepPerContext: e.StepPerContext,
+		PrefillPerSecond: e.PrefillPerSecond, AttentionPerPairs: e.AttentionPerPairs, TimeFactor: m.TimeFactor}
 }
 
-// ScenarioError says what a scenario lacks.
+// ScenarioError reports an invalid field of a scenario.
 type ScenarioError struct{ Field, Problem string }
 
 // Error implements error.
 func (e *ScenarioError) Error() string { return fmt.Sprintf("scenario: %s: %s", e.Field, e.Problem) }
 
-// Load reads and checks a scenario file.
+// Load reads and validates a scenario file.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -171,12 +173,12 @@
 	for _, m := range s.Models {
 		models[m.Name] = true
 		if m.VMs < 1 {
-			return &ScenarioError{"models", m.Name + " needs at least one VM"}
+			return &ScenarioError{"models", m.Name + " must have at least one VM"}
 		}
 	}
 	for _, k := range s.Kinds {
 		if !models[k.Model] {
-			return &ScenarioError{"kinds", k.Name + " names no model"}
+			return &ScenarioError{"kinds", k.Name + " references an unknown model"}
 		}
 	}
 	switch {
@@ -185,15 +187,15 @@
 	case len(s.Kinds) == 0:
 		return &ScenarioError{"kinds", "none"}
 	case s.Length <= 0:
-		return &ScenarioError{"length", "not above zero"}
-	case s.Engine.Slots < 1 || s.Engine.Step <= 0 || s.Engine.ReadPerSecond <= 0 || s.Engine.Heartbeat <= 0:
-		return &ScenarioError{"engine", "slots, step, read_per_second and heartbeat are needed"}
+		return &ScenarioError{"length", "must be positive"}
+	case s.Engine.Slots < 1 || s.Engine.BaseStep <= 0 || s.Engine.PrefillPerSecond <= 0 || s.Engine.Heartbeat <= 0:
+		return &ScenarioError{"engine", "slots, step, read_per_second and heartbeat must be positive"}
 	}
 	return nil
 }
 
-// work is the part of a replica's time that a call of the kind takes.
-func (s *Scenario) work(k *Kind, prompt, answer int) time.Duration {
+// work returns the time of a replica that a call of the kind takes.
+func (s *Scenario) work(k *CallKind, prompt, answer int) time.Duration {
 	for _, m := range s.Models {
 		if m.Name == k.Model {
 			return s.figures(m).RequestCost(prompt, answer)
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -20,8 +20,8 @@
 	"github.com/fennelcourse/fennelcourse/internal/store"
 )
 
-// System is a scenario under way.
-type System struct {
+// Simulation is a run of a scenario.
+type Simulation struct {
 	scenario *Scenario
 	world    *world
 	callers  *callers
@@ -29,40 +29,40 @@
 	set      *rules.Set
 	opts     Options
 
-	mu    sync.Mutex
-	nodes []*node
-	stop  sync.WaitGroup
+	mu        sync.Mutex
+	nodes     []*node
+	nodesDone sync.WaitGroup
 }
 
-// Options of a play.
+// Options configures a simulation.
 type Options struct {
 	Seed uint64
-	// Decisions replace those that a node takes by itself; the zero value replaces none.
-	Decisions entry.Policies
-	// Log gets the nodes' lines; may be nil.
+	// Policies override the nodes' default policies; the zero value overrides none.
+	Policies entry.Policies
+	// Log receives the nodes' log lines; it may be nil.
 	Log *slog.Logger
 }
 
-// node is one entry VM.
+// node is one entry node.
 type node struct {
-	sys  *System
+	sys  *Simulation
 	id   cluster.NodeID
 	zone cluster.ZoneID
 
-	mu   sync.Mutex
-	core *entry.Core
-	end  context.CancelFunc
+	mu     sync.Mutex
+	core   *entry.Core
+	cancel context.CancelFunc
 }
 
 const region = "region"
 
-// Play plays a scenario and returns what callers got.
-func Play(s *Scenario, opts Options) *Result {
+// Simulate runs a scenario and returns the results.
+func Simulate(s *Scenario, opts Options) *Result {
 	rng := rand.New(rand.NewPCG(opts.Seed, 1))
-	sys := &System{scenario: s, world: newWorld(s, rand.New(rand.NewPCG(opts.Seed, 2))), rng: rng, opts: opts}
-	sys.callers = &callers{sys: sys, rng: rand.New(rand.NewPCG(opts.Seed, 3)), truth: make(map[string]int), routes: make(map[string]*rules.Route)}
+	sys := &Simulation{scenario: s, world: newWorld(s, rand.New(rand.NewPCG(opts.Seed, 2))), rng: rng, opts: opts}
+	sys.callers = &callers{sys: sys, rng: rand.New(rand.NewPCG(opts.Seed, 3)), tokens: make(map[string]int), routes: make(map[string]*rules.Route)}
 	sys.set = sys.rules()
-	sys.configure()
+	sys.writeConfig()
 	for _, z := range s.Zones {
 		for i := range z.Nodes {
 			n := &node{sys: sys, id: cluster.NodeID(fmt.Sprintf("%s-%d", z.Name, i)), zone: z.Name}
@@ -70,38 +70,38 @@
 			n.start(true)
 		}
 	}
-	time.Sleep(s.Lead)
-	sys.world.serveNow()
-	watching, end := context.WithCancel(context.Background())
+	time.Sleep(s.Warmup)
+	sys.world.startServing()
+	ctx, stopSampling := context.WithCancel(context.Background())
 	res := &Result{Scenario: s}
-	var watch sync.WaitGroup
-	watch.Go(func() { sys.watch(watching, res) })
-	watch.Go(func() { sys.gossip(watching) })
-	sys.schedule()
+	var background sync.WaitGroup
+	background.Go(func() { sys.sampleVMs(ctx, res) })
+	background.Go(func() { sys.gossip(ctx) })
+	sys.scheduleFaults()
 	sys.callers.run()
-	end()
-	watch.Wait()
+	stopSampling()
+	background.Wait()
 	for _, n := range sys.nodes {
 		n.kill()
 	}
-	sys.stop.Wait()
+	sys.nodesDone.Wait()
 	sys.world.close()
-	res.take(sys)
+	res.collect(sys)
 	return res
 }
 
-// rules are the operator's configuration of the scenario.
-func (sys *System) rules() *rules.Set {
+// rules returns the operator's configuration for the scenario.
+func (sys *Simulation) rules() *rules.Set {
 	s := sys.scenario
 	set := rules.Set{Revision: 1, Weights: rules.WeightStore{LoadsPerSecond: s.Engine.LoadsPerSecond, LoadsAtOnce: s.Engine.LoadsAtOnce}}
 	for _, m := range s.Models {
 		set.Groups = append(set.Groups, rules.Group{Name: cluster.GroupName(m.Name), Model: m.Name, VMs: m.VMs, SameDomain: true, Weigh: rules.WeighDowntime,
-			Servers: engines, Demand: m.Share, Slots: s.Engine.Slots, ColdLoad: m.Cold, WarmLoad: m.Warm, Engine: s.figures(m)})
+			Servers: engineService, Demand: m.Share, Slots: s.Engine.Slots, ColdLoad: m.ColdLoad, WarmLoad: m.WarmLoad, Engine: s.figures(m)})
 	}
 	for _, k := range s.Kinds {
 		set.Routes = append(set.Routes, rules.Route{Path: "/" + k.Name + "/", Model: "*", Team: "*", Prefer: rules.PreferLocal, Policy: &rules.RoutePolicy{
-			Name: k.Name, Host: "played", Kind: rules.CallStream, Resumable: true, Timeout: k.Deadline, Target: k.Target, TargetGap: k.Pause,
-			MaxAttempts: 2, Priority: k.Priority, Public: true, Split: []rules.WeightedService{{Service: engines, Weight: 1}}}})
+			Name: k.Name, Host: "played", Kind: rules.CallStream, Resumable: true, Timeout: k.Deadline, Target: k.Target, TargetGap: k.TargetGap,
+			MaxAttempts: 2, Priority: k.Priority, Public: true, Split: []rules.WeightedService{{Service: engineService, Weight: 1}}}})
 	}
 	out := rules.Assemble(set)
 	for i := range out.Routes {
@@ -110,14 +110,15 @@
 	return out
 }
 
-func (sys *System) configure() {
+// writeConfig stores the key at which nodes look for their configuration.
+func (sys *Simulation) writeConfig() {
 	_, err := sys.world.store.Txn(context.Background(), store.Txn{Then: []store.Op{store.Put(configKey, []byte("1"), 0)}})
 	if err != nil {
-		panic(err) // an empty store in memory takes it
+		panic(err) // a write to a new in-memory store cannot fail
 	}
 }
 
-// start runs a node's process.
+// start runs the node's core until kill.
 func (n *node) start(first bool) {
 	sys := n.sys
 	log := slog.New(slog.DiscardHandler)
@@ -129,63 +130,64 @@
 	set.Process.FirstStart = first
 	ctx, cancel := context.WithCancel(context.Background())
 	n.mu.Lock()
-	n.end = cancel
+	n.cancel = cancel
 	n.core = entry.NewCore(set, entry.Platform{
-		Store: &cutStore{Store: sys.world.store, cut: func() bool { return sys.world.isCut(n.zone) }}, Orders: orders{sys.world, n.zone},
-		Backend:       func(*conns.Pool) relay.Backend { return &backend{sys.world, n.zone, sys.callers.answerOf} },
+		Store: &partitionedStore{Store: sys.world.store, partitioned: func() bool { return sys.world.isPartitioned(n.zone) }}, Orders: orders{sys.world, n.zone},
+		Backend:       func(*conns.Pool) relay.Backend { return &backend{sys.world, n.zone, sys.callers.answerTokens} },
 		ServersPrefix: serversPrefix, DecodeServers: func(e map[string]store.KV, r int64) fleet.List { return servers(e, r) },
 		ConfigKey: configKey, DecodeConfig: func(store.KV) (*rules.Set, error) { return sys.set, nil },
-	}, entry.CoreOptions{Policies: sys.opts.Decisions, Log: log, Broadcast: func(section membership.Section) { sys.announce(n, section) }})
+	}, entry.CoreOptions{Policies: sys.opts.Policies, Log: log, Broadcast: func(section membership.Section) { sys.broadcast(n, section) }})
 	core := n.core
 	n.mu.Unlock()
-	sys.stop.Go(func() {
+	sys.nodesDone.Go(func() {
 		core.Run(ctx)
 		core.Close()
 	})
 }
 
-// kill ends a node's process at once.
+// kill stops the node's core at once.
 func (n *node) kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.end != nil {
-		n.end()
+	if n.cancel != nil {
+		n.cancel()
 	}
-	n.core, n.end = nil, nil
+	n.core, n.cancel = nil, nil
 }
 
-// serve has the node serve a call; a dead one answers nothing.
+// serve passes a call to the node. A node that is down does not respond.
 func (n *node) serve(ctx context.Context, c *call.Call, s *sink) {
-	if core := n.running(); core != nil {
+	if core := n.currentCore(); core != nil {
 		core.Serve(ctx, c, s)
 	}
 }
 
-// pickNode is the node that the platform's balancer gives a caller.
-func (sys *System) pickNode(rng *rand.Rand) *node {
-	left := rng.Float64()
+// pickNode returns the node to which the platform's load balancer sends a caller.
+func (sys *Simulation) pickNode(rng *rand.Rand) *node {
+	remaining := rng.Float64()
 	for i, z := range sys.scenario.Zones {
-		if left -= z.Share; left >= 0 && i < len(sys.scenario.Zones)-1 {
+		if remaining -= z.Share; remaining >= 0 && i < len(sys.scenario.Zones)-1 {
 			continue
 		}
-		return sys.inZone(z.Name, rng)
+		return sys.nodeInZone(z.Name, rng)
 	}
 	return sys.nodes[0]
 }
 
-func (sys *System) inZone(zone cluster.ZoneID, rng *rand.Rand) *node {
-	var there []*node
+// nodeInZone returns a random node of the zone.
+func (sys *Simulation) nodeInZone(zone cluster.ZoneID, rng *rand.Rand) *node {
+	var candidates []*node
 	for _, n := range sys.nodes {
 		if n.zone == zone {
-			there = append(there, n)
+			candidates = append(candidates, n)
 		}
 	}
-	return there[rng.IntN(len(there))]
+	return candidates[rng.IntN(len(candidates))]
 }
 
-// otherNode is where a caller comes back.
-func (sys *System) otherNode(n *node, rng *rand.Rand) *node {
+// otherNode returns the node of the same zone that a caller retries at.
+func (sys *Simulation) otherNode(n *node, rng *rand.Rand) *node {
 	sys.mu.Lock()
 	defer sys.mu.Unlock()
-	return sys.inZone(n.zone, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 7)))
+	return sys.nodeInZone(n.zone, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 7)))
 }
