--- a/internal/daemon/callbacks.go
+++ b/internal/daemon/callbacks.go
@@ -132,8 +132,8 @@
 
 func (n *Node) livePeerCount() int { return len(n.servingMembers()) }
 
-// refreshCapacity tells admission how many requests the healthy replicas of each group run
-// concurrently; a group without healthy replicas has capacity 0.
+// refreshCapacity reports to admission how many requests the healthy replicas of each group
+// run concurrently; a group without healthy replicas has capacity 0.
 func (n *Node) refreshCapacity() {
 	slots := n.routing.Capacities(time.Now())
 	if set := n.rules.Current(); set != nil {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -53,10 +53,10 @@
 	return members[f.n.nextPeerIndex.Add(1)%uint64(len(members))].PeerAddr
 }
 
-// findDuplicateNode asks the nodes at addrs whether they hear from a process with this
-// node's name.
+// findDuplicateNode asks the nodes at addrs whether they receive heartbeats from another
+// process with this node's name.
 func (n *Node) findDuplicateNode(ctx context.Context, addrs []string) membership.DuplicateStatus {
-	sighting := membership.DuplicateUnknown
+	status := membership.DuplicateUnknown
 	for _, addr := range addrs {
 		heard, err := n.peers.ReceivesHeartbeatsFrom(ctx, addr, n.cfg.Node)
 		switch {
@@ -65,10 +65,10 @@
 		case heard:
 			return membership.DuplicateAlive
 		default:
-			sighting = membership.DuplicateGone
+			status = membership.DuplicateGone
 		}
 	}
-	return sighting
+	return status
 }
 
 // peerSource serves the requests of other nodes.
