--- a/internal/e2e/claims_test.go
+++ b/internal/e2e/claims_test.go
@@ -178,7 +178,7 @@
 
 // The platform's store goes down before a deposit, while one runs, and after one has
 // run. The caller may be told to retry, and a deposit that was reported as not run
-// must succeed later; none may run twice. Reads and calls that need no claim go on.
+// must succeed later; none may run twice. Reads and calls that need no claim still succeed.
 func TestStoreDownBeforeDuringAndAfterDeposit(t *testing.T) {
 	for name, down := range map[string]memstore.Faults{
 		"refusing": {Down: true},
@@ -223,9 +223,9 @@
 }
 
 // The store writes a claim but its answer is lost, or the write itself is lost, and
-// the node can't tell which. A node that took the claim for failed would tell the
-// caller to retry while another copy runs; one that took it for written could run a
-// deposit that another node runs too.
+// the node can't know which. If it assumed that the write had failed, it would let the
+// caller retry while another copy runs; if it assumed that the write had succeeded, it
+// could run a deposit that another node runs too.
 func TestClaimAnswerLost(t *testing.T) {
 	d := newDepositSystem(t)
 	require.Equal(t, http.StatusCreated, d.deposit(d.nodes[0], "warm").status)
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -134,7 +134,7 @@
 
 // The platform replaces an entry VM and sends SIGTERM while callers read streams, others
 // wait for answers in one piece, and a deposit is running at the service. The balancer
-// goes on sending requests until it sees that the node is not ready. A node that stopped
+// keeps sending requests until it sees that the node is not ready. A node that stopped
 // at once would abort all of them and lose the outcome of the deposit.
 func TestPlannedStopFinishesAllRequests(t *testing.T) {
 	s := newSystem(t)
--- a/internal/e2e/ledger_test.go
+++ b/internal/e2e/ledger_test.go
@@ -36,8 +36,8 @@
 // observed it, one is stopped as planned once the store is back; the other is killed and
 // loses its memory. The outage must be in the ledger exactly once, with its cause and
 // observer. The time before the first node started and after the last observer ended
-// must be shown as unobserved: counting it as up would report availability that nobody
-// measured.
+// must be shown as unobserved: counting it as up would report availability that
+// was not measured.
 func TestOutageLedger(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t)
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -134,7 +134,7 @@
 }
 
 // One availability zone loses its connection to the platform while the other keeps it,
-// and the nodes of the two zones still hear each other. Callers of both zones must be
+// and the nodes of the two zones still reach each other. Callers of both zones must be
 // served, a rule applied through the other zone must come into force in both, and the
 // disconnected zone must regroup nothing, since it can't prove that it holds the lease.
 func TestZoneDisconnectedFromPlatform(t *testing.T) {
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -79,7 +79,7 @@
 
 // A change is accepted while one node is paused. Then the store goes down, the paused
 // node resumes with the old rules, and other nodes are killed and replaced by new ones
-// without state. If a new node adopted the first rules that it hears of, some nodes would
+// without state. If a new node adopted the first rules that it receives, some nodes would
 // serve by rules that have been replaced. A new node must not be ready before it has the
 // newest revision.
 func TestNewNodeNeverAdoptsOldRules(t *testing.T) {
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -127,7 +127,7 @@
 }
 
 // awaitAllHeard waits until each node has received new datagrams and its status after
-// them reports that it hears all others.
+// them reports that it receives heartbeats from all others.
 func (s *system) awaitAllHeard() {
 	s.t.Helper()
 	for _, n := range s.nodes {
