--- a/internal/entry/region.go
+++ b/internal/entry/region.go
@@ -24,8 +24,8 @@
 // send to the same replicas. A node that receives none decides by its own load alone.
 //
 // The datagrams are signed with a key in the platform's store, which only the nodes and
-// the platform can reach: without the key, nobody can make a node believe that a replica
-// is full.
+// the platform can reach: without the key, no other process can make a node believe
+// that a replica is full.
 type regionPeers struct {
 	core *Core
 	cfg  *settings.Settings
--- a/internal/entry/region_test.go
+++ b/internal/entry/region_test.go
@@ -88,9 +88,9 @@
 	require.NoError(t, err, "requests that are no longer reported have ended")
 }
 
-// With many nodes, each hears from another only every few seconds, when the requests that
-// were reported before have long ended. If they still counted, free replicas would look
-// full, and callers would be refused.
+// With many nodes, each receives a report from another only every few seconds, when the
+// requests that were reported before have long ended. If they still counted, free
+// replicas would look full, and callers would be refused.
 func TestExpiredLoadReportFillsNoReplica(t *testing.T) {
 	n := newTestNode(t)
 	replica := cluster.Replica{ID: "m/1.1", Group: "m", Model: "m", Zone: "z", Generation: 1, Serving: "a"}
--- a/internal/entry/stalls.go
+++ b/internal/entry/stalls.go
@@ -8,9 +8,10 @@
 	"github.com/fennelcourse/fennelcourse/internal/membership"
 )
 
-// onStall has the holder of the placement lease probe replicas that seem stalled, and tells
-// the other nodes if other replicas make progress. With many nodes, each has few requests
-// on a replica: if each had to detect the stall itself, callers of each would wait for it.
+// onStall has the holder of the placement lease probe replicas that seem stalled, and
+// notifies the other nodes if other replicas make progress. With many nodes, each has few
+// requests on a replica: if each had to detect the stall itself, callers of each would wait
+// for it.
 func (n *Core) onStall(ids []cluster.ReplicaID, othersWorking bool) {
 	var report membership.Section
 	for _, id := range ids {
@@ -22,7 +23,7 @@
 	}
 }
 
-// onReplicaWorking tells all nodes, this one included, that a replica's members answer.
+// onReplicaWorking notifies all nodes, this one included, that a replica's members answer.
 func (n *Core) onReplicaWorking(id cluster.ReplicaID) {
 	n.relay.MarkHealthy(id, time.Now())
 	if n.broadcast != nil {
