--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -50,8 +50,8 @@
 	Slots int
 	// Draining servers take no new work and are about to shut down.
 	Draining bool
-	// StartedAt is the start time of the process. It tells apart two processes that use the
-	// same ID.
+	// StartedAt is the start time of the process. It distinguishes two processes that use
+	// the same ID.
 	StartedAt time.Time
 	// Staged lists the models whose weights are cached on the VM's host.
 	Staged []string
