--- a/internal/gateway/plaincall.go
+++ b/internal/gateway/plaincall.go
@@ -170,7 +170,7 @@
 	return out, nil
 }
 
-// headerTeam tells a plain service which team the call is from. The caller's token is not
+// headerTeam names the calling team in requests to a plain service. The caller's token is not
 // forwarded.
 const headerTeam = "Fennel-Team"
 
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -144,8 +144,8 @@
 	return r
 }
 
-// A caller disconnects in the middle of a long answer. Without a cancel, the engine would go on
-// generating while other requests wait.
+// A caller disconnects in the middle of a long answer. Without a cancel, the engine would
+// keep generating while other requests wait.
 func TestDisconnectCancelsRequestAtEngine(t *testing.T) {
 	b := newFixture(t, 1, standinengine.Options{TokenInterval: 5 * time.Millisecond, MaxRunning: 1}, nil)
 	ctx, disconnect := context.WithCancel(context.Background())
