--- a/internal/grouping/controller.go
+++ b/internal/grouping/controller.go
@@ -88,7 +88,7 @@
 )
 
 // Controller competes for the zone's placement lease. While it holds the lease, it commits the
-// policy's plans and brings the engines in line with the committed grouping.
+// policy's plans and reconciles the engines with the committed grouping.
 type Controller struct {
 	opts        Options
 	loadLimiter *rate.Limiter
--- a/internal/grouping/table_test.go
+++ b/internal/grouping/table_test.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// A watch repeats events after a reconnect. Applying an old event again would bring back a
+// A watch repeats events after a reconnect. Applying an old event again would restore a
 // replica that was broken up.
 func TestTableIgnoresRepeatedEvents(t *testing.T) {
 	value, err := json.Marshal(cluster.Replica{ID: "r1", Generation: 1})
