--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -249,7 +249,7 @@
 	return oldest, ""
 }
 
-// checkSummary is checkMembers for a brief state, in which a hash stands for the members.
+// checkSummary is checkMembers for a brief state, which holds a hash instead of the members.
 func (t *Tracker) checkSummary(r cluster.Replica, result PollResult) (time.Time, string) {
 	if result.State.Summary.Hash != engine.ReplicaHash(r) {
 		return time.Time{}, "a VM is missing or disagrees"
@@ -277,7 +277,7 @@
 
 // Observe records other nodes' reports. A reported failure counts from the time it was
 // observed until a newer confirmation: a peer that does not poll the replica may repeat
-// an old failure until it hears of a newer confirmation.
+// an old failure until it receives a newer confirmation.
 func (t *Tracker) Observe(observations []Observation, now time.Time) []Transition {
 	var out []Transition
 	for _, o := range observations {
