--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -96,7 +96,8 @@
 	return n
 }
 
-// duplicateCheck asks the nodes at the addresses whether they hear a process with the name.
+// duplicateCheck asks the nodes at the addresses whether they receive heartbeats from a
+// process with the name.
 func (ns *nodes) duplicateCheck(name string) membership.CheckDuplicate {
 	return func(_ context.Context, addrs []string) membership.DuplicateStatus {
 		status := membership.DuplicateUnknown
--- a/internal/membership/duplicate.go
+++ b/internal/membership/duplicate.go
@@ -67,10 +67,10 @@
 //
 // Two processes get the same name from a copied settings file, or when a VM is replaced
 // while it is frozen. Without this check the superseded one would never send again after
-// the other is gone: no peer would hear it, and no rules change would be known to be in
-// force on it. So it takes the name back, with a higher incarnation, once no node hears
-// the other process, or once no node has answered for the time after which a silent node
-// counts as dead.
+// the other is gone: no peer would receive its heartbeats, and no rules change would be
+// known to be in force on it. So it takes the name back, with a higher incarnation, once no
+// node receives heartbeats from the other process, or once no node has answered for the
+// time after which a silent node counts as dead.
 func (s *State) recordDuplicateStatus(status DuplicateStatus, now time.Time) (resumed bool) {
 	d := &s.duplicate
 	switch {
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -162,8 +162,8 @@
 }
 
 // The network between two zones is partitioned, in one or both directions, and healed after
-// an hour. Meanwhile the seeds' VMs have been removed. Each zone must keep working by itself
-// and find the other one again.
+// an hour. Meanwhile the seeds' VMs have been removed. Each zone must keep working on its
+// own and find the other one again.
 func TestPartitionsBetweenZones(t *testing.T) {
 	for name, oneWay := range map[string]bool{"both ways": false, "one way": true} {
 		t.Run(name, func(t *testing.T) {
