--- a/internal/operator/outages.go
+++ b/internal/operator/outages.go
@@ -8,7 +8,7 @@
 	"github.com/fennelcourse/fennelcourse/internal/wire/wirepb"
 )
 
-// AddReport adds a zone's report to a response. Time that nobody observed is added as
+// AddReport adds a zone's report to a response. Unobserved time is added as
 // separate intervals, so that it cannot be mistaken for uptime.
 func AddReport(out *wirepb.OutagesResponse, zone cluster.ZoneID, report *ledger.Report) {
 	for i, s := range report.Unobserved {
