--- a/internal/player/world.go
+++ b/internal/player/world.go
@@ -192,7 +192,7 @@
 		gone := v.dead
 		w.mu.Unlock()
 		if gone {
-			_, _ = w.store.Txn(context.Background(), store.Txn{Then: []store.Op{store.Delete(key)}}) // best effort: stands in for the entry's expiry
+			_, _ = w.store.Txn(context.Background(), store.Txn{Then: []store.Op{store.Delete(key)}}) // best effort: simulates the entry's expiry
 		}
 	})
 }
