--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -12,8 +12,8 @@
 	// Attempt sends the call once, or resumes the previous attempt. It returns nil if
 	// the complete answer was received.
 	Attempt(ctx context.Context) error
-	// Abandoned returns the call's final error if nobody waits for the answer any more,
-	// and nil otherwise.
+	// Abandoned returns the call's final error if the caller no longer waits for the
+	// answer, and nil otherwise.
 	Abandoned(ctx context.Context, err error) error
 	// Classify describes the failure of the last attempt.
 	Classify(ctx context.Context, err error) Failure
