--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -41,7 +41,7 @@
 	// longest timeout. It is overloaded, and its callers would only have to queue again
 	// elsewhere.
 	healthyLifetime = 2 * time.Second
-	// fewStreams is the largest number of streams that cannot tell a stalled replica from
+	// fewStreams is the largest number of streams that cannot distinguish a stalled replica from
 	// one that processes many prompts, before any of them has received a piece.
 	fewStreams = 3
 )
