--- a/internal/rulestore/history.go
+++ b/internal/rulestore/history.go
@@ -18,7 +18,7 @@
 	FromMemory bool
 }
 
-// Get returns the file of a revision. Zero stands for the newest in the store or,
+// Get returns the file of a revision. Revision 0 selects the newest in the store or,
 // if the store can't be read, the one in force on this node. Get fails with
 // *RevisionError, *RecordError, *ChecksumError, *rules.EditError or *store.Error.
 func (h *Holder) Get(ctx context.Context, revision int64) (File, error) {
--- a/internal/rulestore/holder_test.go
+++ b/internal/rulestore/holder_test.go
@@ -49,9 +49,9 @@
 	})
 }
 
-// TestRestartRejectsOlderThanPeerRevisions starts a node that hears the peer with the
-// newest rules but can't connect to it. It must not adopt older rules, which it knows
-// to have been replaced, while that peer's announcement is valid.
+// TestRestartRejectsOlderThanPeerRevisions starts a node that receives datagrams from
+// the peer with the newest rules but can't connect to it. It must not adopt older rules,
+// which it knows to have been replaced, while that peer's announcement is valid.
 func TestRestartRejectsOlderThanPeerRevisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
@@ -78,7 +78,7 @@
 
 // TestWatchRepeatsAndSkipsEvents: a reopened watch repeats events, and a broken one
 // skips some. A repeat must not revert the node, and the edits after a skipped change
-// must not be applied to the wrong text, which would give rules nobody accepted.
+// must not be applied to the wrong text, which would give rules that were never accepted.
 func TestWatchRepeatsAndSkipsEvents(t *testing.T) {
 	for name, pass := range map[string]func(i int) int{
 		"each event twice":    func(int) int { return 2 },
--- a/internal/rulestore/state.go
+++ b/internal/rulestore/state.go
@@ -26,7 +26,7 @@
 	// store, because an open watch can be dead without an error. It bounds the
 	// delay of a change if every watch of the system is dead.
 	CheckInterval time.Duration
-	// SilenceTimeout is how long a node that doesn't watch may hear nothing from peers
+	// SilenceTimeout is how long a node that doesn't watch may receive nothing from peers
 	// before it checks the store; SilentCheckInterval spreads these checks and is
 	// their mean interval.
 	SilenceTimeout, SilentCheckInterval time.Duration
@@ -36,8 +36,8 @@
 	PeerTTL time.Duration
 }
 
-// DefaultTiming returns intervals that bring a change into force within 16 s on
-// every node that exchanges datagrams with its peers.
+// DefaultTiming returns intervals with which a change comes into force within
+// 16 s on every node that exchanges datagrams with its peers.
 func DefaultTiming() Timing {
 	return Timing{
 		PeerGatherTime:      4 * time.Second,
@@ -56,7 +56,7 @@
 type (
 	// event is one of the types below.
 	event any
-	// ticked is sent every tickInterval; watcher tells whether this node should
+	// ticked is sent every tickInterval; watcher reports whether this node should
 	// watch the store.
 	ticked struct{ watcher bool }
 	// peerObserved is a revision announced by a peer as in force.
@@ -300,7 +300,7 @@
 	return best[s.rand.IntN(len(best))], true
 }
 
-// newestKnown reports whether the node knows enough to tell the newest revision: it has
+// newestKnown reports whether the node knows enough to determine the newest revision: it has
 // rules, the store has answered, or the time to gather peers' revisions is over.
 func (s *state) newestKnown(now time.Time) bool {
 	return s.inForce > 0 || s.storeAnswered || !s.gatherUntil.IsZero() && !now.Before(s.gatherUntil)
--- a/internal/rulestore/watch.go
+++ b/internal/rulestore/watch.go
@@ -96,7 +96,7 @@
 	return err
 }
 
-// watchDecision tells how to handle a change seen by the watch.
+// watchDecision specifies how to handle a change seen by the watch.
 type watchDecision int
 
 const (
