--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -173,7 +173,7 @@
 	Watch(ctx context.Context, prefix string, from int64) (<-chan WatchBatch, error)
 }
 
-// Outcome tells whether a failed call may have changed the store.
+// Outcome indicates whether a failed call may have changed the store.
 type Outcome int
 
 // Refused means that the call had no effect; Unknown means that it may have had one.
