--- a/internal/store/memstore/faults.go
+++ b/internal/store/memstore/faults.go
@@ -120,7 +120,7 @@
 }
 
 // waitDelay waits for d. A call whose context ends meanwhile has no effect, but its
-// outcome is Unknown because the caller of a write cannot tell.
+// outcome is Unknown because the caller cannot know whether a write was applied.
 func waitDelay(ctx context.Context, kind Kind, d time.Duration) error {
 	clock.Pause(ctx, d)
 	if err := ctx.Err(); err != nil {
