--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// DropReason tells why a packet was dropped. It is used as a metric label.
+// DropReason is the reason why a packet was dropped. It is used as a metric label.
 type DropReason string
 
 // Reasons for dropping a received packet.
