--- a/internal/player/callers.go
+++ b/internal/player/callers.go
@@ -119,8 +119,8 @@
 	retryWaitDivisor = 3
 )
 
-// runCall sends a call and retries it once, at another node, if it is refused or breaks
-// off.
+// runCall sends a call and retries it once, at a random node of the zone, if it is refused
+// or breaks off.
 func (c *callers) runCall(n *node, k *CallKind, id string, at time.Duration, prompt, answer, hint int) {
 	sent := time.Now()
 	result := CallResult{Kind: k.Name, SentAt: at, Outcome: Failed, Work: c.sys.scenario.work(k, prompt, answer)}
@@ -140,7 +140,7 @@
 		case s.pieces > 0:
 			resume = fmt.Sprint(s.pieces)
 		}
-		n = c.sys.otherNode(n, c.rng)
+		n = c.sys.retryNode(n, c.rng)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/player/goodput.go
+++ b/internal/player/goodput.go
@@ -18,12 +18,12 @@
 
 // Share returns OnTime as a fraction of what the serving replicas could have done, the
 // lesser of Demand and Capacity.
-func (c Goodput) Share() float64 {
-	attainable := min(c.Demand, c.Capacity)
+func (g Goodput) Share() float64 {
+	attainable := min(g.Demand, g.Capacity)
 	if attainable <= 0 {
 		return 1
 	}
-	return c.OnTime / attainable
+	return g.OnTime / attainable
 }
 
 // Goodput returns, by model, the goodput for the calls sent between two moments, computed
@@ -31,18 +31,18 @@
 func (r *Result) Goodput(from, until time.Duration) []Goodput {
 	var out []Goodput
 	for _, m := range r.Scenario.Models {
-		c := Goodput{Model: m.Name, Capacity: r.meanServing(m, from, until)}
-		for _, f := range r.Calls {
-			if f.SentAt < from || f.SentAt >= until || r.kindByName(f.Kind).Model != m.Name {
+		g := Goodput{Model: m.Name, Capacity: r.meanServing(m, from, until)}
+		for _, c := range r.Calls {
+			if c.SentAt < from || c.SentAt >= until || r.kindByName(c.Kind).Model != m.Name {
 				continue
 			}
-			work := f.Work.Seconds() / (until - from).Seconds()
-			c.Demand += work
-			if f.Outcome == OnTime {
-				c.OnTime += work
+			work := c.Work.Seconds() / (until - from).Seconds()
+			g.Demand += work
+			if c.Outcome == OnTime {
+				g.OnTime += work
 			}
 		}
-		out = append(out, c)
+		out = append(out, g)
 	}
 	return out
 }
@@ -70,8 +70,8 @@
 		}
 	}
 	demand := 0.0 // in VMs
-	for i, c := range r.Goodput(from, until) {
-		demand += c.Demand * float64(r.Scenario.Models[i].VMs)
+	for i, g := range r.Goodput(from, until) {
+		demand += g.Demand * float64(r.Scenario.Models[i].VMs)
 	}
 	if demand <= 0 || n == 0 {
 		return 1
--- a/internal/player/result.go
+++ b/internal/player/result.go
@@ -109,17 +109,17 @@
 	}
 	possible, earned := 0.0, 0.0
 	var firsts []time.Duration
-	for _, f := range r.Calls {
-		if kind != "" && f.Kind != kind || f.SentAt < from || f.SentAt >= until {
+	for _, c := range r.Calls {
+		if kind != "" && c.Kind != kind || c.SentAt < from || c.SentAt >= until {
 			continue
 		}
-		k := r.kindByName(f.Kind)
+		k := r.kindByName(c.Kind)
 		row.Calls++
 		possible += k.Value
-		if f.FirstPiece > 0 {
-			firsts = append(firsts, f.FirstPiece)
+		if c.FirstPiece > 0 {
+			firsts = append(firsts, c.FirstPiece)
 		}
-		switch f.Outcome {
+		switch c.Outcome {
 		case OnTime:
 			row.OnTime++
 			earned += k.Value
--- a/internal/player/system.go
+++ b/internal/player/system.go
@@ -185,8 +185,8 @@
 	return candidates[rng.IntN(len(candidates))]
 }
 
-// otherNode returns the node of the same zone that a caller retries at.
-func (sys *Simulation) otherNode(n *node, rng *rand.Rand) *node {
+// retryNode returns the node that a caller retries at, a random one of the same zone.
+func (sys *Simulation) retryNode(n *node, rng *rand.Rand) *node {
 	sys.mu.Lock()
 	defer sys.mu.Unlock()
 	return sys.nodeInZone(n.zone, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 7)))
