--- a/examples/mixed-builds.sh
+++ b/examples/mixed-builds.sh
@@ -97,9 +97,10 @@
 for ctl in "$OLD" "$NEW"; do
   for url in "$CONTROL_a" "$CONTROL_c"; do
     wait_until nodes_heard "$ctl" "$url" 2
+    # The node that joined last may not have fetched the rules yet.
+    wait_until "$ctl/fennelctl" --server "$url" explain --path /v1/chat/completions --model assistente-fit
     "$ctl/fennelctl" --server "$url" rules show >/dev/null
     "$ctl/fennelctl" --server "$url" rules history >/dev/null
-    "$ctl/fennelctl" --server "$url" explain --path /v1/chat/completions --model assistente-fit >/dev/null
     "$ctl/fennelctl" --server "$url" outages --from 2026-01-01 --to 2027-01-01 --json >/dev/null
   done
 done
